--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -10,42 +10,44 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// ErrNoPath says that the usable backend servers do not cover all layers.
+// ErrNoPath is returned if the usable backend servers do not cover all layers.
 var ErrNoPath = errors.New("pipeline: no path covers all layers")
 
-// ErrFull says that every path lacks memory for the request.
+// ErrFull is returned if every path lacks memory for the request.
 var ErrFull = errors.New("pipeline: every path is full")
 
-// Load is what is known of a backend server's load.
+// Load is the known load of a backend server.
 type Load struct {
-	Running float64 // requests that pass it, of all daemons
-	KVUsed  float64 // tokens x layers that they hold, of all daemons
-	Heads   float64 // requests that it runs as the first of their path
-	// OwnKV is what this daemon's requests hold times the daemons: by it each daemon
-	// spreads its own requests evenly, which needs no news from the others.
+	Running float64 // requests that pass through it, of all daemons
+	KVUsed  float64 // memory of these requests, in tokens x layers
+	Heads   float64 // requests whose first hop it is, of all daemons
+	// OwnKV is the memory of this daemon's requests multiplied by the number of
+	// daemons. With it each daemon spreads its own requests evenly without data from
+	// the others.
 	OwnKV float64
 	// WaitMS is how long requests wait there for their first token, if it is their
 	// first hop.
 	WaitMS float64
-	// Slowdown is how many times longer it takes than cards of its kind do, 0 for as
-	// long as they.
+	// Slowdown is the factor on its predicted times relative to backend servers of
+	// its kind. Values below 1 count as 1.
 	Slowdown float64
-	// Full is the share of its memory that is used by its own word, 0 while it is not
-	// known to be crowded, and Waiting the requests that wait there.
+	// Full is the fraction of its memory that it reports as used, 0 unless it is
+	// known to be saturated. Waiting is the number of requests that it reports as
+	// waiting.
 	Full    float64
 	Waiting int
 }
 
-// slowed returns a predicted time as it is on a backend server that has become slow.
+// slowed returns a predicted time corrected by the slowdown of the backend server.
 func (l Load) slowed(ms float64) float64 { return ms * max(1, l.Slowdown) }
 
-// Candidate is a backend server that may be on a path.
+// Candidate is a backend server that a path may use.
 type Candidate struct {
 	Server *site.BackendServer
 	Load   Load
 }
 
-// Query is what a path is asked for.
+// Query holds the parameters of a path search.
 type Query struct {
 	Engine *site.Engine
 	Tokens Tokens
@@ -53,42 +55,42 @@
 	Head *site.BackendServer
 	// HeadLayers are the layers that Head runs already.
 	HeadLayers site.Range
-	// Keep lists backend servers whose memory of the request survives, by ID,
-	// with the layers they have run.
+	// Keep maps the IDs of backend servers that still hold the request's memory to
+	// the layers that they have run.
 	Keep map[string]site.Range
 	// Near is the failure domain of the caller's daemon.
 	Near string
-	// Jitter spreads the choices of daemons that see the same loads: the share by
-	// which a hop's cost varies at random.
+	// Jitter is the maximum random increase of a hop's cost, as a fraction. It makes
+	// daemons with the same loads choose different paths.
 	Jitter float64
-	// FullFrom is the share of a card's memory, and of a head's slots, from which it
-	// is avoided, 0 for fullFrom of the memory alone.
+	// FullFrom is the usage from which a backend server's memory and a head's slots
+	// cost extra, as a fraction. 0 stands for fullThreshold, for the memory alone.
 	FullFrom float64
 }
 
-// Weights of the choice.
+// Cost weights.
 const (
-	// fullFrom is the share of a card's memory from which it is avoided: requests
-	// grow, and a card without memory preempts.
-	fullFrom = 0.85
+	// fullThreshold is the fraction of a backend server's memory from which its use
+	// costs extra. Requests grow, and a backend server that runs out of memory
+	// preempts them.
+	fullThreshold = 0.85
 	// fullCostMS is the cost of a hop whose memory is all used.
 	fullCostMS = 200.0
-	// noRoomCostMS is more than any path with room costs. Without it a fast path was
-	// the cheapest although it was full, and requests were refused while a slow one
-	// had room: 27 to 44 requests of 190 in a domain, 100 refusals in two seconds.
-	noRoomCostMS = 1e6
-	// spreadWeight makes a card dearer the more of its memory this daemon would use
-	// if all daemons did as it does, up to spreadMost of the memory. At 1 the fastest
-	// pipeline was filled to nine tenths before others were used, and refused requests
-	// for want of memory (worth 0.560, at 2 0.582, over five days of trouble).
-	spreadWeight = 2.0
-	spreadMost   = 3.0
-	// crossWeight multiplies the time that a prompt's activations take through the
-	// pipe between failure domains: all requests share it, one at a time.
-	crossWeight = 10.0
-	// nearCostMS is what a first hop in another failure domain than the caller's
-	// costs: bytes between failure domains are paid for.
-	nearCostMS = 6.0
+	// noCapacityCostMS is more than the cost of any path with capacity. Without it a
+	// fast path that is full could be cheaper than a slow one with capacity, and
+	// requests would be refused.
+	noCapacityCostMS = 1e6
+	// spreadWeight raises the cost of a backend server with the fraction of its
+	// memory that would be used if every daemon sent as many requests as this one, up
+	// to maxSpreadRatio.
+	spreadWeight   = 2.0
+	maxSpreadRatio = 3.0
+	// crossDomainWeight multiplies the time that a prompt's activations take over a
+	// cross-domain link, since all requests share the link.
+	crossDomainWeight = 10.0
+	// remoteHeadCostMS is the cost of a first hop outside the caller's failure
+	// domain. Traffic between failure domains is billed.
+	remoteHeadCostMS = 6.0
 )
 
 // Choice is a path with its predicted times.
@@ -96,18 +98,19 @@
 	Path    site.Path
 	FirstMS float64 // until the first token
 	StepMS  float64 // between two tokens
-	Cost    float64 // by which paths are compared, in milliseconds
-	Fullest float64 // share of the memory used at the fullest hop
+	Cost    float64 // total cost, in milliseconds
+	Fullest float64 // fraction of the memory used at the fullest hop
 }
 
-// Choose returns the cheapest path that runs all layers once, in order.
+// Choose returns the cheapest path that runs all layers once, in order. It returns
+// ErrNoPath if there is none, and the path with ErrFull if the path lacks memory.
 func Choose(q *Query, candidates []Candidate, r *rand.Rand) (Choice, error) {
-	hops := costs(q, candidates, r)
+	hops := hopCosts(q, candidates, r)
 	best, cost := search(q, candidates, hops)
 	if best == nil {
 		return Choice{}, ErrNoPath
 	}
-	c := describe(q, best)
+	c := predict(q, best)
 	c.Cost = cost
 	if c.Fullest > 1 {
 		return c, ErrFull
@@ -131,17 +134,17 @@
 	return best, err
 }
 
-// hopCost holds what does not depend on where a hop begins.
+// hopCost holds the cost of a hop that does not depend on where it begins.
 type hopCost struct {
-	perLayer float64 // predicted time of a first token and weighed steps
+	perLayer float64 // predicted time of the prompt and weighted steps
 	fixed    float64
 }
 
-// stepsWeight is how many token steps weigh as much as the first token: a path
-// is chosen for both.
+// stepsWeight is the weight of the time of a token step relative to the time of the
+// first token.
 const stepsWeight = 8
 
-func costs(q *Query, cs []Candidate, r *rand.Rand) []hopCost {
+func hopCosts(q *Query, cs []Candidate, r *rand.Rand) []hopCost {
 	out := make([]hopCost, len(cs))
 	for i := range cs {
 		c := &cs[i]
@@ -151,10 +154,10 @@
 		read := HopReadMS(q.Engine, s.Kind, n, q.Tokens.Prompt)
 		out[i].perLayer = c.Load.slowed(step*stepsWeight+read) / float64(max(1, n))
 		full := fullness(q, c, n)
-		out[i].perLayer *= 1 + spreadWeight*min(spreadMost, c.Load.OwnKV/max(1, q.Engine.KVRoom(s.Kind, n)))
+		out[i].perLayer *= 1 + spreadWeight*min(maxSpreadRatio, c.Load.OwnKV/max(1, q.Engine.KVRoom(s.Kind, n)))
 		out[i].fixed = fullCost(q, full)
 		if full > 1 {
-			out[i].fixed += noRoomCostMS
+			out[i].fixed += noCapacityCostMS
 		}
 		if r != nil && q.Jitter > 0 {
 			out[i].perLayer *= 1 + q.Jitter*r.Float64()
@@ -163,36 +166,36 @@
 	return out
 }
 
-// fullCost is what a card costs of which a share of the memory is used.
+// fullCost returns the cost of a hop whose memory or slots are used to a given
+// fraction.
 func fullCost(q *Query, full float64) float64 {
-	from := fullFrom
+	from := fullThreshold
 	if q.FullFrom > 0 {
 		from = q.FullFrom
 	}
 	return fullCostMS * max(0, full-from) / (1 - from)
 }
 
-// fullness returns the share of a card's memory that is used once the request
-// runs n layers on it. Requests are counted with the size that they have on average,
-// since they are at different points of their lives: by their size at the end a card
-// counted as full at 0.87 of its memory (worth 0.537 to 0.552 over five days of
-// trouble). The card's own word counts where it says more: what the daemons have told each
-// other is seconds old, and leaves out requests of daemons that have ended. A card at
-// which requests wait has no room for another.
+// fullness returns the fraction of a backend server's memory that is used once it
+// runs n layers of the request. Requests count with their mean size, since they are
+// at different points of their lifetimes. The backend server's own report counts if
+// it is higher: loads exchanged by daemons are seconds old and miss requests of
+// daemons that have ended. A backend server at which requests wait counts as full.
 func fullness(q *Query, c *Candidate, n int) float64 {
-	room := q.Engine.KVRoom(c.Server.Kind, c.Server.Held.Len())
-	if room <= 0 {
+	capacity := q.Engine.KVRoom(c.Server.Kind, c.Server.Held.Len())
+	if capacity <= 0 {
 		return math.Inf(1)
 	}
-	used := max(c.Load.KVUsed/room, c.Load.Full)
+	used := max(c.Load.KVUsed/capacity, c.Load.Full)
 	if c.Load.Waiting > 0 {
 		used = max(used, 1)
 	}
-	return used + q.Tokens.Mean()*float64(n)/room
+	return used + q.Tokens.Mean()*float64(n)/capacity
 }
 
-// describe predicts the times of a path.
-func describe(q *Query, steps []step) Choice {
+// predict returns the path of the steps with its predicted times and its highest
+// memory usage.
+func predict(q *Query, steps []step) Choice {
 	var c Choice
 	for i, s := range steps {
 		h := site.Hop{Server: s.cand.Server, Layers: s.run}
--- a/pipeline/choose_test.go
+++ b/pipeline/choose_test.go
@@ -8,7 +8,7 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// twoPipelines are a fast and a slow pipeline of two cards each, empty.
+// twoPipelines returns a fast and a slow idle pipeline of two servers each.
 func twoPipelines(e *site.Engine) []Candidate {
 	half := e.Layers / 2
 	var out []Candidate
@@ -28,9 +28,8 @@
 	}
 }
 
-// A head at which requests wait for their first token is left, although what the
-// daemons told of its load does not show it yet, and only for as long as the other
-// path is not slower still.
+// A wait for the first token at a head raises its cost before the reported loads show
+// it.
 func TestWaitAtTheFirstHopCounts(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
@@ -46,11 +45,11 @@
 	cs[2].Load.WaitMS = 5000
 	require.Equal(t, "fast0", head())
 	cs[1].Load.WaitMS = 5000
-	require.Equal(t, "fast0", head(), "a wait counts at the first hop alone")
+	require.Equal(t, "fast0", head(), "a wait counts only at the first hop")
 }
 
-// A card that has become slow is gone round, hop by hop, where another holds its layers.
-func TestSlowCardIsGoneRound(t *testing.T) {
+// A path avoids a slow server if another holds the same layers and is faster.
+func TestSlowServerIsBypassed(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
 	cs := twoPipelines(e)
@@ -60,22 +59,22 @@
 		return []string{c.Path[0].Server.ID, c.Path[1].Server.ID}
 	}
 	require.Equal(t, []string{"fast0", "fast1"}, path())
-	usual, err := Choose(q, cs, nil)
+	typical, err := Choose(q, cs, nil)
 	require.NoError(t, err)
 	cs[1].Load.Slowdown = 2
 	require.Equal(t, []string{"fast0", "fast1"}, path(), "still faster than the other kind")
 	slowed, err := Choose(q, cs, nil)
 	require.NoError(t, err)
-	require.InDelta(t, 1.5*usual.FirstMS, slowed.FirstMS, 0.01)
-	require.InDelta(t, 1.5*usual.StepMS, slowed.StepMS, 0.01)
+	require.InDelta(t, 1.5*typical.FirstMS, slowed.FirstMS, 0.01)
+	require.InDelta(t, 1.5*typical.StepMS, slowed.StepMS, 0.01)
 	cs[1].Load.Slowdown = 12
 	require.Equal(t, []string{"fast0", "slow1"}, path())
 	cs[1].Load.Slowdown = 0.5
-	require.Equal(t, []string{"fast0", "fast1"}, path(), "below one says nothing")
+	require.Equal(t, []string{"fast0", "fast1"}, path(), "values below 1 are ignored")
 }
 
-// A path that is full is the last choice, however slow the others are: else requests
-// were refused with room left.
+// Guards against refusing requests on a full fast path while a slow path has
+// capacity.
 func TestFullPathIsTheLastChoice(t *testing.T) {
 	e := choiceEngine()
 	e.Kinds["slow"] = site.Accelerator{MemoryMB: 2000, Pace: 100, ReadPace: 100}
@@ -90,21 +89,20 @@
 	require.ErrorIs(t, err, ErrFull)
 }
 
-// Requests are at different points of their lives, so a card holds as many as their
-// mean size allows.
-func TestCardHoldsRequestsByTheirMeanSize(t *testing.T) {
+// Requests count with their mean size, not with their final size.
+func TestServerHoldsRequestsByMeanSize(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 500}}
 	c := Candidate{Server: &site.BackendServer{Kind: "fast", Held: site.Range{To: 5}}}
 	const requests = 20
-	room := e.KVRoom("fast", 5) / 5
-	c.Load.KVUsed = (room - room/requests) * 5
-	q.Tokens = Tokens{Prompt: room / requests / 2, Answer: room / requests}
+	capacity := e.KVRoom("fast", 5) / 5
+	c.Load.KVUsed = (capacity - capacity/requests) * 5
+	q.Tokens = Tokens{Prompt: capacity / requests / 2, Answer: capacity / requests}
 	require.InDelta(t, 1, fullness(q, &c, 5), 1e-9, "the last of 20 just fits by its mean size")
 }
 
-// Within one failure domain the cheapest path is found although one across two is cheaper,
-// and none where no domain holds all layers.
+// ChooseWithin returns the cheapest path within a domain even if a path across two is
+// cheaper, and ErrNoPath if no domain holds all layers.
 func TestChooseWithinStaysInOneDomain(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
@@ -120,9 +118,9 @@
 	require.ErrorIs(t, err, ErrNoPath)
 }
 
-// A card is as full as the larger of what the daemons have promised it and its own word,
-// and one at which requests wait has no room, whatever was promised.
-func TestCardsOwnWordCounts(t *testing.T) {
+// The higher of the loads of the daemons and the server's own report counts, and a
+// server at which requests wait is full.
+func TestReportedUsageCounts(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
 	n := twoPipelines(e)[0].Server.Held.Len()
@@ -131,11 +129,11 @@
 		c.Load = l
 		return fullness(q, &c, n)
 	}
-	room := e.KVRoom("fast", n)
+	capacity := e.KVRoom("fast", n)
 	one := full(Load{})
-	require.InDelta(t, 0.5+one, full(Load{KVUsed: room / 2}), 1e-9)
-	require.InDelta(t, 0.8+one, full(Load{KVUsed: room / 2, Full: 0.8}), 1e-9)
-	require.InDelta(t, 0.9+one, full(Load{KVUsed: 0.9 * room, Full: 0.8}), 1e-9)
+	require.InDelta(t, 0.5+one, full(Load{KVUsed: capacity / 2}), 1e-9)
+	require.InDelta(t, 0.8+one, full(Load{KVUsed: capacity / 2, Full: 0.8}), 1e-9)
+	require.InDelta(t, 0.9+one, full(Load{KVUsed: 0.9 * capacity, Full: 0.8}), 1e-9)
 	require.Greater(t, full(Load{Waiting: 1}), 1.0)
 
 	cs := twoPipelines(e)
@@ -145,5 +143,5 @@
 	require.Equal(t, cs[2].Server.ID, c.Path[0].Server.ID)
 	cs[2].Load.Full = 1
 	_, err = Choose(q, cs, nil)
-	require.ErrorIs(t, err, ErrFull, "who cannot be served hears it at once")
+	require.ErrorIs(t, err, ErrFull, "requests without capacity are refused at once")
 }
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -1,6 +1,7 @@
-// Package pipeline decides where the layers of a model lie and which path a
-// request takes through them. Its functions are pure: what is known in, a
-// decision with its reasons out. All of them ask one model of the engine.
+// Package pipeline decides which backend servers hold the layers of a model and which
+// path a request takes through them. Its functions do no I/O: they take the known
+// state and return a decision with its reason. All of them use one cost model of the
+// engine.
 package pipeline
 
 import (
@@ -9,27 +10,28 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// share returns the part of the model's layers that a range covers.
-func share(e *site.Engine, layers int) float64 { return float64(layers) / float64(e.Layers) }
+// layerShare returns the fraction of the model's layers that a number of layers is.
+func layerShare(e *site.Engine, layers int) float64 { return float64(layers) / float64(e.Layers) }
 
-// HopStepMS predicts the time of one token step of a card that runs a number of
-// layers for n requests with a mean context, in milliseconds.
+// HopStepMS predicts the time of one token step of a backend server that runs a
+// number of layers for n requests with a mean context, in milliseconds.
 func HopStepMS(e *site.Engine, kind string, layers int, n, context float64) float64 {
 	perRequest := e.PerRequestMS + e.ContextPerKMS*context/1000
-	return e.Kinds[kind].Pace * share(e, layers) * (e.StepMS + n*perRequest)
+	return e.Kinds[kind].Pace * layerShare(e, layers) * (e.StepMS + n*perRequest)
 }
 
-// HopReadMS predicts the time that a card needs to read a prompt through a
+// HopReadMS predicts the time that a backend server needs to read a prompt through a
 // number of layers, in milliseconds.
 func HopReadMS(e *site.Engine, kind string, layers int, prompt float64) float64 {
 	if e.ReadPerSecond <= 0 {
 		return 0
 	}
 	pairs := prompt * prompt / 2 / 1e6
-	return e.Kinds[kind].ReadPace * share(e, layers) * (1000*prompt/e.ReadPerSecond + pairs*e.ReadPairsMS)
+	return e.Kinds[kind].ReadPace * layerShare(e, layers) * (1000*prompt/e.ReadPerSecond + pairs*e.ReadPairsMS)
 }
 
-// LinkMS predicts the time of handing one token on between two backend servers.
+// LinkMS predicts the time to send the activations of one token between backend
+// servers of two failure domains, in milliseconds.
 func LinkMS(e *site.Engine, from, to string) float64 {
 	ms := 0.0
 	if e.LinkMbps > 0 {
@@ -44,22 +46,22 @@
 	return ms
 }
 
-// Tokens is the expected size of a request.
+// Tokens is the expected size of a request, in tokens.
 type Tokens struct {
 	Prompt float64
 	Answer float64
 }
 
-// Mean returns the context that a request holds on average while it runs.
+// Mean returns the average context of a request over its lifetime.
 func (t Tokens) Mean() float64 { return t.Prompt + t.Answer/2 }
 
-// Usual returns the mean request of an engine.
+// Usual returns the size of a typical request of an engine.
 func Usual(e *site.Engine) Tokens {
 	return Tokens{Prompt: float64(e.Prompt), Answer: float64(e.Answer)}
 }
 
-// PipeReadMS predicts how long the activations of a prompt take through the pipe
-// between two failure domains.
+// PipeReadMS predicts how long the activations of a prompt take over a cross-domain
+// link, in milliseconds.
 func PipeReadMS(e *site.Engine, prompt float64) float64 {
 	if e.PipeMbps <= 0 {
 		return 0
--- a/pipeline/layout.go
+++ b/pipeline/layout.go
@@ -9,14 +9,15 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// relayOut places the pipelines of a group anew, keeping cards near the layers
-// that they hold. Layers are dropped at once unless requests still get through the
-// group over a card that drains.
-func relayOut(e *site.Engine, cards []Card, n int, atOnce bool) []Order {
+// rebuildPipelines places all n pipelines of a group again, with the servers in the
+// order of the layers that they hold. With atOnce, layers are dropped without waiting
+// for requests; it must be false while a draining server still lets requests through
+// the group.
+func rebuildPipelines(e *site.Engine, servers []Card, n int, atOnce bool) []Order {
 	var orders []Order
-	for _, chain := range deal(e, cards, n) {
-		slices.SortStableFunc(chain, func(a, b Card) int { return cmp.Compare(position(a), position(b)) })
-		c := counts(e, chain)
+	for _, chain := range partition(e, servers, n) {
+		slices.SortStableFunc(chain, func(a, b Card) int { return cmp.Compare(firstLayer(a), firstLayer(b)) })
+		c := layerCounts(e, chain)
 		if c == nil {
 			continue
 		}
@@ -25,44 +26,44 @@
 			r := site.Range{From: next, To: next + c[i]}
 			next = r.To
 			if r.Len() > 0 && r != chain[i].Ordered {
-				orders = append(orders, Order{Server: chain[i].Server, Layers: r, AtOnce: atOnce, Reason: "pipeline laid out anew, its cards do not cover all layers"})
+				orders = append(orders, Order{Server: chain[i].Server, Layers: r, AtOnce: atOnce, Reason: "pipeline rebuilt, its backend servers do not cover all layers"})
 			}
 		}
 	}
 	return orders
 }
 
-// position is where a card lies among the layers; empty cards come last.
-func position(c Card) int {
+// firstLayer is the sort key of a server by its layers; empty servers come last.
+func firstLayer(c Card) int {
 	if !placed(c) {
 		return math.MaxInt
 	}
 	return c.Ordered.From
 }
 
-func domains(cards []Card) [][]Card {
-	by := map[string][]Card{}
+func groupByDomain(servers []Card) [][]Card {
+	byDomain := map[string][]Card{}
 	var names []string
-	for _, c := range cards {
+	for _, c := range servers {
 		d := c.Server.FailureDomain
-		if by[d] == nil {
+		if byDomain[d] == nil {
 			names = append(names, d)
 		}
-		by[d] = append(by[d], c)
+		byDomain[d] = append(byDomain[d], c)
 	}
 	slices.Sort(names)
 	out := make([][]Card, 0, len(names))
 	for _, n := range names {
-		out = append(out, by[n])
+		out = append(out, byDomain[n])
 	}
 	return out
 }
 
-// pipelines returns how many whole pipelines the cards can hold with room for
-// requests beside them.
-func pipelines(e *site.Engine, cards []Card) int {
+// pipelineCount returns how many complete pipelines the servers can hold: one if all
+// layers fit, more if each leaves minPipelineHeadroom for requests.
+func pipelineCount(e *site.Engine, servers []Card) int {
 	memory, layers := 0.0, 0
-	for _, c := range cards {
+	for _, c := range servers {
 		memory += e.Kinds[c.Server.Kind].MemoryMB
 		layers += e.MaxLayers(c.Server.Kind)
 	}
@@ -70,19 +71,19 @@
 	if weights <= 0 || layers < e.Layers {
 		return 0
 	}
-	n := int(memory / (weights * (1 + chainRoom)))
+	n := int(memory / (weights * (1 + minPipelineHeadroom)))
 	return max(n, 1)
 }
 
-// deal shares the cards out among n pipelines so that their memory is even.
-func deal(e *site.Engine, cards []Card, n int) [][]Card {
-	cards = slices.Clone(cards)
-	slices.SortStableFunc(cards, func(a, b Card) int {
+// partition divides the servers among n pipelines of about the same memory.
+func partition(e *site.Engine, servers []Card, n int) [][]Card {
+	servers = slices.Clone(servers)
+	slices.SortStableFunc(servers, func(a, b Card) int {
 		return cmp.Compare(e.Kinds[b.Server.Kind].MemoryMB, e.Kinds[a.Server.Kind].MemoryMB)
 	})
 	chains := make([][]Card, n)
 	memory := make([]float64, n)
-	for _, c := range cards {
+	for _, c := range servers {
 		least := 0
 		for i := range memory {
 			if memory[i] < memory[least] {
@@ -95,10 +96,10 @@
 	return chains
 }
 
-// layOut gives each card of a pipeline its layers: as many as leave every card
-// the same room for requests, the fastest cards filled first with what is over.
-func layOut(e *site.Engine, chain []Card) []Order {
-	counts := counts(e, chain)
+// placePipeline assigns the layers of a pipeline to its empty servers, as layerCounts
+// divides them. Servers that get none receive no order.
+func placePipeline(e *site.Engine, chain []Card) []Order {
+	counts := layerCounts(e, chain)
 	if counts == nil {
 		return nil
 	}
@@ -106,9 +107,9 @@
 	for i := range order {
 		order[i] = i
 	}
-	// Cards of one size lie side by side in every pipeline, so that the same layers
-	// have substitutes of the same size; large cards take the front, where the
-	// slots of the first hop count.
+	// Servers with the same number of layers are adjacent in every pipeline, so that
+	// a layer has substitutes of the same size. Those with the most layers come
+	// first, since the slots of the first hop limit the pipeline.
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(counts[b], counts[a]) })
 	var out []Order
 	next := 0
@@ -119,38 +120,37 @@
 		r := site.Range{From: next, To: next + counts[i]}
 		next = r.To
 		out = append(out, Order{Server: chain[i].Server, Layers: r,
-			Reason: fmt.Sprintf("pipeline of %d cards in %s", len(chain), chain[i].Server.FailureDomain)})
+			Reason: fmt.Sprintf("pipeline of %d backend servers in %s", len(chain), chain[i].Server.FailureDomain)})
 	}
 	return out
 }
 
-// roomStep is the difference in room, in requests, between two layouts that are
-// compared.
-const roomStep = 8
+// capacityStep is the difference in capacity, in requests, between two layouts that
+// layerCounts compares.
+const capacityStep = 8
 
-// counts returns how many layers of a pipeline each card takes, nil if they do not
-// fit. Room for more requests is paid for with layers on slower cards: of the
-// layouts with room for all slots of the first hop and less, the one is taken that
-// makes most tokens when its room is used. With room for 100 requests on fast cards
-// instead of 192 on all, streams took half as long, so that fewer of them were under
-// way when a card or a daemon was lost.
-func counts(e *site.Engine, chain []Card) []int {
-	best, room := split(e, chain, e.Layers)
+// layerCounts returns how many layers of a pipeline each server takes, nil if they do
+// not fit. Capacity for more requests moves layers to slower servers, so it compares
+// layouts from the highest possible capacity downwards, and returns the one with the
+// highest token throughput at its full capacity.
+func layerCounts(e *site.Engine, chain []Card) []int {
+	best, capacity := divideLayers(e, chain, e.Layers)
 	if best == nil {
 		return nil
 	}
-	most := rate(e, chain, best, room)
-	for n := room - roomStep; n >= roomStep; n -= roomStep {
+	bestRate := throughput(e, chain, best, capacity)
+	for n := capacity - capacityStep; n >= capacityStep; n -= capacityStep {
 		c := trim(e, chain, fit(e, chain, n), e.Layers)
-		if r := rate(e, chain, c, n); r > most {
-			best, most = c, r
+		if r := throughput(e, chain, c, n); r > bestRate {
+			best, bestRate = c, r
 		}
 	}
 	return best
 }
 
-// rate predicts the token steps that a pipeline makes in a millisecond for n requests.
-func rate(e *site.Engine, chain []Card, counts []int, n float64) float64 {
+// throughput predicts the token steps per millisecond of a pipeline that runs n
+// requests.
+func throughput(e *site.Engine, chain []Card, counts []int, n float64) float64 {
 	ms := 0.0
 	for i, c := range chain {
 		ms += HopStepMS(e, c.Server.Kind, counts[i], n, Usual(e).Mean())
@@ -158,10 +158,10 @@
 	return n / ms
 }
 
-// split divides a number of layers among cards, nil if they do not fit. Room is
-// the number of usual requests that the fullest card holds: it is raised as far
-// as all layers still fit, up to what the first hop's slots can use.
-func split(e *site.Engine, chain []Card, layers int) (counts []int, room float64) {
+// divideLayers divides layers among servers, nil if they do not fit. capacity is the
+// number of typical requests that the fullest server can hold; it is the highest for
+// which all layers fit, up to the slots of the first hop.
+func divideLayers(e *site.Engine, chain []Card, layers int) (counts []int, capacity float64) {
 	low, high := 0.0, float64(max(1, e.Slots))
 	if total(fit(e, chain, low)) < layers {
 		return nil, 0
@@ -180,7 +180,7 @@
 	return trim(e, chain, fit(e, chain, high), layers), high
 }
 
-// fit returns how many layers each card can hold beside the memory of n usual
+// fit returns how many layers each server can hold besides the memory of n typical
 // requests.
 func fit(e *site.Engine, chain []Card, n float64) []int {
 	perLayer := e.LayerMB + n*Usual(e).Mean()*e.KVTokenBytes/float64(e.Layers)/1e6
@@ -199,9 +199,9 @@
 	return n
 }
 
-// trim takes the layers that are too many from the slowest cards, from those first
-// that have the fewest: a card without layers is a substitute for any other, and
-// each card of a pipeline is one more that it can lose.
+// trim removes surplus layers, from the slowest servers first and among those from
+// the one with the fewest layers. A server without layers can substitute for any
+// other, and a pipeline of fewer servers fails less often.
 func trim(e *site.Engine, chain []Card, counts []int, layers int) []int {
 	for over := total(counts) - layers; over > 0; over-- {
 		worst := -1
@@ -209,7 +209,7 @@
 			if counts[i] == 0 {
 				continue
 			}
-			if worst < 0 || gives(e, chain[i], chain[worst], counts[i], counts[worst]) {
+			if worst < 0 || trimsBefore(e, chain[i], chain[worst], counts[i], counts[worst]) {
 				worst = i
 			}
 		}
@@ -218,8 +218,8 @@
 	return counts
 }
 
-// gives reports whether card a gives layers up before card b.
-func gives(e *site.Engine, a, b Card, na, nb int) bool {
+// trimsBefore reports whether server a loses a layer before server b.
+func trimsBefore(e *site.Engine, a, b Card, na, nb int) bool {
 	pa, pb := e.Kinds[a.Server.Kind].Pace, e.Kinds[b.Server.Kind].Pace
 	if pa != pb {
 		return pa > pb
@@ -227,44 +227,45 @@
 	return na < nb
 }
 
-// Bound is what binds a layout: how many usual requests it can hold at once, and
-// the layers whose cards have room for no more.
+// Bound is the limit of a layout: how many typical requests it can hold at once, and
+// the layers that limit it.
 type Bound struct {
 	Requests int
 	Layers   site.Range
 }
 
-// BoundOf returns the bound of what cards hold, or are to hold by orders under way.
-func BoundOf(e *site.Engine, cards []Card) Bound {
-	cover := coverage(e, cards)
-	if len(cover) == 0 {
+// BoundOf returns the bound of the layers that servers hold, or will hold once
+// pending orders are carried out.
+func BoundOf(e *site.Engine, servers []Card) Bound {
+	capacities := capacityByLayer(e, servers)
+	if len(capacities) == 0 {
 		return Bound{}
 	}
-	least := slices.Min(cover)
+	least := slices.Min(capacities)
 	b := Bound{Requests: int(least)}
-	b.Layers.From = slices.Index(cover, least)
+	b.Layers.From = slices.Index(capacities, least)
 	b.Layers.To = b.Layers.From
-	for b.Layers.To < len(cover) && int(cover[b.Layers.To]) == b.Requests {
+	for b.Layers.To < len(capacities) && int(capacities[b.Layers.To]) == b.Requests {
 		b.Layers.To++
 	}
 	return b
 }
 
-// coverage returns for each layer the room for requests that its cards have.
-func coverage(e *site.Engine, cards []Card) []float64 {
-	cover := make([]float64, e.Layers)
-	for _, c := range cards {
-		room := roomOf(e, c, c.Ordered.Len())
+// capacityByLayer returns, for each layer, the requests that its servers can hold.
+func capacityByLayer(e *site.Engine, servers []Card) []float64 {
+	capacities := make([]float64, e.Layers)
+	for _, c := range servers {
+		capacity := capacityOf(e, c, c.Ordered.Len())
 		for l := max(0, c.Ordered.From); l < min(e.Layers, c.Ordered.To); l++ {
-			cover[l] += room
+			capacities[l] += capacity
 		}
 	}
-	return cover
+	return capacities
 }
 
-// roomOf returns the usual requests that a card holds beside n layers, and a
-// little for being there at all.
-func roomOf(e *site.Engine, c Card, n int) float64 {
+// capacityOf returns the typical requests that a server can hold besides n layers,
+// plus one so that a server without free memory still counts.
+func capacityOf(e *site.Engine, c Card, n int) float64 {
 	if n == 0 {
 		return 0
 	}
@@ -272,9 +273,10 @@
 	return min(float64(max(1, e.Slots)), 1+e.KVRoom(c.Server.Kind, n)/max(1, per))
 }
 
-// leastRoomWindow returns the window of layers for an empty card that has the
-// least room now. Its size leaves the card as much room as its neighbours have.
-func leastRoomWindow(e *site.Engine, c Card, cover []float64) site.Range {
+// lowestCapacityWindow returns the range of layers with the lowest capacity for an
+// empty server to take. Its length leaves the server memory for requests in all slots
+// where possible.
+func lowestCapacityWindow(e *site.Engine, c Card, capacities []float64) site.Range {
 	n := fit(e, []Card{c}, float64(max(1, e.Slots)))[0]
 	if n == 0 {
 		n = max(1, e.MaxLayers(c.Server.Kind)/2)
@@ -284,10 +286,10 @@
 	for from := 0; from+n <= e.Layers; from++ {
 		least, sum := math.Inf(1), 0.0
 		for l := from; l < from+n; l++ {
-			least = min(least, cover[l])
-			sum += cover[l]
+			least = min(least, capacities[l])
+			sum += capacities[l]
 		}
-		// The worst layer counts more than any mean.
+		// The lowest layer outweighs the mean.
 		if score := least*float64(e.Layers) + sum/float64(n); score < bestScore {
 			best, bestScore = from, score
 		}
--- a/pipeline/layout_test.go
+++ b/pipeline/layout_test.go
@@ -9,18 +9,19 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// chainOf returns empty cards of one failure domain, so many of each kind.
-func chainOf(kinds ...any) []Card {
+// emptyServers returns empty servers of one failure domain. Its arguments are kinds,
+// each followed by a count.
+func emptyServers(kinds ...any) []Card {
 	var out []Card
 	for i := 0; i < len(kinds); i += 2 {
 		for range kinds[i+1].(int) {
-			out = append(out, card(fmt.Sprintf("card-%02d", len(out)), "a", kinds[i].(string)))
+			out = append(out, newServer(fmt.Sprintf("card-%02d", len(out)), "a", kinds[i].(string)))
 		}
 	}
 	return out
 }
 
-// unevenEngine is the engine of the tests with cards that step fast and slowly.
+// unevenEngine is the test engine with fast and slow kinds of servers.
 func unevenEngine() *site.Engine {
 	e := testEngine()
 	e.Kinds = map[string]site.Accelerator{
@@ -31,34 +32,34 @@
 	return e
 }
 
-// Where fast cards hold the model with room for fewer requests, slow ones are left
-// out: streams end sooner, and those cards are there for layers that are lost.
-func TestPipelineIsLaidOutForItsRate(t *testing.T) {
+// Guards against placing layers on slow servers only for capacity. Left without
+// layers, they can substitute for lost servers.
+func TestPipelineIsPlacedForThroughput(t *testing.T) {
 	e := unevenEngine()
-	chain := chainOf("fast", 2, "brisk", 4, "slow", 4)
-	fullest, room := split(e, chain, e.Layers)
-	require.InDelta(t, e.Slots, room, 0, "all slots of a first hop could be used")
-	got := counts(e, chain)
+	chain := emptyServers("fast", 2, "brisk", 4, "slow", 4)
+	fullest, capacity := divideLayers(e, chain, e.Layers)
+	require.InDelta(t, e.Slots, capacity, 0, "capacity for all slots of the first hop is possible")
+	got := layerCounts(e, chain)
 	require.Equal(t, e.Layers, total(got))
-	require.Equal(t, []int{0, 0, 0, 0}, got[6:], "layers on slow cards, %v with room for all slots", fullest)
+	require.Equal(t, []int{0, 0, 0, 0}, got[6:], "layers on slow servers, %v with capacity for all slots", fullest)
 }
 
-// Where there is no choice but slow cards, a pipeline keeps room for all slots.
-func TestPipelineOfEqualCardsKeepsItsRoom(t *testing.T) {
+// Where only slow servers exist, a pipeline keeps capacity for all slots.
+func TestPipelineOfEqualServersKeepsCapacity(t *testing.T) {
 	e := unevenEngine()
-	chain := chainOf("slow", 14)
-	fullest, room := split(e, chain, e.Layers)
-	require.InDelta(t, e.Slots, room, 0)
-	require.Equal(t, fullest, counts(e, chain))
+	chain := emptyServers("slow", 14)
+	fullest, capacity := divideLayers(e, chain, e.Layers)
+	require.InDelta(t, e.Slots, capacity, 0)
+	require.Equal(t, fullest, layerCounts(e, chain))
 }
 
-// Layers that are over are taken from few cards, not from each a little: a card
-// without layers is a substitute, and a pipeline of fewer cards loses one less often.
-func TestFewestSlowCardsAreUsed(t *testing.T) {
+// Surplus layers are removed from few servers, so that a pipeline uses as few slow
+// ones as possible.
+func TestFewestSlowServersAreUsed(t *testing.T) {
 	e := unevenEngine()
-	chain := chainOf("fast", 1, "brisk", 10, "slow", 4)
+	chain := emptyServers("fast", 1, "brisk", 10, "slow", 4)
 	used := 0
-	for _, n := range counts(e, chain)[11:] {
+	for _, n := range layerCounts(e, chain)[11:] {
 		if n > 0 {
 			used++
 		}
--- /dev/null
+++ b/pipeline/neighborsplit.go
@@ -0,0 +1,91 @@
+package pipeline
+
+import (
+	"fmt"
+	"math"
+
+	"github.com/snowspoke/snowspoke/site"
+)
+
+// neighborSplit divides an uncovered range between the server before it and the one
+// after it, -1 for none, at layer at. Neither drops a layer, so no request is
+// interrupted.
+type neighborSplit struct {
+	left, right, at int
+	capacity        float64 // typical requests that the fuller of the two can then hold
+}
+
+// orderNeighborSplit orders the layers of an uncovered range to its neighbors.
+func (g *group) orderNeighborSplit(h neighborSplit, uncovered site.Range) {
+	reason := fmt.Sprintf("layers %d-%d are held by too few backend servers, taken over by their neighbors", uncovered.From, uncovered.To)
+	if h.at > uncovered.From {
+		g.assign(h.left, site.Range{From: g.servers[h.left].Ordered.From, To: h.at}, reason)
+	}
+	if h.at < uncovered.To {
+		g.assign(h.right, site.Range{From: h.at, To: g.servers[h.right].Ordered.To}, reason)
+	}
+}
+
+// bestNeighborSplit returns the split with the highest capacity, one with zero
+// capacity if there is none.
+func (g *group) bestNeighborSplit(uncovered site.Range) neighborSplit {
+	best := neighborSplit{left: -1, right: -1, at: uncovered.From}
+	lefts, rights := g.adjacent(uncovered)
+	for _, left := range lefts {
+		for _, right := range rights {
+			for at := uncovered.From; at <= uncovered.To; at++ {
+				h := neighborSplit{left: left, right: right, at: at}
+				if h.capacity = g.splitCapacity(h, uncovered); h.capacity > best.capacity {
+					best = h
+				}
+			}
+		}
+	}
+	return best
+}
+
+// adjacent returns the servers whose layers end where an uncovered range begins, and
+// those whose layers begin where it ends, each with -1 for none.
+func (g *group) adjacent(uncovered site.Range) (lefts, rights []int) {
+	lefts, rights = []int{-1}, []int{-1}
+	for i, c := range g.servers {
+		if c.Busy || !placed(c) {
+			continue
+		}
+		if c.Ordered.To == uncovered.From {
+			lefts = append(lefts, i)
+		}
+		if c.Ordered.From == uncovered.To {
+			rights = append(rights, i)
+		}
+	}
+	return lefts, rights
+}
+
+// splitCapacity returns the typical requests that the fuller server can hold, 0 if a
+// part of the uncovered range has no server.
+func (g *group) splitCapacity(h neighborSplit, uncovered site.Range) float64 {
+	capacity := math.Inf(1)
+	if h.at > uncovered.From {
+		if h.left < 0 {
+			return 0
+		}
+		capacity = g.capacityWith(h.left, h.at-g.servers[h.left].Ordered.From)
+	}
+	if h.at < uncovered.To {
+		if h.right < 0 || h.right == h.left {
+			return 0
+		}
+		capacity = min(capacity, g.capacityWith(h.right, g.servers[h.right].Ordered.To-h.at))
+	}
+	return capacity
+}
+
+// capacityWith returns the typical requests that a server can hold besides n layers,
+// 0 if they do not fit.
+func (g *group) capacityWith(i, n int) float64 {
+	if n > g.e.MaxLayers(g.servers[i].Server.Kind) {
+		return 0
+	}
+	return capacityOf(g.e, g.servers[i], n)
+}
--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -8,81 +8,79 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Card is a backend server as placement sees it.
+// Card is a backend server with its state as placement uses it.
 type Card struct {
 	Server  *site.BackendServer
-	Ordered site.Range // what it holds or is to hold by an order under way
-	Busy    bool       // an order is under way, or one was sent without an answer
-	// Fresh says that it came empty a moment ago: a replacement starts before the one
-	// that it replaces drains, whose layers it shall take.
+	Ordered site.Range // layers that it holds, or will hold once the pending order is carried out
+	Busy    bool       // an order is pending, or one was sent without an answer
+	// Fresh is set for a short time after an empty server registers. In a rolling
+	// replacement the new server starts before the old one drains, and is reserved
+	// for the layers of that one.
 	Fresh bool
 }
 
-// Order says which layers a backend server shall hold.
+// Order tells a backend server which layers to hold.
 type Order struct {
 	Server *site.BackendServer
 	Layers site.Range
-	// AtOnce says that layers which the card gives up need not wait for the requests
-	// that pass through them: some layer lies on no card of the group, so they cannot
-	// go on there in any case. Waiting for them kept a failure domain out of service for
-	// 3 to 11 s after a card was lost, dropping the layers 1 s (from the order to the
-	// first request that uses it, logs of days with lost cards).
+	// AtOnce drops layers without waiting for the requests that pass through them. It
+	// is set when no server of the group holds some layer, so that those requests
+	// cannot continue there anyway.
 	AtOnce bool
 	Reason string
 }
 
 // Placement targets.
 const (
-	// chainRoom is how much memory a further pipeline must leave for requests, as a
-	// share of its weights: with less, its cards hold too few requests to matter.
-	chainRoom = 0.5
-	// fairRoom is the number of usual requests that a card which closes a hole holds
-	// beside its layers: with a third of that, it limited its whole pipeline and
-	// paths left the failure domain.
-	fairRoom = 80
-	// leastRoom is the same for cards that share the layers of a lost one, and
-	// bareRoom where nothing else holds them: little room is better than none.
-	leastRoom = 30
-	bareRoom  = 8
-	// minCover is the number of cards on which a layer lies in the whole site, if
-	// the cards suffice.
-	minCover = 2
+	// minPipelineHeadroom is the memory for requests that each further pipeline of a
+	// group must leave, as a fraction of its weights.
+	minPipelineHeadroom = 0.5
+	// fillCapacity is the number of typical requests for which a server keeps memory
+	// when it takes an uncovered range. A server with less limits its whole pipeline.
+	fillCapacity = 80
+	// minCapacity is the same for servers that share the layers of a lost one,
+	// minSoleCapacity where no other server holds these layers.
+	minCapacity     = 30
+	minSoleCapacity = 8
+	// minHolders is the number of servers in the whole site that should hold each
+	// layer.
+	minHolders = 2
 )
 
-// Plan is what Place decides.
+// Plan is the result of Place.
 type Plan struct {
 	Orders []Order
-	// Broken says that the cards of a group will not cover all layers by these
-	// orders: only another layout of the whole group may.
+	// Broken is set if the servers of a group will not cover all layers after these
+	// orders. Only placing the whole group again can then cover them.
 	Broken bool
 }
 
-// Place returns the orders that bring the cards closer to covering every layer.
-// The cards of a failure domain that can hold whole pipelines form a group, the
-// others one more: a path that leaves its failure domain is slow. Cards that
-// hold layers are left alone unless a layer of their group is in danger: loads
-// are paid for, and requests pass through them.
+// Place returns the orders that bring the servers closer to covering every layer.
+// Servers of a failure domain that can hold complete pipelines form a group, since
+// paths across failure domains are slow; all other servers form one more group.
+// Servers that hold layers get orders only if their group does not cover a layer or
+// lacks capacity: loading weights is expensive, and requests pass through them.
 //
-// patient keeps a group from being laid out anew although its cards cannot cover
-// a layer: all of them would read their weights again, and a card that crashed
-// may be back in seconds.
-func Place(e *site.Engine, cards []Card, patient bool) Plan {
-	leaving := drainingRanges(cards)
-	cards = usable(e, cards)
+// With patient, a group is not rebuilt even if its servers cannot cover a layer. A
+// rebuild loads the weights of all of them again, and a crashed server may return
+// within seconds.
+func Place(e *site.Engine, servers []Card, patient bool) Plan {
+	draining := drainingRanges(servers)
+	servers = usableServers(e, servers)
 	var p Plan
 	var rest []Card
-	for _, d := range domains(cards) {
-		if n := pipelines(e, d); n > 0 {
-			p.add(placeGroup(e, d, leaving[d[0].Server.FailureDomain], n, patient))
+	for _, d := range groupByDomain(servers) {
+		if n := pipelineCount(e, d); n > 0 {
+			p.add(placeGroup(e, d, draining[d[0].Server.FailureDomain], n, patient))
 			continue
 		}
 		rest = append(rest, d...)
 	}
-	if n := pipelines(e, rest); n > 0 {
+	if n := pipelineCount(e, rest); n > 0 {
 		p.add(placeGroup(e, rest, nil, n, patient))
 		return p
 	}
-	p.Orders = append(p.Orders, support(e, rest, cards, p.Orders)...)
+	p.Orders = append(p.Orders, placeRemaining(e, rest, servers, p.Orders)...)
 	return p
 }
 
@@ -91,11 +89,11 @@
 	p.Broken = p.Broken || o.Broken
 }
 
-// drainingRanges returns the layers of cards that are leaving, by failure domain:
-// requests still pass through them.
-func drainingRanges(cards []Card) map[string][]site.Range {
+// drainingRanges returns the layers of draining servers by failure domain. Requests
+// still pass through them.
+func drainingRanges(servers []Card) map[string][]site.Range {
 	out := map[string][]site.Range{}
-	for _, c := range cards {
+	for _, c := range servers {
 		if d := c.Server.FailureDomain; c.Server.Draining && placed(c) {
 			out[d] = append(out[d], c.Ordered)
 		}
@@ -103,9 +101,9 @@
 	return out
 }
 
-func usable(e *site.Engine, cards []Card) []Card {
+func usableServers(e *site.Engine, servers []Card) []Card {
 	var out []Card
-	for _, c := range cards {
+	for _, c := range servers {
 		if !c.Server.Draining && e.MaxLayers(c.Server.Kind) > 0 {
 			out = append(out, c)
 		}
@@ -114,29 +112,29 @@
 	return out
 }
 
-// placeGroup places n pipelines on the cards of a group.
-func placeGroup(e *site.Engine, cards []Card, leaving []site.Range, n int, patient bool) Plan {
-	if !slices.ContainsFunc(cards, placed) {
+// placeGroup places n pipelines on the servers of a group.
+func placeGroup(e *site.Engine, servers []Card, draining []site.Range, n int, patient bool) Plan {
+	if !slices.ContainsFunc(servers, placed) {
 		var orders []Order
-		for _, chain := range deal(e, cards, n) {
-			orders = append(orders, layOut(e, chain)...)
+		for _, chain := range partition(e, servers, n) {
+			orders = append(orders, placePipeline(e, chain)...)
 		}
 		return Plan{Orders: orders}
 	}
-	g := &group{e: e, cards: slices.Clone(cards), leaving: leaving, n: n}
-	g.fillHoles(empty)
-	g.extendIntoHoles()
-	g.fillHoles(g.spare)
-	g.shareHoles(patient)
-	broken := g.uncovered(site.Range{To: e.Layers})
-	if broken && !patient {
-		if anew := relayOut(e, slices.DeleteFunc(slices.Clone(cards), busy), n, len(leaving) == 0); len(anew) > 0 {
-			return Plan{Orders: anew}
+	g := &group{e: e, servers: slices.Clone(servers), draining: draining, copies: n}
+	g.assignFreeServers(empty)
+	g.extendNeighbors()
+	g.assignFreeServers(g.redundant)
+	g.shareUncovered(patient)
+	incomplete := g.hasUnheldLayer(site.Range{To: e.Layers})
+	if incomplete && !patient {
+		if rebuilt := rebuildPipelines(e, slices.DeleteFunc(slices.Clone(servers), busy), n, len(draining) == 0); len(rebuilt) > 0 {
+			return Plan{Orders: rebuilt}
 		}
 	}
-	g.useSpare()
+	g.useEmpty()
 	g.relieve()
-	return Plan{Orders: g.orders, Broken: broken}
+	return Plan{Orders: g.orders, Broken: incomplete}
 }
 
 func placed(c Card) bool { return c.Ordered.Len() > 0 }
@@ -145,29 +143,30 @@
 
 // group is the state of placing one group.
 type group struct {
-	e       *site.Engine
-	cards   []Card
-	leaving []site.Range // layers of cards that drain: requests pass through them
-	n       int          // pipelines, the number of cards on which each layer shall lie
-	atOnce  bool         // the orders that are made close a hole that stops the group
-	orders  []Order
+	e        *site.Engine
+	servers  []Card
+	draining []site.Range // layers of draining servers; requests pass through them
+	copies   int          // pipelines, the number of servers that should hold each layer
+	atOnce   bool         // new orders drop layers at once
+	orders   []Order
 }
 
-// take orders layers for a card and goes on as if it held them.
-func (g *group) take(i int, r site.Range, reason string) {
-	c := &g.cards[i]
+// assign adds an order for a server and updates its state as if the order were
+// carried out.
+func (g *group) assign(i int, r site.Range, reason string) {
+	c := &g.servers[i]
 	g.orders = append(g.orders, Order{Server: c.Server, Layers: r, AtOnce: g.atOnce, Reason: reason})
 	c.Ordered, c.Busy = r, true
 }
 
-// graceful ends orders that give layers up at once.
+// graceful makes further orders wait for requests before they drop layers.
 func (g *group) graceful() { g.atOnce = false }
 
-// holders returns on how many cards each layer lies.
+// holders returns the number of servers that hold each layer.
 func (g *group) holders() []int {
 	out := make([]int, g.e.Layers)
-	for i := range g.cards {
-		r := g.cards[i].Ordered
+	for i := range g.servers {
+		r := g.servers[i].Ordered
 		for l := max(0, r.From); l < min(g.e.Layers, r.To); l++ {
 			out[l]++
 		}
@@ -175,26 +174,28 @@
 	return out
 }
 
-// uncovered reports whether some of the layers lie on no card of the group.
-func (g *group) uncovered(layers site.Range) bool {
+// hasUnheldLayer reports whether no server of the group holds some of the layers.
+func (g *group) hasUnheldLayer(layers site.Range) bool {
 	return slices.Contains(g.holders()[layers.From:layers.To], 0)
 }
 
-// stopped reports whether no request gets through the layers of a hole: some lie on no
-// card of the group, nor on one that drains.
-func (g *group) stopped(hole site.Range) bool { return g.uncovered(hole) && !g.inUse(hole) }
+// blocked reports whether no request can pass through an uncovered range: no server
+// of the group holds some of its layers, nor does a draining one.
+func (g *group) blocked(uncovered site.Range) bool {
+	return g.hasUnheldLayer(uncovered) && !g.heldByDraining(uncovered)
+}
 
-// holes returns the ranges of layers that lie on fewer cards than there are
-// pipelines.
-func (g *group) holes() []site.Range {
+// uncoveredRanges returns the ranges of layers that are held by fewer servers than
+// there are pipelines.
+func (g *group) uncoveredRanges() []site.Range {
 	var out []site.Range
 	holders := g.holders()
 	for l := 0; l < len(holders); l++ {
-		if holders[l] >= g.n {
+		if holders[l] >= g.copies {
 			continue
 		}
 		from := l
-		for l < len(holders) && holders[l] < g.n {
+		for l < len(holders) && holders[l] < g.copies {
 			l++
 		}
 		out = append(out, site.Range{From: from, To: l})
@@ -202,128 +203,129 @@
 	return out
 }
 
-// fillHoles gives cards that are free for it to the holes. free is asked with the
-// number of cards on which each layer lies.
-func (g *group) fillHoles(free func(c Card, holders []int) bool) {
+// assignFreeServers assigns uncovered ranges to servers for which free is true.
+// holders is the number of servers that hold each layer.
+func (g *group) assignFreeServers(free func(c Card, holders []int) bool) {
 	defer g.graceful()
-	for _, hole := range g.holes() {
-		g.atOnce = g.stopped(hole)
-		for hole.Len() > 0 {
-			i := g.freeCard(hole, free)
+	for _, uncovered := range g.uncoveredRanges() {
+		g.atOnce = g.blocked(uncovered)
+		for uncovered.Len() > 0 {
+			i := g.freeServer(uncovered, free)
 			if i < 0 {
 				break
 			}
-			r := around(hole, g.sizeFor(g.cards[i], hole), g.e.Layers)
-			g.take(i, r, fmt.Sprintf("layers %d-%d lie on too few cards", hole.From, hole.To))
-			hole.From = r.To
+			r := rangeAround(uncovered, g.sizeFor(g.servers[i], uncovered), g.e.Layers)
+			g.assign(i, r, fmt.Sprintf("layers %d-%d are held by too few backend servers", uncovered.From, uncovered.To))
+			uncovered.From = r.To
 		}
 	}
 }
 
-// sizeFor returns how many layers a card takes for a hole: as many as leave it
-// the room of a whole pipeline, more only if the hole is larger.
-func (g *group) sizeFor(c Card, hole site.Range) int {
+// sizeFor returns how many layers a server takes for an uncovered range: as many as
+// leave memory for requests in all slots, and more only if the range is larger.
+func (g *group) sizeFor(c Card, uncovered site.Range) int {
 	full := fit(g.e, []Card{c}, float64(max(1, g.e.Slots)))[0]
-	return max(1, full, min(hole.Len(), g.fits(c)))
+	return max(1, full, min(uncovered.Len(), g.layersWithHeadroom(c)))
 }
 
-// around returns n layers that begin with a hole, or lie around it if it is
-// smaller: a card that holds more than the hole is a substitute for its
-// neighbours.
-func around(hole site.Range, n, layers int) site.Range {
-	from := hole.From
-	if n > hole.Len() {
-		from = max(0, hole.From-(n-hole.Len())/2)
+// rangeAround returns n layers that begin with the uncovered range, or surround it if
+// it is smaller. A server that holds more than the range can substitute for its
+// neighbors.
+func rangeAround(uncovered site.Range, n, layers int) site.Range {
+	from := uncovered.From
+	if n > uncovered.Len() {
+		from = max(0, uncovered.From-(n-uncovered.Len())/2)
 	}
 	from = max(0, min(from, layers-n))
 	return site.Range{From: from, To: min(layers, from+n)}
 }
 
-// fits returns how many layers a card takes beside a fair room for requests.
-func (g *group) fits(c Card) int {
-	n := fit(g.e, []Card{c}, fairRoom)[0]
+// layersWithHeadroom returns how many layers a server can take with memory for
+// fillCapacity requests, at least one.
+func (g *group) layersWithHeadroom(c Card) int {
+	n := fit(g.e, []Card{c}, fillCapacity)[0]
 	return max(1, min(n, g.e.MaxLayers(c.Server.Kind)))
 }
 
-// freeCard returns the free card that suits a hole best: the smallest that covers
-// it, else the largest; -1 for none.
-func (g *group) freeCard(hole site.Range, free func(Card, []int) bool) int {
+// freeServer returns the free server that fits an uncovered range best: the smallest
+// that covers it, else the largest; -1 for none.
+func (g *group) freeServer(uncovered site.Range, free func(Card, []int) bool) int {
 	best := -1
 	holders := g.holders()
-	for i := range g.cards {
-		c := g.cards[i]
-		if c.Busy || !free(c, holders) || placed(c) && g.inUse(hole) {
+	for i := range g.servers {
+		c := g.servers[i]
+		if c.Busy || !free(c, holders) || placed(c) && g.heldByDraining(uncovered) {
 			continue
 		}
-		if best < 0 || suits(g.fits(c), g.fits(g.cards[best]), hole.Len()) {
+		if best < 0 || fitsBetter(g.layersWithHeadroom(c), g.layersWithHeadroom(g.servers[best]), uncovered.Len()) {
 			best = i
 		}
 	}
 	return best
 }
 
-func suits(a, b, want int) bool {
+func fitsBetter(a, b, want int) bool {
 	if a >= want && b >= want {
 		return a < b
 	}
 	return a > b
 }
 
-// empty reports whether a card holds no layers.
+// empty reports whether a server holds no layers.
 func empty(c Card, _ []int) bool { return !placed(c) }
 
-// spare reports whether all layers of a card lie on enough other cards.
-func (g *group) spare(c Card, holders []int) bool {
+// redundant reports whether enough other servers hold all layers of a server.
+func (g *group) redundant(c Card, holders []int) bool {
 	if !placed(c) {
 		return false
 	}
 	for l := max(0, c.Ordered.From); l < min(g.e.Layers, c.Ordered.To); l++ {
-		if holders[l] <= g.n {
+		if holders[l] <= g.copies {
 			return false
 		}
 	}
 	return true
 }
 
-// useSpare gives the cards that are still empty to the layers with the least
-// room for requests.
-func (g *group) useSpare() {
-	for i := range g.cards {
-		c := g.cards[i]
+// useEmpty assigns the remaining empty servers to the layers with the lowest
+// capacity.
+func (g *group) useEmpty() {
+	for i := range g.servers {
+		c := g.servers[i]
 		if placed(c) || c.Busy || c.Fresh {
 			continue
 		}
-		if r := leastRoomWindow(g.e, c, coverage(g.e, g.cards)); r.Len() > 0 {
-			g.take(i, r, "least room for requests in these layers")
+		if r := lowestCapacityWindow(g.e, c, capacityByLayer(g.e, g.servers)); r.Len() > 0 {
+			g.assign(i, r, "lowest capacity for requests in these layers")
 		}
 	}
 }
 
-// support uses cards that hold no pipeline by themselves: they take the layers
-// that lie on the fewest cards of the site.
-func support(e *site.Engine, rest, all []Card, orders []Order) []Order {
-	g := &group{e: e, cards: slices.Clone(all), n: minCover}
+// placeRemaining assigns servers that cannot hold a pipeline by themselves to the
+// layers that the fewest servers of the site hold.
+func placeRemaining(e *site.Engine, rest, all []Card, orders []Order) []Order {
+	g := &group{e: e, servers: slices.Clone(all), copies: minHolders}
 	for _, o := range orders {
-		for i := range g.cards {
-			if g.cards[i].Server.ID == o.Server.ID {
-				g.cards[i].Ordered, g.cards[i].Busy = o.Layers, true
+		for i := range g.servers {
+			if g.servers[i].Server.ID == o.Server.ID {
+				g.servers[i].Ordered, g.servers[i].Busy = o.Layers, true
 			}
 		}
 	}
 	inRest := func(c Card) bool {
 		return slices.ContainsFunc(rest, func(r Card) bool { return r.Server.ID == c.Server.ID })
 	}
-	for i := range g.cards {
-		if !inRest(g.cards[i]) {
-			g.cards[i].Busy = true // belongs to its group
+	for i := range g.servers {
+		if !inRest(g.servers[i]) {
+			g.servers[i].Busy = true // placed with its own group
 		}
 	}
 	if len(rest) == len(all) {
-		g.n = 1
+		g.copies = 1
 	}
-	g.fillHoles(empty)
-	g.fillHoles(g.spare)
-	g.shareHoles(false)
-	g.useSpare()
+	g.assignFreeServers(empty)
+	g.assignFreeServers(g.redundant)
+	g.shareUncovered(false)
+	g.useEmpty()
 	return g.orders
 }
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -13,8 +13,8 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// testEngine is a model of 80 layers on four kinds of cards; a large, a middling
-// and two small ones of which one is slow.
+// testEngine is a model of 80 layers on four kinds of servers: a large, a medium and
+// two small ones, of which one has less memory.
 func testEngine() *site.Engine {
 	return &site.Engine{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 590000, StepMS: 0.85, PerRequestMS: 0.00382,
@@ -30,19 +30,19 @@
 	}
 }
 
-// card returns an empty card.
-func card(id, domain, kind string) Card {
+// newServer returns an empty server.
+func newServer(id, domain, kind string) Card {
 	s := &site.BackendServer{ID: id, Address: id, FailureDomain: domain, Kind: kind, Slots: 192}
 	return Card{Server: s}
 }
 
-// siteCards returns cards of three failure domains, each of which can hold the
-// model once.
-func siteCards() []Card {
+// siteServers returns the servers of three failure domains, each of which can hold
+// the model once.
+func siteServers() []Card {
 	var out []Card
 	add := func(domain, kind string, n int) {
 		for range n {
-			out = append(out, card(fmt.Sprintf("%s-%02d", domain, len(out)), domain, kind))
+			out = append(out, newServer(fmt.Sprintf("%s-%02d", domain, len(out)), domain, kind))
 		}
 	}
 	add("a", "middle", 2)
@@ -58,36 +58,37 @@
 	return out
 }
 
-// settle carries orders out and places again until nothing is left to do.
-func settle(t require.TestingT, e *site.Engine, cards []Card) (loads int) {
+// placeUntilStable carries out orders and repeats the placement until it gives none.
+// It returns the number of orders.
+func placeUntilStable(t require.TestingT, e *site.Engine, servers []Card) (loads int) {
 	for range 20 {
-		orders := Place(e, cards, false).Orders
+		orders := Place(e, servers, false).Orders
 		if len(orders) == 0 {
 			return loads
 		}
 		seen := map[string]bool{}
 		for _, o := range orders {
-			require.False(t, seen[o.Server.ID], "two orders at once for one card")
+			require.False(t, seen[o.Server.ID], "two orders at once for one server")
 			seen[o.Server.ID] = true
-			require.LessOrEqual(t, o.Layers.Len(), e.MaxLayers(o.Server.Kind), "more than the card holds")
+			require.LessOrEqual(t, o.Layers.Len(), e.MaxLayers(o.Server.Kind), "more layers than fit on the server")
 			require.GreaterOrEqual(t, o.Layers.From, 0)
 			require.LessOrEqual(t, o.Layers.To, e.Layers)
 			require.Positive(t, o.Layers.Len())
-			i := slices.IndexFunc(cards, func(c Card) bool { return c.Server.ID == o.Server.ID })
-			require.NotEqual(t, cards[i].Ordered, o.Layers, "an order that changes nothing")
-			s := *cards[i].Server
+			i := slices.IndexFunc(servers, func(c Card) bool { return c.Server.ID == o.Server.ID })
+			require.NotEqual(t, servers[i].Ordered, o.Layers, "order without a change")
+			s := *servers[i].Server
 			s.Held = o.Layers
-			cards[i] = Card{Server: &s, Ordered: o.Layers}
+			servers[i] = Card{Server: &s, Ordered: o.Layers}
 			loads++
 		}
 	}
-	require.Fail(t, "placement does not come to rest")
+	require.Fail(t, "placement does not converge")
 	return loads
 }
 
-func holdersOf(e *site.Engine, cards []Card, domain string) []int {
+func holdersOf(e *site.Engine, servers []Card, domain string) []int {
 	out := make([]int, e.Layers)
-	for _, c := range cards {
+	for _, c := range servers {
 		if domain != "" && c.Server.FailureDomain != domain {
 			continue
 		}
@@ -99,219 +100,219 @@
 }
 
 func TestFirstPlacementCoversEveryFailureDomain(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
 	for _, d := range []string{"a", "b", "c"} {
-		require.Equal(t, 1, slices.Min(holdersOf(e, cards, d)), d)
+		require.Equal(t, 1, slices.Min(holdersOf(e, servers, d)), d)
 	}
-	for _, c := range cards {
+	for _, c := range servers {
 		require.GreaterOrEqual(t, e.KVRoom(c.Server.Kind, c.Ordered.Len())/Usual(e).Mean()/float64(max(1, c.Ordered.Len())), 100.0,
-			"%s with %d layers has little room for requests", c.Server.Kind, c.Ordered.Len())
+			"%s with %d layers has little capacity for requests", c.Server.Kind, c.Ordered.Len())
 	}
 }
 
-func TestLostCardIsReplacedByItsNeighbours(t *testing.T) {
+func TestLostServerIsReplacedByNeighbors(t *testing.T) {
 	e := testEngine()
-	for lost := range siteCards() {
-		cards := siteCards()
-		settle(t, e, cards)
-		domain := cards[lost].Server.FailureDomain
-		cards = slices.Delete(cards, lost, lost+1)
-		loads := settle(t, e, cards)
-		require.Equal(t, 1, slices.Min(holdersOf(e, cards, domain)), "card %d", lost)
-		require.LessOrEqual(t, loads, 14, "card %d", lost)
+	for lost := range siteServers() {
+		servers := siteServers()
+		placeUntilStable(t, e, servers)
+		domain := servers[lost].Server.FailureDomain
+		servers = slices.Delete(servers, lost, lost+1)
+		loads := placeUntilStable(t, e, servers)
+		require.Equal(t, 1, slices.Min(holdersOf(e, servers, domain)), "server %d", lost)
+		require.LessOrEqual(t, loads, 14, "server %d", lost)
 	}
 }
 
-// The cards that are left share the layers of a lost one evenly: two neighbours
-// that took them alone had room for seven requests beside their weights.
-func TestLostCardLeavesRoomForRequests(t *testing.T) {
+// The remaining servers share the layers of a lost one evenly. Guards against two
+// neighbors taking all of them with no memory left for requests.
+func TestLostServerLeavesCapacity(t *testing.T) {
 	e := testEngine()
-	for lost := range siteCards() {
-		cards := siteCards()
-		settle(t, e, cards)
-		domain := cards[lost].Server.FailureDomain
-		cards = slices.Delete(cards, lost, lost+1)
-		settle(t, e, cards)
-		left := slices.DeleteFunc(cards, func(c Card) bool { return c.Server.FailureDomain != domain })
-		require.GreaterOrEqual(t, BoundOf(e, left).Requests, 60, "card %d", lost)
+	for lost := range siteServers() {
+		servers := siteServers()
+		placeUntilStable(t, e, servers)
+		domain := servers[lost].Server.FailureDomain
+		servers = slices.Delete(servers, lost, lost+1)
+		placeUntilStable(t, e, servers)
+		left := slices.DeleteFunc(servers, func(c Card) bool { return c.Server.FailureDomain != domain })
+		require.GreaterOrEqual(t, BoundOf(e, left).Requests, 60, "server %d", lost)
 	}
 }
 
-// crippled returns the cards of the site without a large one, nor those of its failure
-// domain whose layers lie on others and which could take its layers.
-func crippled(t *testing.T, e *site.Engine) (cards []Card, domain string) {
-	cards = siteCards()
-	settle(t, e, cards)
-	lost := slices.IndexFunc(cards, func(c Card) bool { return c.Server.Kind == "large" })
-	domain = cards[lost].Server.FailureDomain
-	holders := holdersOf(e, cards, domain)
-	needless := func(c Card) bool {
+// withoutLargeServer returns the servers of the site without a large one, and without
+// the redundant servers of its failure domain, which could take its layers.
+func withoutLargeServer(t *testing.T, e *site.Engine) (servers []Card, domain string) {
+	servers = siteServers()
+	placeUntilStable(t, e, servers)
+	lost := slices.IndexFunc(servers, func(c Card) bool { return c.Server.Kind == "large" })
+	domain = servers[lost].Server.FailureDomain
+	holders := holdersOf(e, servers, domain)
+	isRedundant := func(c Card) bool {
 		return c.Server.FailureDomain == domain && slices.Min(holders[c.Ordered.From:c.Ordered.To]) > 1
 	}
-	cards = slices.Delete(cards, lost, lost+1)
-	return slices.DeleteFunc(cards, needless), domain
+	servers = slices.Delete(servers, lost, lost+1)
+	return slices.DeleteFunc(servers, isRedundant), domain
 }
 
-// While a layer lies nowhere in a domain no request gets through it, and cards that
-// share the layers drop what they give up at once: waiting for the requests on it
-// kept the domain out of service for 3 to 11 s, against 1 s.
-func TestLayersAreDroppedAtOnceWhereNoRequestGetsThrough(t *testing.T) {
+// While no server of a domain holds a layer, no request can pass, so servers drop
+// layers without waiting. Guards against a longer outage of the domain.
+func TestLayersAreDroppedAtOnceWhenNoRequestCanPass(t *testing.T) {
 	e := testEngine()
-	cards, domain := crippled(t, e)
-	orders := Place(e, cards, false).Orders
-	givenUp := 0
+	servers, domain := withoutLargeServer(t, e)
+	orders := Place(e, servers, false).Orders
+	dropping := 0
 	for _, o := range orders {
 		require.Equal(t, domain, o.Server.FailureDomain)
-		if held := cards[slices.IndexFunc(cards, func(c Card) bool { return c.Server.ID == o.Server.ID })].Ordered; held.Overlap(o.Layers) < held.Len() {
-			givenUp++
-			require.True(t, o.AtOnce, "%s gives up some of %v for %v", o.Server.ID, held, o.Layers)
+		if held := servers[slices.IndexFunc(servers, func(c Card) bool { return c.Server.ID == o.Server.ID })].Ordered; held.Overlap(o.Layers) < held.Len() {
+			dropping++
+			require.True(t, o.AtOnce, "%s drops some of %v for %v", o.Server.ID, held, o.Layers)
 		}
 	}
-	require.Positive(t, givenUp)
+	require.Positive(t, dropping)
 }
 
-// Cards that were crowded while others were busy get room once those are not.
-func TestCrowdedCardIsRelieved(t *testing.T) {
+// A server that took many layers while others were busy gets capacity once they are
+// not.
+func TestConstrainedServerIsRelieved(t *testing.T) {
 	e := testEngine()
-	cards := siteCards()[:13]
-	settle(t, e, cards)
-	last := slices.MaxFunc(cards, func(a, b Card) int { return a.Ordered.To - b.Ordered.To })
-	at := slices.IndexFunc(cards, func(c Card) bool { return c.Ordered.To == last.Ordered.From })
-	cards = slices.DeleteFunc(cards, func(c Card) bool { return c.Server.ID == last.Server.ID })
-	crowded := *cards[at].Server
-	crowded.Held.To = e.Layers
-	cards[at] = Card{Server: &crowded, Ordered: crowded.Held}
-	require.Less(t, BoundOf(e, cards).Requests, 10)
-	for _, o := range Place(e, cards, false).Orders {
-		require.False(t, o.AtOnce, "requests get through the crowded card")
+	servers := siteServers()[:13]
+	placeUntilStable(t, e, servers)
+	last := slices.MaxFunc(servers, func(a, b Card) int { return a.Ordered.To - b.Ordered.To })
+	at := slices.IndexFunc(servers, func(c Card) bool { return c.Ordered.To == last.Ordered.From })
+	servers = slices.DeleteFunc(servers, func(c Card) bool { return c.Server.ID == last.Server.ID })
+	constrained := *servers[at].Server
+	constrained.Held.To = e.Layers
+	servers[at] = Card{Server: &constrained, Ordered: constrained.Held}
+	require.Less(t, BoundOf(e, servers).Requests, 10)
+	for _, o := range Place(e, servers, false).Orders {
+		require.False(t, o.AtOnce, "requests pass through the constrained server")
 	}
-	loads := settle(t, e, cards)
-	require.GreaterOrEqual(t, BoundOf(e, cards).Requests, 90)
+	loads := placeUntilStable(t, e, servers)
+	require.GreaterOrEqual(t, BoundOf(e, servers).Requests, 90)
 	require.LessOrEqual(t, loads, 6)
 }
 
-// In a rolling replacement the new card comes before the old one drains: it is
-// kept for the layers of that one, which it then takes alone.
-func TestReplacementTakesTheLayersOfTheCardThatLeaves(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
-	fresh := card("a-new", "a", "small")
+// In a rolling replacement the new server registers before the old one drains. It is
+// reserved for the layers of the old one.
+func TestReplacementTakesLayersOfDrainingServer(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
+	fresh := newServer("a-new", "a", "small")
 	fresh.Fresh = true
-	cards = append(cards, fresh)
-	require.Empty(t, Place(e, cards, true).Orders)
-	old := slices.IndexFunc(cards, func(c Card) bool { return c.Server.FailureDomain == "a" && c.Server.Kind == "small" })
-	leaving := *cards[old].Server
-	leaving.Draining = true
-	cards[old].Server = &leaving
-	orders := Place(e, cards, true).Orders
+	servers = append(servers, fresh)
+	require.Empty(t, Place(e, servers, true).Orders)
+	old := slices.IndexFunc(servers, func(c Card) bool { return c.Server.FailureDomain == "a" && c.Server.Kind == "small" })
+	draining := *servers[old].Server
+	draining.Draining = true
+	servers[old].Server = &draining
+	orders := Place(e, servers, true).Orders
 	require.Len(t, orders, 1)
 	require.Equal(t, "a-new", orders[0].Server.ID)
-	require.Equal(t, cards[old].Ordered, orders[0].Layers)
-	cards[old] = cards[len(cards)-1]
-	cards[old].Fresh = false
-	settle(t, e, cards[:len(cards)-1])
+	require.Equal(t, servers[old].Ordered, orders[0].Layers)
+	servers[old] = servers[len(servers)-1]
+	servers[old].Fresh = false
+	placeUntilStable(t, e, servers[:len(servers)-1])
 }
 
-// Requests still pass through the layers of a card that drains: those around it
-// may take them over, but give none of their own up.
-func TestNoLayersAreGivenUpForACardThatDrains(t *testing.T) {
-	for at := range siteCards() {
-		e, cards := testEngine(), siteCards()
-		settle(t, e, cards)
-		leaving := *cards[at].Server
-		leaving.Draining = true
-		cards[at].Server = &leaving
-		for _, o := range Place(e, cards, true).Orders {
+// Requests still pass through a draining server. Its neighbors may take over its
+// layers but drop none of their own.
+func TestNoLayersAreDroppedForDrainingServer(t *testing.T) {
+	for at := range siteServers() {
+		e, servers := testEngine(), siteServers()
+		placeUntilStable(t, e, servers)
+		draining := *servers[at].Server
+		draining.Draining = true
+		servers[at].Server = &draining
+		for _, o := range Place(e, servers, true).Orders {
 			held := o.Server.Held
-			require.Equal(t, held.Len(), held.Overlap(o.Layers), "%s %s gives up some of %v for %v", cards[at].Server.ID, o.Server.ID, held, o.Layers)
+			require.Equal(t, held.Len(), held.Overlap(o.Layers), "%s: %s drops some of %v for %v", servers[at].Server.ID, o.Server.ID, held, o.Layers)
 		}
 	}
 }
 
-func TestReturningEmptyCardGetsWork(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
-	cards[3] = card("a-new", "a", "small")
-	settle(t, e, cards)
-	require.Positive(t, cards[3].Ordered.Len())
-	require.Equal(t, 1, slices.Min(holdersOf(e, cards, "a")))
+func TestReturningEmptyServerGetsLayers(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
+	servers[3] = newServer("a-new", "a", "small")
+	placeUntilStable(t, e, servers)
+	require.Positive(t, servers[3].Ordered.Len())
+	require.Equal(t, 1, slices.Min(holdersOf(e, servers, "a")))
 }
 
-func TestGroupIsNotLaidOutAnewWhileACardMayComeBack(t *testing.T) {
+func TestGroupIsNotRebuiltWhileServerMayReturn(t *testing.T) {
 	e := testEngine()
-	cards, domain := crippled(t, e)
-	left := slices.DeleteFunc(slices.Clone(cards), func(c Card) bool { return c.Server.FailureDomain != domain })
-	plan, anew := Place(e, cards, true), Place(e, cards, false).Orders
+	servers, domain := withoutLargeServer(t, e)
+	left := slices.DeleteFunc(slices.Clone(servers), func(c Card) bool { return c.Server.FailureDomain != domain })
+	plan, rebuilt := Place(e, servers, true), Place(e, servers, false).Orders
 	require.True(t, plan.Broken)
-	require.Less(t, len(plan.Orders), len(anew))
-	require.GreaterOrEqual(t, len(anew), len(left)-1, "all cards of the domain but one that may stay as it is")
+	require.Less(t, len(plan.Orders), len(rebuilt))
+	require.GreaterOrEqual(t, len(rebuilt), len(left)-1, "all servers of the domain but at most one that keeps its layers")
 }
 
-// A group that is laid out anew while a card still drains disturbs no request on it.
-func TestGroupIsLaidOutAnewGracefullyWhileACardDrains(t *testing.T) {
+// A rebuild while a server drains does not interrupt requests on it.
+func TestGroupIsRebuiltGracefullyWhileServerDrains(t *testing.T) {
 	e := testEngine()
-	cards, domain := crippled(t, e)
-	leaving := card("leaving", domain, "large")
-	server := *leaving.Server
+	servers, domain := withoutLargeServer(t, e)
+	draining := newServer("leaving", domain, "large")
+	server := *draining.Server
 	server.Draining, server.Held = true, site.Range{To: 24}
-	orders := Place(e, append(cards, Card{Server: &server, Ordered: server.Held}), false).Orders
+	orders := Place(e, append(servers, Card{Server: &server, Ordered: server.Held}), false).Orders
 	require.NotEmpty(t, orders)
 	for _, o := range orders {
 		require.False(t, o.AtOnce, "%s drops layers for %v", o.Server.ID, o.Layers)
 	}
 }
 
-func TestBusyCardsAreLeftAlone(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
-	cards = slices.Delete(cards, 4, 5)
-	for i := range cards {
-		cards[i].Busy = true
+func TestBusyServersGetNoOrders(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
+	servers = slices.Delete(servers, 4, 5)
+	for i := range servers {
+		servers[i].Busy = true
 	}
-	require.Empty(t, Place(e, cards, false).Orders)
+	require.Empty(t, Place(e, servers, false).Orders)
 }
 
-func TestDrainingCardsDoNotCount(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
-	leaving := *cards[4].Server
-	leaving.Draining = true
-	cards[4].Server = &leaving
-	orders := Place(e, cards, false).Orders
+func TestDrainingServersAreNotUsed(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
+	draining := *servers[4].Server
+	draining.Draining = true
+	servers[4].Server = &draining
+	orders := Place(e, servers, false).Orders
 	require.NotEmpty(t, orders)
-	require.False(t, slices.ContainsFunc(orders, func(o Order) bool { return o.Server.ID == leaving.ID }))
+	require.False(t, slices.ContainsFunc(orders, func(o Order) bool { return o.Server.ID == draining.ID }))
 }
 
-func TestPlacementOfAnyCardsComesToRest(t *testing.T) {
+func TestPlacementConverges(t *testing.T) {
 	e := testEngine()
 	kinds := []string{"large", "middle", "small", "least"}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "cards")
-		cards := make([]Card, n)
+		servers := make([]Card, n)
 		memory := 0
-		for i := range cards {
-			cards[i] = card(fmt.Sprintf("c-%02d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), rapid.SampledFrom(kinds).Draw(t, "kind"))
-			memory += e.MaxLayers(cards[i].Server.Kind)
+		for i := range servers {
+			servers[i] = newServer(fmt.Sprintf("c-%02d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), rapid.SampledFrom(kinds).Draw(t, "kind"))
+			memory += e.MaxLayers(servers[i].Server.Kind)
 		}
-		settle(t, e, cards)
+		placeUntilStable(t, e, servers)
 		for range rapid.IntRange(0, 4).Draw(t, "losses") {
-			if len(cards) > 1 {
-				i := rapid.IntRange(0, len(cards)-1).Draw(t, "lost")
-				memory -= e.MaxLayers(cards[i].Server.Kind)
-				cards = slices.Delete(cards, i, i+1)
-				settle(t, e, cards)
+			if len(servers) > 1 {
+				i := rapid.IntRange(0, len(servers)-1).Draw(t, "lost")
+				memory -= e.MaxLayers(servers[i].Server.Kind)
+				servers = slices.Delete(servers, i, i+1)
+				placeUntilStable(t, e, servers)
 			}
 		}
 		if memory >= 3*e.Layers {
-			require.Positive(t, slices.Min(holdersOf(e, cards, "")), "enough memory, and yet a layer lies nowhere")
+			require.Positive(t, slices.Min(holdersOf(e, servers, "")), "no server holds a layer although memory suffices")
 		}
 	})
 }
 
-func candidates(cards []Card) []Candidate {
-	out := make([]Candidate, 0, len(cards))
-	for _, c := range cards {
+func candidates(servers []Card) []Candidate {
+	out := make([]Candidate, 0, len(servers))
+	for _, c := range servers {
 		out = append(out, Candidate{Server: c.Server})
 	}
 	return out
@@ -322,10 +323,10 @@
 }
 
 func TestPathsTileTheLayersAndStayInTheirDomain(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
 	for _, near := range []string{"a", "b", "c"} {
-		c, err := Choose(query(e, near), candidates(cards), nil)
+		c, err := Choose(query(e, near), candidates(servers), nil)
 		require.NoError(t, err)
 		require.NoError(t, c.Path.CheckTiling(e.Layers))
 		for _, h := range c.Path {
@@ -334,14 +335,14 @@
 	}
 }
 
-func TestPathGoesRoundAHoleAndKeepsTheRest(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
+func TestPathAvoidsLostServerAndKeepsOtherHops(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
 	q := query(e, "a")
-	c, err := Choose(q, candidates(cards), nil)
+	c, err := Choose(q, candidates(servers), nil)
 	require.NoError(t, err)
 	lost := c.Path[2].Server
-	left := slices.DeleteFunc(candidates(cards), func(x Candidate) bool { return x.Server.ID == lost.ID })
+	left := slices.DeleteFunc(candidates(servers), func(x Candidate) bool { return x.Server.ID == lost.ID })
 	q.Head, q.HeadLayers = c.Path[0].Server, c.Path[0].Layers
 	q.Keep = map[string]site.Range{}
 	for _, h := range c.Path {
@@ -361,12 +362,12 @@
 	require.GreaterOrEqual(t, kept, len(c.Path)-3)
 }
 
-func TestNoPathAndFullPathsAreToldApart(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	_, err := Choose(query(e, "a"), candidates(cards), nil)
+func TestNoPathAndFullPathsAreDistinguished(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	_, err := Choose(query(e, "a"), candidates(servers), nil)
 	require.ErrorIs(t, err, ErrNoPath)
-	settle(t, e, cards)
-	cs := candidates(cards)
+	placeUntilStable(t, e, servers)
+	cs := candidates(servers)
 	for i := range cs {
 		cs[i].Load.KVUsed = 1e12
 	}
@@ -374,38 +375,37 @@
 	require.ErrorIs(t, err, ErrFull)
 }
 
-func TestRequestsSpreadWhenAllSeeTheSameLoads(t *testing.T) {
+func TestRequestsSpreadWithIdenticalLoads(t *testing.T) {
 	e := testEngine()
-	var cards []Card
+	var servers []Card
 	for i := range 2 {
-		cards = append(cards, siteCards()...)
-		for j := range siteCards() {
-			c := &cards[i*len(siteCards())+j]
+		servers = append(servers, siteServers()...)
+		for j := range siteServers() {
+			c := &servers[i*len(siteServers())+j]
 			c.Server.ID = fmt.Sprintf("%d-%s", i, c.Server.ID)
 			c.Server.Address = c.Server.ID
 		}
 	}
-	settle(t, e, cards)
+	placeUntilStable(t, e, servers)
 	heads := map[string]int{}
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		q := query(e, "a")
 		q.Jitter = 0.6
-		c, err := Choose(q, candidates(cards), r)
+		c, err := Choose(q, candidates(servers), r)
 		require.NoError(t, err)
 		heads[c.Path[0].Server.ID]++
 	}
 	for id, n := range heads {
-		require.Less(t, n, 240, "%s takes nearly all", id)
+		require.Less(t, n, 240, "%s is the head of nearly all requests", id)
 	}
 }
 
-// A record that tells of layers which the model does not have is of no use, and
-// does no harm.
-func TestCardsBeyondTheModelAreIgnored(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	settle(t, e, cards)
-	cs := candidates(cards)
+// Records with layers outside the model are ignored.
+func TestServersWithLayersBeyondTheModelAreIgnored(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	placeUntilStable(t, e, servers)
+	cs := candidates(servers)
 	for _, held := range []site.Range{{From: 0, To: e.Layers + 9}, {From: 4, To: e.Layers + 1}, {From: -3, To: 2}, {From: e.Layers, To: e.Layers + 5}} {
 		cs = append(cs, Candidate{Server: &site.BackendServer{ID: "odd", Address: "odd:1", FailureDomain: "a", Kind: "large", Held: held}})
 	}
@@ -417,30 +417,31 @@
 	q.Head, q.HeadLayers = cs[len(cs)-4].Server, site.Range{From: 0, To: e.Layers + 9}
 	_, err = Choose(q, cs, nil)
 	require.ErrorIs(t, err, ErrNoPath)
-	require.Zero(t, BoundOf(&site.Engine{}, cards))
+	require.Zero(t, BoundOf(&site.Engine{}, servers))
 }
 
-func TestBoundNamesTheLayersThatBind(t *testing.T) {
-	e, cards := testEngine(), siteCards()
-	require.Zero(t, BoundOf(e, cards).Requests)
-	settle(t, e, cards)
-	whole := BoundOf(e, cards)
-	require.Greater(t, whole.Requests, 100)
-	lost := cards[3].Ordered
-	less := BoundOf(e, slices.Delete(slices.Clone(cards), 3, 4))
-	require.Less(t, less.Requests, whole.Requests)
-	require.GreaterOrEqual(t, less.Layers.From, lost.From)
-	require.LessOrEqual(t, less.Layers.To, lost.To)
+func TestBoundNamesLimitingLayers(t *testing.T) {
+	e, servers := testEngine(), siteServers()
+	require.Zero(t, BoundOf(e, servers).Requests)
+	placeUntilStable(t, e, servers)
+	complete := BoundOf(e, servers)
+	require.Greater(t, complete.Requests, 100)
+	lost := servers[3].Ordered
+	reduced := BoundOf(e, slices.Delete(slices.Clone(servers), 3, 4))
+	require.Less(t, reduced.Requests, complete.Requests)
+	require.GreaterOrEqual(t, reduced.Layers.From, lost.From)
+	require.LessOrEqual(t, reduced.Layers.To, lost.To)
 }
 
-// BenchmarkChoose picks a path at the size of a site and at 77 times that.
+// BenchmarkChoose chooses a path among the servers of one site and among 77 times as
+// many.
 func BenchmarkChoose(b *testing.B) {
 	for _, copies := range []int{1, 77} {
-		e, cards := testEngine(), siteCards()
-		settle(b, e, cards)
+		e, servers := testEngine(), siteServers()
+		placeUntilStable(b, e, servers)
 		var cs []Candidate
 		for n := range copies {
-			for _, c := range candidates(cards) {
+			for _, c := range candidates(servers) {
 				s := *c.Server
 				s.ID, s.Address = fmt.Sprint(s.ID, "-", n), fmt.Sprint(s.Address, "-", n)
 				cs = append(cs, Candidate{Server: &s})
@@ -459,20 +460,21 @@
 	}
 }
 
-// BenchmarkPlace closes a hole at the size of a site and at 77 times that.
+// BenchmarkPlace assigns an uncovered range at the size of one site and at 77 times
+// that.
 func BenchmarkPlace(b *testing.B) {
 	for _, copies := range []int{1, 77} {
 		e := testEngine()
-		var cards []Card
+		var servers []Card
 		for n := range copies {
-			for _, c := range siteCards() {
+			for _, c := range siteServers() {
 				s := *c.Server
 				s.ID, s.Address = fmt.Sprint(s.ID, "-", n), fmt.Sprint(s.Address, "-", n)
-				cards = append(cards, Card{Server: &s})
+				servers = append(servers, Card{Server: &s})
 			}
 		}
-		settle(b, e, cards)
-		lost := slices.Delete(slices.Clone(cards), 5, 9)
+		placeUntilStable(b, e, servers)
+		lost := slices.Delete(slices.Clone(servers), 5, 9)
 		b.Run(fmt.Sprintf("cards=%d", len(lost)), func(b *testing.B) {
 			for b.Loop() {
 				Place(e, lost, true)
--- a/pipeline/search.go
+++ b/pipeline/search.go
@@ -6,29 +6,30 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// node is a hop on a way through the layers.
+// node is a hop of a partial path.
 type node struct {
 	cost float64
-	prev int        // position in nodes, -1 for none
+	prev int        // index in nodes, -1 for none
 	run  site.Range // layers that the hop runs
 	cand int
 }
 
-// frontier holds the cheapest way to each layer for each failure domain that it
-// may end in: what follows depends on the past only by the domain.
+// frontier holds the cheapest partial path to each layer, for each failure domain of
+// the last hop. The cost of the remaining hops depends on the previous ones only
+// through that domain.
 type frontier struct {
-	cs    []Candidate
-	nodes []node
-	ends  [][]int // layer reached -> nodes, one a failure domain
-	tos   []int   // reused by extend
+	cs     []Candidate
+	nodes  []node
+	ends   [][]int // layer reached -> nodes, one per failure domain
+	endBuf []int   // reused by extend
 }
 
 func newFrontier(cs []Candidate, layers int) *frontier {
 	return &frontier{cs: cs, ends: make([][]int, layers+1)}
 }
 
-// add takes a hop if it is the cheapest way so far to where it ends. One that
-// runs layers which the model does not have leads nowhere.
+// add keeps a node if it is the cheapest so far for its last layer and failure
+// domain. Nodes with layers outside the model are ignored.
 func (f *frontier) add(n node) {
 	if n.run.From < 0 || n.run.To >= len(f.ends) {
 		return
@@ -49,7 +50,7 @@
 	f.ends[n.run.To] = append(ends, len(f.nodes)-1)
 }
 
-// best returns the cheapest way through all layers, or -1.
+// best returns the cheapest path through all layers, -1 for none.
 func (f *frontier) best() int {
 	best := -1
 	for _, id := range f.ends[len(f.ends)-1] {
@@ -60,55 +61,56 @@
 	return best
 }
 
-// search finds the cheapest way to run all layers, layer by layer.
+// search finds the cheapest path through all layers, layer by layer. steps is nil if
+// there is none.
 func search(q *Query, cs []Candidate, hops []hopCost) (steps []step, cost float64) {
 	layers := q.Engine.Layers
 	f := newFrontier(cs, layers)
-	first(q, cs, hops, f.add)
-	stops := keptStarts(q)
+	addFirstHops(q, cs, hops, f.add)
+	starts := keptStarts(q)
 	holders := holdersOfLayers(cs, layers)
 	for at := 1; at < layers; at++ {
 		for _, p := range f.ends[at] {
-			f.extend(q, hops, p, at, holders[at], stops)
+			f.extend(q, hops, p, at, holders[at], starts)
 		}
 	}
 	last := f.best()
 	if last < 0 {
 		return nil, 0
 	}
-	return path(cs, f.nodes, last), f.nodes[last].cost
+	return pathTo(cs, f.nodes, last), f.nodes[last].cost
 }
 
-// extend goes on from a node by each candidate that holds the next layer.
-func (f *frontier) extend(q *Query, hops []hopCost, from, at int, holders, stops []int) {
+// extend continues a partial path with each candidate that holds the next layer.
+func (f *frontier) extend(q *Query, hops []hopCost, from, at int, holders, starts []int) {
 	for _, i := range holders {
 		if visited(f.nodes, from, i) {
 			continue
 		}
-		f.tos = endsOf(f.tos[:0], f.cs[i].Server, at, stops)
-		for _, to := range f.tos {
+		f.endBuf = possibleEnds(f.endBuf[:0], f.cs[i].Server, at, starts)
+		for _, to := range f.endBuf {
 			run := site.Range{From: at, To: to}
-			cost := f.nodes[from].cost + edge(q, f.cs, hops, f.nodes[from].cand, i, run)
+			cost := f.nodes[from].cost + edgeCost(q, f.cs, hops, f.nodes[from].cand, i, run)
 			f.add(node{cost: cost, prev: from, run: run, cand: i})
 		}
 	}
 }
 
-// holdersOfLayers returns for each layer the candidates that hold it: a card
-// holds few of the layers, and a site has thousands of cards.
+// holdersOfLayers returns the candidates that hold each layer, so that search does
+// not scan all candidates for each of them.
 func holdersOfLayers(cs []Candidate, layers int) [][]int {
 	counts := make([]int, layers)
-	each(cs, layers, func(_, layer int) { counts[layer]++ })
+	forEachHeldLayer(cs, layers, func(_, layer int) { counts[layer]++ })
 	out := make([][]int, layers)
 	for l, n := range counts {
 		out[l] = make([]int, 0, n)
 	}
-	each(cs, layers, func(i, layer int) { out[layer] = append(out[layer], i) })
+	forEachHeldLayer(cs, layers, func(i, layer int) { out[layer] = append(out[layer], i) })
 	return out
 }
 
-// each calls fn with each candidate and each layer that it holds.
-func each(cs []Candidate, layers int, fn func(i, layer int)) {
+// forEachHeldLayer calls fn with each candidate and each layer that it holds.
+func forEachHeldLayer(cs []Candidate, layers int, fn func(i, layer int)) {
 	for i := range cs {
 		held := cs[i].Server.Held
 		for l := max(0, held.From); l < min(layers, held.To); l++ {
@@ -117,8 +119,8 @@
 	}
 }
 
-// first adds the hops that a path may begin with.
-func first(q *Query, cs []Candidate, hops []hopCost, add func(node)) {
+// addFirstHops adds the hops with which a path may begin.
+func addFirstHops(q *Query, cs []Candidate, hops []hopCost, add func(node)) {
 	for i := range cs {
 		s := cs[i].Server
 		if q.Head != nil {
@@ -132,7 +134,7 @@
 		}
 		cost := hops[i].fixed + hops[i].perLayer*float64(s.Held.Len()) + cs[i].Load.WaitMS
 		if s.FailureDomain != q.Near && q.Near != "" {
-			cost += nearCostMS
+			cost += remoteHeadCostMS
 		}
 		if q.FullFrom > 0 && s.Slots > 0 {
 			cost += fullCost(q, cs[i].Load.Heads/float64(s.Slots))
@@ -141,8 +143,9 @@
 	}
 }
 
-// keptStarts returns the layers at which hops begin that keep their memory of
-// the request: another hop may hand over there and leave them as they are.
+// keptStarts returns the layers at which hops begin that keep their memory of the
+// request. A previous hop may end there so that the kept hop runs the same layers
+// again.
 func keptStarts(q *Query) []int {
 	var out []int
 	for _, r := range q.Keep {
@@ -152,10 +155,10 @@
 	return out
 }
 
-// endsOf appends where a hop that begins at a layer may end.
-func endsOf(out []int, s *site.BackendServer, at int, stops []int) []int {
+// possibleEnds appends the layers at which a hop that begins at a layer may end.
+func possibleEnds(out []int, s *site.BackendServer, at int, starts []int) []int {
 	out = append(out, s.Held.To)
-	for _, l := range stops {
+	for _, l := range starts {
 		if l > at && l < s.Held.To {
 			out = append(out, l)
 		}
@@ -172,27 +175,27 @@
 	return false
 }
 
-// edge is the cost of going on at candidate i with some layers. A hop that keeps
-// its memory reads nothing again, and is counted in its load already.
-func edge(q *Query, cs []Candidate, hops []hopCost, from, i int, run site.Range) float64 {
+// edgeCost is the cost of continuing with candidate i for some layers. A hop that
+// keeps its memory reads no prompt again, and its load includes the request already.
+func edgeCost(q *Query, cs []Candidate, hops []hopCost, from, i int, run site.Range) float64 {
 	s, prev := cs[i].Server, cs[from].Server
 	cost := stepsWeight * LinkMS(q.Engine, prev.FailureDomain, s.FailureDomain)
 	if kept, ok := q.Keep[s.ID]; ok && kept == run {
 		return cost
 	}
 	if prev.FailureDomain != s.FailureDomain {
-		cost += crossWeight * PipeReadMS(q.Engine, q.Tokens.Prompt)
+		cost += crossDomainWeight * PipeReadMS(q.Engine, q.Tokens.Prompt)
 	}
 	return cost + hops[i].fixed + hops[i].perLayer*float64(run.Len())
 }
 
-// step is a hop of the chosen path with its candidate.
+// step is a hop of a path with its candidate.
 type step struct {
 	cand *Candidate
 	run  site.Range
 }
 
-func path(cs []Candidate, nodes []node, at int) []step {
+func pathTo(cs []Candidate, nodes []node, at int) []step {
 	var out []step
 	for ; at >= 0; at = nodes[at].prev {
 		out = append(out, step{cand: &cs[nodes[at].cand], run: nodes[at].run})
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -9,40 +9,36 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// A split says over which paths the requests of a whole fleet are to be spread, and
-// in which proportions. It answers the load of many daemons that see few requests
-// each: what a daemon knows of the others is seconds old, and if each took the path
-// that looks cheapest, all would take the same one, leave it together when the news
-// of it came and return together (one head got 173, 113, 0, 0, 142 and 219 requests
-// in successive seconds). A split follows from what lies where and from the size of
-// the load alone, so all daemons compute nearly the same one, and it does not swing
-// however old the news are.
+// A split assigns the requests of a whole fleet to paths in fixed proportions. It is
+// used when many daemons handle few requests each. A daemon knows the loads of the
+// others with seconds of delay; if each took the cheapest path, all would take the
+// same one and later leave it together. A split depends only on the layout and the
+// total load, so all daemons compute nearly the same one, and it does not oscillate
+// with old loads.
 
-// Bounds of a split.
+// Parameters of a split.
 const (
-	// splitSlices is into how many parts the load is cut, each of which takes the
-	// path that is cheapest when the parts before it are there. A site has at most a
-	// few dozen heads.
+	// splitSlices is the number of slices into which the load is divided. Each slice
+	// takes the cheapest path given the slices before it. A site has at most a few
+	// dozen heads.
 	splitSlices = 64
-	// splitFullFrom is the share of a card's memory, or of a head's slots, from which
-	// a split prefers other paths: the sizes of requests vary by half and their number
-	// by its root, so a card that is meant to be fuller is full at times.
-	splitFullFrom = 0.6
-	// leastLoad is the share of the room for which a split is made at least: what is
-	// told of the load is seconds old, and a split for more than there is only spreads
-	// wider than it must. Made for the load as told, splits used two heads of 19 for
-	// the first twelve seconds of a day, and a quarter of the requests was late.
-	leastLoad = 0.6
-	// enoughAtHead is how many requests of its own a daemon has at a head, on average,
-	// where it spreads them better by what it sees of them than by a split. With six
-	// daemons and seven at a head a split lost 0.04 of worth over five days of trouble;
-	// with 59 daemons and one at a head it gained 0.07 over two days, with 295 and a
-	// third of one 0.18 over four.
-	enoughAtHead = 4
+	// splitFullThreshold is the usage of a backend server's memory, or of a head's
+	// slots, from which a split prefers other paths. The sizes and the number of
+	// requests vary, so a backend server with a higher planned usage is full at
+	// times.
+	splitFullThreshold = 0.6
+	// minLoadShare is the minimum load for which a split is made, as a fraction of
+	// the total capacity. Reported loads are incomplete after a start, and a split
+	// for too low a load would use too few heads; one for too high a load only uses
+	// more paths than needed.
+	minLoadShare = 0.6
+	// ownRequestsThreshold is the mean number of a daemon's own requests per head
+	// from which the daemon spreads them by its own loads rather than by a split.
+	ownRequestsThreshold = 4
 )
 
-// NeedsSplit reports whether the daemons of a fleet see too few requests each to
-// spread them by what they see.
+// NeedsSplit reports whether the daemons of a fleet handle too few requests each to
+// spread them by their own loads.
 func NeedsSplit(e *site.Engine, candidates []Candidate, daemons int) bool {
 	heads := 0
 	for _, c := range candidates {
@@ -50,53 +46,53 @@
 			heads++
 		}
 	}
-	return leastLoad*room(e, candidates) < enoughAtHead*float64(heads*daemons)
+	return minLoadShare*totalCapacity(e, candidates) < ownRequestsThreshold*float64(heads*daemons)
 }
 
-// room returns how many usual requests candidates hold at once.
-func room(e *site.Engine, candidates []Candidate) float64 {
-	cards := make([]Card, len(candidates))
+// totalCapacity returns how many typical requests the candidates can hold at once.
+func totalCapacity(e *site.Engine, candidates []Candidate) float64 {
+	servers := make([]Card, len(candidates))
 	for i, c := range candidates {
-		cards[i] = Card{Server: c.Server, Ordered: c.Server.Held}
+		servers[i] = Card{Server: c.Server, Ordered: c.Server.Held}
 	}
-	return float64(BoundOf(e, cards).Requests)
+	return float64(BoundOf(e, servers).Requests)
 }
 
-// Demand is the load of which a split is made.
+// Demand is the load for which a split is made.
 type Demand struct {
-	// Requests are those in flight at once, of all daemons, 0 while not known.
+	// Requests is the number of requests in flight of all daemons, 0 if unknown.
 	Requests float64
-	// Domains are the shares of the failure domains of the daemons that carry them.
+	// Domains maps the failure domain of the daemons to its share of the requests.
 	Domains map[string]float64
 }
 
-// Share is a path of a split.
+// Share is a path of a split with its planned load.
 type Share struct {
 	Choice Choice
-	// Rate is the share's part of the requests that begin in the failure domain.
+	// Rate is the fraction of the failure domain's requests that take the path.
 	Rate float64
-	// Heads are the requests that the whole fleet is meant to have in flight at the
-	// path's first hop.
+	// Heads is the planned number of requests of the whole fleet whose first hop is
+	// that of the path.
 	Heads float64
-	// LastsMS is how long a request is predicted to take.
+	// LastsMS is the predicted duration of a request.
 	LastsMS float64
 }
 
-// Split returns the paths for requests of a failure domain, in the order of their
-// names. Candidates are all backend servers that may take work; of their loads only how
-// slow they are is looked at.
+// Split returns the paths for requests of a failure domain, sorted by their names.
+// Candidates are all backend servers that may take work; of their loads only Slowdown
+// is used.
 func Split(e *site.Engine, candidates []Candidate, d Demand, near string) []Share {
 	s := newSplitter(e, candidates)
-	slice := max(d.Requests, leastLoad*room(e, candidates)) / splitSlices
-	for _, domain := range turns(d) {
+	slice := max(d.Requests, minLoadShare*totalCapacity(e, candidates)) / splitSlices
+	for _, domain := range sliceDomains(d) {
 		s.place(domain, slice)
 	}
 	return s.sharesOf(near)
 }
 
-// turns returns the failure domain of each slice; the domains take turns, each as
-// often as its share wants.
-func turns(d Demand) []string {
+// sliceDomains returns the failure domain of each slice, by weighted round-robin over
+// the shares of the domains.
+func sliceDomains(d Demand) []string {
 	names := slices.Sorted(maps.Keys(d.Domains))
 	credit := map[string]float64{}
 	out := make([]string, 0, splitSlices)
@@ -117,35 +113,35 @@
 	return out
 }
 
-// splitter lays slices of the load on paths, one after the other.
+// splitter assigns slices of the load to paths, one after the other.
 type splitter struct {
-	engine *site.Engine
-	tokens Tokens
-	lanes  []*lane
-	parts  map[string]map[string]*part // by failure domain of the requests and path
+	engine    *site.Engine
+	tokens    Tokens
+	domains   []*domainState
+	pathLoads map[string]map[string]*pathLoad // by failure domain of the requests and path
 }
 
-// lane holds the backend servers of one failure domain with what was laid on them. A
-// path stays within a lane, so that a slice changes the cheapest path of its own lane
-// alone: looking for it among all candidates took eight times as long.
-type lane struct {
-	domain string // "" for all of them
-	cs     []Candidate
-	index  map[string]int // of cs, by ID
-	best   Choice
-	known  bool // best is the cheapest path
-	closed bool // there is no path
+// domainState holds the backend servers of one failure domain and the load assigned
+// to them. Paths stay within a domainState, so a slice invalidates only one cheapest
+// path, and Split need not search all candidates again.
+type domainState struct {
+	domain    string // "" for all of them
+	cs        []Candidate
+	index     map[string]int // of cs, by ID
+	best      Choice
+	bestValid bool // best is the cheapest path
+	noPath    bool // no path is left
 }
 
-// part is what one failure domain has on a path.
-type part struct {
-	lane     *lane
+// pathLoad is the load of one failure domain on a path.
+type pathLoad struct {
+	state    *domainState
 	path     site.Path
 	requests float64
 }
 
 func newSplitter(e *site.Engine, candidates []Candidate) *splitter {
-	s := &splitter{engine: e, tokens: Usual(e), parts: map[string]map[string]*part{}}
+	s := &splitter{engine: e, tokens: Usual(e), pathLoads: map[string]map[string]*pathLoad{}}
 	cs := slices.Clone(candidates)
 	slices.SortFunc(cs, func(a, b Candidate) int { return strings.Compare(a.Server.ID, b.Server.ID) })
 	byDomain := map[string][]Candidate{}
@@ -153,67 +149,67 @@
 		byDomain[c.Server.FailureDomain] = append(byDomain[c.Server.FailureDomain], c)
 	}
 	for _, domain := range slices.Sorted(maps.Keys(byDomain)) {
-		s.addLane(domain, byDomain[domain])
+		s.addDomain(domain, byDomain[domain])
 	}
-	if len(s.lanes) == 0 {
-		s.addLane("", cs) // no failure domain holds all layers
+	if len(s.domains) == 0 {
+		s.addDomain("", cs) // no failure domain holds all layers
 	}
 	return s
 }
 
-// addLane adds a lane if there is a path in it.
-func (s *splitter) addLane(domain string, cs []Candidate) {
-	l := &lane{domain: domain, cs: cs, index: map[string]int{}}
+// addDomain adds a domainState if it has a path.
+func (s *splitter) addDomain(domain string, cs []Candidate) {
+	ds := &domainState{domain: domain, cs: cs, index: map[string]int{}}
 	for i := range cs {
 		cs[i].Load = Load{Slowdown: cs[i].Load.Slowdown}
-		l.index[cs[i].Server.ID] = i
+		ds.index[cs[i].Server.ID] = i
 	}
-	s.renew(l)
-	if !l.closed {
-		s.lanes = append(s.lanes, l)
+	s.updateBest(ds)
+	if !ds.noPath {
+		s.domains = append(s.domains, ds)
 	}
 }
 
-// renew looks for the cheapest path of a lane.
-func (s *splitter) renew(l *lane) {
-	q := &Query{Engine: s.engine, Tokens: s.tokens, FullFrom: splitFullFrom}
-	c, err := Choose(q, l.cs, nil)
-	l.best, l.known, l.closed = c, true, errors.Is(err, ErrNoPath)
+// updateBest searches the cheapest path of a domainState.
+func (s *splitter) updateBest(ds *domainState) {
+	q := &Query{Engine: s.engine, Tokens: s.tokens, FullFrom: splitFullThreshold}
+	c, err := Choose(q, ds.cs, nil)
+	ds.best, ds.bestValid, ds.noPath = c, true, errors.Is(err, ErrNoPath)
 }
 
-// place lays a slice of a failure domain's requests on the path that is cheapest for
-// them now. Where there is no path nothing is placed: once all heads of a lane have
-// requests for all their slots it has none any more.
+// place assigns a slice of a failure domain's requests to the path that is now
+// cheapest for it. It does nothing without a path; a domainState has none once the
+// slots of all its heads are assigned.
 func (s *splitter) place(domain string, requests float64) {
-	var best *lane
+	var best *domainState
 	least := 0.0
-	for _, l := range s.lanes {
-		if !l.known {
-			s.renew(l)
+	for _, ds := range s.domains {
+		if !ds.bestValid {
+			s.updateBest(ds)
 		}
-		if l.closed {
+		if ds.noPath {
 			continue
 		}
-		cost := l.best.Cost
-		if l.domain != domain {
-			cost += nearCostMS
+		cost := ds.best.Cost
+		if ds.domain != domain {
+			cost += remoteHeadCostMS
 		}
 		if best == nil || cost < least {
-			best, least = l, cost
+			best, least = ds, cost
 		}
 	}
 	if best == nil {
 		return
 	}
-	s.lay(best, requests)
-	s.add(domain, best, requests)
-	best.known = false
+	s.assign(best, requests)
+	s.addLoad(domain, best, requests)
+	best.bestValid = false
 }
 
-// lay counts requests in on the cheapest path of a lane.
-func (s *splitter) lay(l *lane, requests float64) {
-	for i, h := range l.best.Path {
-		load := &l.cs[l.index[h.Server.ID]].Load
+// assign adds requests to the loads on the cheapest path of a domainState.
+func (s *splitter) assign(ds *domainState, requests float64) {
+	for i, h := range ds.best.Path {
+		load := &ds.cs[ds.index[h.Server.ID]].Load
 		load.Running += requests
 		if i == 0 {
 			load.Heads += requests
@@ -222,27 +218,27 @@
 	}
 }
 
-func (s *splitter) add(domain string, l *lane, requests float64) {
-	of := s.parts[domain]
-	if of == nil {
-		of = map[string]*part{}
-		s.parts[domain] = of
+func (s *splitter) addLoad(domain string, ds *domainState, requests float64) {
+	loads := s.pathLoads[domain]
+	if loads == nil {
+		loads = map[string]*pathLoad{}
+		s.pathLoads[domain] = loads
 	}
-	key := l.best.Path.String()
-	if of[key] == nil {
-		of[key] = &part{lane: l, path: l.best.Path}
+	key := ds.best.Path.String()
+	if loads[key] == nil {
+		loads[key] = &pathLoad{state: ds, path: ds.best.Path}
 	}
-	of[key].requests += requests
+	loads[key].requests += requests
 }
 
-// sharesOf returns what a failure domain has on its paths, in the order of their
-// names. A path gets requests at the rate at which those that it is meant to hold end.
+// sharesOf returns the shares of a failure domain, sorted by path name. The rate of a
+// path is proportional to the rate at which its planned requests end.
 func (s *splitter) sharesOf(domain string) []Share {
-	parts := s.parts[domain]
-	out := make([]Share, 0, len(parts))
+	pathLoads := s.pathLoads[domain]
+	out := make([]Share, 0, len(pathLoads))
 	sum := 0.0
-	for _, key := range slices.Sorted(maps.Keys(parts)) {
-		sh := s.shareOf(parts[key])
+	for _, key := range slices.Sorted(maps.Keys(pathLoads)) {
+		sh := s.shareOfPath(pathLoads[key])
 		sum += sh.Rate
 		out = append(out, sh)
 	}
@@ -252,12 +248,12 @@
 	return out
 }
 
-func (s *splitter) shareOf(p *part) Share {
+func (s *splitter) shareOfPath(p *pathLoad) Share {
 	steps := make([]step, len(p.path))
 	for i, h := range p.path {
-		steps[i] = step{cand: &p.lane.cs[p.lane.index[h.Server.ID]], run: h.Layers}
+		steps[i] = step{cand: &p.state.cs[p.state.index[h.Server.ID]], run: h.Layers}
 	}
-	c := describe(&Query{Engine: s.engine, Tokens: s.tokens}, steps)
-	lasts := c.FirstMS + c.StepMS*s.tokens.Answer
-	return Share{Choice: c, Rate: p.requests / lasts, LastsMS: lasts, Heads: steps[0].cand.Load.Heads}
+	c := predict(&Query{Engine: s.engine, Tokens: s.tokens}, steps)
+	durationMS := c.FirstMS + c.StepMS*s.tokens.Answer
+	return Share{Choice: c, Rate: p.requests / durationMS, LastsMS: durationMS, Heads: steps[0].cand.Load.Heads}
 }
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -12,25 +12,26 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// fleetDomains are the failure domains of a site of hundreds of cards.
+// fleetDomains are the failure domains of a site with hundreds of servers.
 var fleetDomains = []string{"a", "b", "c", "d", "e"}
 
-// fleetCards returns the cards of five failure domains with what they hold: each of
-// the domains has as many as siteCards has in all.
-func fleetCards(t testing.TB, e *site.Engine) []Candidate {
+// fleetServers returns the placed servers of five failure domains. Each domain has as
+// many servers as siteServers returns in all.
+func fleetServers(t testing.TB, e *site.Engine) []Candidate {
 	t.Helper()
-	var cards []Card
+	var servers []Card
 	for _, domain := range fleetDomains {
-		for i, c := range siteCards() {
-			cards = append(cards, card(fmt.Sprintf("%s-%02d", domain, i), domain, c.Server.Kind))
+		for i, c := range siteServers() {
+			servers = append(servers, newServer(fmt.Sprintf("%s-%02d", domain, i), domain, c.Server.Kind))
 		}
 	}
-	settle(t, e, cards)
-	return candidates(cards)
+	placeUntilStable(t, e, servers)
+	return candidates(servers)
 }
 
-// evenly is a demand of so many requests, the same of each failure domain.
-func evenly(requests float64) Demand {
+// evenDemand returns a demand with the same number of requests from each failure
+// domain.
+func evenDemand(requests float64) Demand {
 	d := Demand{Requests: requests, Domains: map[string]float64{}}
 	for _, domain := range fleetDomains {
 		d.Domains[domain] = 1 / float64(len(fleetDomains))
@@ -38,17 +39,18 @@
 	return d
 }
 
-// planned adds up what a split puts on each backend server, as a share of its memory.
-func planned(e *site.Engine, cs []Candidate, d Demand) map[string]float64 {
+// plannedUsage returns the memory of each backend server that a split plans to use,
+// as a fraction.
+func plannedUsage(e *site.Engine, cs []Candidate, d Demand) map[string]float64 {
 	out := map[string]float64{}
 	for _, domain := range fleetDomains {
 		shares := Split(e, cs, d, domain)
-		lasts := 0.0
+		duration := 0.0
 		for _, sh := range shares {
-			lasts += sh.Rate * sh.LastsMS
+			duration += sh.Rate * sh.LastsMS
 		}
 		for _, sh := range shares {
-			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.LastsMS / lasts
+			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.LastsMS / duration
 			for _, h := range sh.Choice.Path {
 				out[h.Server.ID] += requests * Usual(e).Mean() * float64(h.Layers.Len()) / e.KVRoom(h.Server.Kind, h.Server.Held.Len())
 			}
@@ -57,24 +59,23 @@
 	return out
 }
 
-// A split leaves every card room for requests that are larger than usual, also where
-// the load is close to what the layout holds.
-func TestSplitLeavesRoomOnEveryCard(t *testing.T) {
+// A split leaves memory on every server for larger than typical requests, also close
+// to the total capacity.
+func TestSplitLeavesHeadroomOnEveryServer(t *testing.T) {
 	e := testEngine()
-	cs := fleetCards(t, e)
+	cs := fleetServers(t, e)
 	for _, load := range []float64{0.6, 0.8} {
-		for id, full := range planned(e, cs, evenly(load*room(e, cs))) {
+		for id, full := range plannedUsage(e, cs, evenDemand(load*totalCapacity(e, cs))) {
 			require.Less(t, full, 0.97, "%s at a load of %v", id, load)
 		}
 	}
 }
 
-// When a sixth of the cards takes twelve times as long, a split leads most requests round
-// them: 0.31 of the requests pass one, all of them without word of it. What is left are failure
-// domains in which no other card holds the layers.
-func TestSplitGoesRoundSlowCards(t *testing.T) {
+// A split routes most requests around slow servers. Those that remain belong to
+// failure domains in which no other server holds the layers.
+func TestSplitAvoidsSlowServers(t *testing.T) {
 	e := testEngine()
-	cs := fleetCards(t, e)
+	cs := fleetServers(t, e)
 	r := rand.New(rand.NewPCG(5, 6))
 	slow := map[string]bool{}
 	for _, i := range r.Perm(len(cs))[:len(cs)/6] {
@@ -83,7 +84,7 @@
 	passing := func(cs []Candidate) float64 {
 		sum := 0.0
 		for _, domain := range fleetDomains {
-			for _, sh := range Split(e, cs, evenly(0.6*room(e, cs)), domain) {
+			for _, sh := range Split(e, cs, evenDemand(0.6*totalCapacity(e, cs)), domain) {
 				if slices.ContainsFunc(sh.Choice.Path, func(h site.Hop) bool { return slow[h.Server.ID] }) {
 					sum += sh.Rate / float64(len(fleetDomains))
 				}
@@ -100,18 +101,18 @@
 	require.Less(t, passing(cs), 0.35)
 }
 
-// Where the load is beyond the slots of all heads of a failure domain, a split leaves out
-// what has no path: it still has paths alone, whose rates add up.
+// For a load beyond the slots of all heads of a failure domain, a split still returns
+// only valid paths, with rates that add up to 1.
 func TestSplitBeyondTheSlotsOfAllHeads(t *testing.T) {
 	e := testEngine()
-	cs := fleetCards(t, e)
+	cs := fleetServers(t, e)
 	for _, c := range cs {
 		c.Server.Slots = 5
 	}
 	for _, load := range []float64{0.6, 1, 3} {
 		for _, domain := range fleetDomains {
 			sum := 0.0
-			for _, sh := range Split(e, cs, evenly(load*room(e, cs)), domain) {
+			for _, sh := range Split(e, cs, evenDemand(load*totalCapacity(e, cs)), domain) {
 				require.NoError(t, sh.Choice.Path.CheckTiling(e.Layers))
 				sum += sh.Rate
 			}
@@ -120,12 +121,12 @@
 	}
 }
 
-// Daemons need not tell each other their splits: the order in which they know the
-// backend servers makes no difference.
+// The order of the candidates does not affect a split, so daemons need not exchange
+// their splits.
 func TestAllDaemonsMakeTheSameSplit(t *testing.T) {
 	e := testEngine()
-	cs := fleetCards(t, e)
-	d := evenly(0.7 * room(e, cs))
+	cs := fleetServers(t, e)
+	d := evenDemand(0.7 * totalCapacity(e, cs))
 	want := Split(e, cs, d, "b")
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(cs), func(i, j int) { cs[i], cs[j] = cs[j], cs[i] })
 	require.Equal(t, want, Split(e, cs, d, "b"))
@@ -137,41 +138,40 @@
 	require.InDelta(t, 1, rate, 1e-9)
 }
 
-// Right after a start next to nothing is told of the load. A split that believed it
-// would send all requests over the two fastest paths.
-func TestLoadThatIsToldTooLowDoesNotNarrowASplit(t *testing.T) {
+// Shortly after a start hardly any load is reported. Guards against a split over the
+// two fastest paths only.
+func TestUnderreportedLoadDoesNotNarrowSplit(t *testing.T) {
 	e := testEngine()
-	cs := fleetCards(t, e)
-	require.Equal(t, Split(e, cs, evenly(leastLoad*room(e, cs)), "c"), Split(e, cs, evenly(7), "c"))
-	require.Equal(t, Split(e, cs, evenly(leastLoad*room(e, cs)), "c"), Split(e, cs, evenly(0), "c"))
+	cs := fleetServers(t, e)
+	require.Equal(t, Split(e, cs, evenDemand(minLoadShare*totalCapacity(e, cs)), "c"), Split(e, cs, evenDemand(7), "c"))
+	require.Equal(t, Split(e, cs, evenDemand(minLoadShare*totalCapacity(e, cs)), "c"), Split(e, cs, evenDemand(0), "c"))
 }
 
-// A failure domain without any path of its own is served by the others.
-func TestSplitOfADomainWithoutCards(t *testing.T) {
+// A failure domain without a path is served by the others.
+func TestSplitOfDomainWithoutServers(t *testing.T) {
 	e := testEngine()
-	cs := slices.DeleteFunc(fleetCards(t, e), func(c Candidate) bool { return c.Server.FailureDomain == "d" })
-	shares := Split(e, cs, evenly(0.6*room(e, cs)), "d")
+	cs := slices.DeleteFunc(fleetServers(t, e), func(c Candidate) bool { return c.Server.FailureDomain == "d" })
+	shares := Split(e, cs, evenDemand(0.6*totalCapacity(e, cs)), "d")
 	require.NotEmpty(t, shares)
 	heads := map[string]bool{}
 	for _, s := range shares {
 		heads[s.Choice.Path[0].Server.FailureDomain] = true
 	}
-	require.Greater(t, len(heads), 1, "not all of them in one failure domain")
-	require.Empty(t, Split(e, nil, evenly(10), "d"))
+	require.Greater(t, len(heads), 1, "heads in more than one failure domain")
+	require.Empty(t, Split(e, nil, evenDemand(10), "d"))
 }
 
-// A few daemons that see many requests each spread them themselves.
+// Few daemons with many requests each spread them by their own loads.
 func TestFewDaemonsNeedNoSplit(t *testing.T) {
 	e := testEngine()
-	cs := fleetCards(t, e)
+	cs := fleetServers(t, e)
 	require.False(t, NeedsSplit(e, cs, 8))
 	require.True(t, NeedsSplit(e, cs, 60))
 	require.True(t, NeedsSplit(e, cs, 300))
 }
 
-// Paths are taken as often as their rates want, and what cannot be used is passed
-// over.
-func TestSpreadTakesPathsByTheirRate(t *testing.T) {
+// Paths are taken in proportion to their rates; unusable paths are skipped.
+func TestPathsAreTakenByRate(t *testing.T) {
 	e := choiceEngine()
 	cs := twoPipelines(e)
 	s := &Spread{}
@@ -192,69 +192,69 @@
 	}
 	require.InDelta(t, 75, count(100, 0)["fast0"], 2)
 	cs[0].Load.Heads, cs[2].Load.Heads = 15, 10
-	require.InDelta(t, 75, count(100, 0)["fast0"], 2, "loads that nobody told do not count")
-	require.InDelta(t, 69, count(100, 500*time.Millisecond)["fast0"], 4, "half as busy again as meant, told just now")
-	require.InDelta(t, 74, count(100, 5*time.Second)["fast0"], 4, "the same, told long ago")
+	require.InDelta(t, 75, count(100, 0)["fast0"], 2, "unreported loads do not count")
+	require.InDelta(t, 69, count(100, 500*time.Millisecond)["fast0"], 4, "1.5 times the planned load, reported recently")
+	require.InDelta(t, 74, count(100, 5*time.Second)["fast0"], 4, "1.5 times the planned load, reported long ago")
 	cs[0].Load.Heads, cs[2].Load.Heads = 0, 0
 	cs[0].Load.WaitMS = 300
-	require.InDelta(t, 43, count(100, 0)["fast0"], 4, "own requests wait there")
+	require.InDelta(t, 43, count(100, 0)["fast0"], 4, "own requests wait at the head")
 	cs[0].Load.WaitMS = 0
 	cs[1].Load.KVUsed = e.KVRoom("fast", cs[1].Server.Held.Len())
-	require.Zero(t, count(20, 0)["fast0"], "no memory for it")
+	require.Zero(t, count(20, 0)["fast0"], "no memory for the request")
 	cs[2].Load.Heads = float64(cs[2].Server.Slots)
 	_, ok := s.Next(q, cs, 0)
-	require.False(t, ok, "no slots at the other")
+	require.False(t, ok, "no free slots on the other path")
 	_, ok = s.Next(q, cs[2:], 0)
-	require.False(t, ok, "backend servers that are gone")
-}
-
-// crowd is a fleet of daemons that see what the others do only after some seconds.
-type crowd struct {
-	engine  *site.Engine
-	cs      []Candidate
-	index   map[string]int
-	daemons int
-	newsAge time.Duration
-	rng     *rand.Rand
-	now     time.Duration
-	truth   []Load   // of all daemons
-	own     [][]Load // by daemon
-	told    [][]Load // what all knew of the truth, newest last
-	ends    []ending
-	spreads []Spread
-	// left are requests of daemons that have ended, which nobody tells; they are in truth.
-	left []Load
-	// asked are the conditions that the cards tell of themselves, newest last; nil for none.
-	asked        [][]Load
-	conditionAge time.Duration // of those that all know, 0 for none
-	warm         time.Duration // not counted
-	until        time.Duration // how long it is played
+	require.False(t, ok, "backend servers of the path are gone")
+}
+
+// simulation is a fleet of daemons that receive the loads of the others with a delay.
+type simulation struct {
+	engine      *site.Engine
+	cs          []Candidate
+	index       map[string]int
+	daemons     int
+	loadAge     time.Duration
+	rng         *rand.Rand
+	now         time.Duration
+	actual      []Load   // of all daemons
+	own         [][]Load // by daemon
+	reported    [][]Load // reported loads, newest last
+	completions []completion
+	spreads     []Spread
+	// orphaned are requests of daemons that have ended. No daemon reports them, but
+	// actual includes them.
+	orphaned []Load
+	// serverReports are the reports of the servers, newest last; nil for none.
+	serverReports [][]Load
+	reportAge     time.Duration // age of the reports that daemons use, 0 for none
+	warmup        time.Duration // not included in the results
+	duration      time.Duration // simulated time
 
 	requests, late, refused int
 }
 
-// ending is a request that ends.
-type ending struct {
+// completion is the end of a request.
+type completion struct {
 	at     time.Duration
 	daemon int
 	path   site.Path
 }
 
 const (
-	crowdStep = 20 * time.Millisecond
-	crowdRun  = 40 * time.Second
-	crowdWarm = 10 * time.Second // not counted
+	simulationStep     = 20 * time.Millisecond
+	simulationDuration = 40 * time.Second
+	simulationWarmup   = 10 * time.Second // not included in the results
 )
 
-// newCrowd is a fleet that sends at a rate at which a share of the layout's room
-// would be in use.
-func newCrowd(t testing.TB, daemons int, newsAge time.Duration) *crowd {
+// newSimulation returns a fleet whose daemons know the loads of loadAge ago.
+func newSimulation(t testing.TB, daemons int, loadAge time.Duration) *simulation {
 	e := testEngine()
-	c := &crowd{engine: e, cs: fleetCards(t, e), index: map[string]int{}, daemons: daemons, newsAge: newsAge, rng: rand.New(rand.NewPCG(7, 9))}
+	c := &simulation{engine: e, cs: fleetServers(t, e), index: map[string]int{}, daemons: daemons, loadAge: loadAge, rng: rand.New(rand.NewPCG(7, 9))}
 	for i := range c.cs {
 		c.index[c.cs[i].Server.ID] = i
 	}
-	c.truth, c.left, c.warm, c.until = make([]Load, len(c.cs)), make([]Load, len(c.cs)), crowdWarm, crowdRun
+	c.actual, c.orphaned, c.warmup, c.duration = make([]Load, len(c.cs)), make([]Load, len(c.cs)), simulationWarmup, simulationDuration
 	c.own = make([][]Load, daemons)
 	for i := range c.own {
 		c.own[i] = make([]Load, len(c.cs))
@@ -263,10 +263,11 @@
 	return c
 }
 
-func (c *crowd) domain(daemon int) string { return fleetDomains[daemon%len(fleetDomains)] }
+func (c *simulation) domain(daemon int) string { return fleetDomains[daemon%len(fleetDomains)] }
 
-// follow makes the split of each failure domain once: all of its daemons make the same.
-func (c *crowd) follow(d Demand) {
+// applySplit computes the split of each failure domain once, since all of its daemons
+// compute the same one.
+func (c *simulation) applySplit(d Demand) {
 	for i, domain := range fleetDomains {
 		shares := Split(c.engine, c.cs, d, domain)
 		for n := i; n < c.daemons; n += len(fleetDomains) {
@@ -275,30 +276,30 @@
 	}
 }
 
-// seen returns the candidates as a daemon sees them.
-func (c *crowd) seen(daemon int) []Candidate {
+// view returns the candidates with the loads that a daemon knows.
+func (c *simulation) view(daemon int) []Candidate {
 	out := slices.Clone(c.cs)
 	for i := range out {
 		own := c.own[daemon][i]
 		out[i].Load = own
-		if len(c.told) > 0 {
-			o := c.told[0][i]
+		if len(c.reported) > 0 {
+			o := c.reported[0][i]
 			others := float64(c.daemons-1) / float64(c.daemons)
 			out[i].Load = Load{Running: own.Running + o.Running*others, Heads: own.Heads + o.Heads*others, KVUsed: own.KVUsed + o.KVUsed*others}
 		}
 		out[i].Load.OwnKV = own.KVUsed * float64(c.daemons)
-		if len(c.asked) > 0 {
-			out[i].Load.Full, out[i].Load.Waiting = c.asked[0][i].Full, c.asked[0][i].Waiting
+		if len(c.serverReports) > 0 {
+			out[i].Load.Full, out[i].Load.Waiting = c.serverReports[0][i].Full, c.serverReports[0][i].Waiting
 		}
 	}
 	return out
 }
 
-func (c *crowd) run(perSecond float64, choose func(daemon int, q *Query, cs []Candidate) (Choice, error)) {
-	for ; c.now < c.until; c.now += crowdStep {
-		c.endRequests()
+func (c *simulation) run(perSecond float64, choose func(daemon int, q *Query, cs []Candidate) (Choice, error)) {
+	for ; c.now < c.duration; c.now += simulationStep {
+		c.completeRequests()
 		if c.now%(200*time.Millisecond) == 0 {
-			c.tell()
+			c.report()
 		}
 		for n := c.arrivals(perSecond); n > 0; n-- {
 			daemon := c.rng.IntN(c.daemons)
@@ -308,40 +309,40 @@
 	}
 }
 
-// arrivals draws how many requests come in a step.
-func (c *crowd) arrivals(perSecond float64) int {
+// arrivals draws the number of requests in one step.
+func (c *simulation) arrivals(perSecond float64) int {
 	n := 0
-	for at := c.rng.ExpFloat64() / perSecond; at < crowdStep.Seconds(); at += c.rng.ExpFloat64() / perSecond {
+	for at := c.rng.ExpFloat64() / perSecond; at < simulationStep.Seconds(); at += c.rng.ExpFloat64() / perSecond {
 		n++
 	}
 	return n
 }
 
-func (c *crowd) tell() {
-	told := slices.Clone(c.truth)
-	for i := range told {
-		told[i].Running -= c.left[i].Running
-		told[i].Heads -= c.left[i].Heads
-		told[i].KVUsed -= c.left[i].KVUsed
+func (c *simulation) report() {
+	reported := slices.Clone(c.actual)
+	for i := range reported {
+		reported[i].Running -= c.orphaned[i].Running
+		reported[i].Heads -= c.orphaned[i].Heads
+		reported[i].KVUsed -= c.orphaned[i].KVUsed
 	}
-	c.told = kept(append(c.told, told), c.newsAge)
-	if c.conditionAge > 0 {
-		c.asked = kept(append(c.asked, c.conditions()), c.conditionAge)
+	c.reported = recent(append(c.reported, reported), c.loadAge)
+	if c.reportAge > 0 {
+		c.serverReports = recent(append(c.serverReports, c.currentReports()), c.reportAge)
 	}
 }
 
-// kept returns the words of which the oldest is so old.
-func kept(words [][]Load, age time.Duration) [][]Load {
-	if keep := int(age/(200*time.Millisecond)) + 1; len(words) > keep {
-		return words[1:]
+// recent returns the reports without the oldest one if that is older than age.
+func recent(reports [][]Load, age time.Duration) [][]Load {
+	if keep := int(age/(200*time.Millisecond)) + 1; len(reports) > keep {
+		return reports[1:]
 	}
-	return words
+	return reports
 }
 
-// conditions returns what the cards say of themselves.
-func (c *crowd) conditions() []Load {
-	out := make([]Load, len(c.truth))
-	for i, l := range c.truth {
+// currentReports returns the reports of the servers at this moment.
+func (c *simulation) currentReports() []Load {
+	out := make([]Load, len(c.actual))
+	for i, l := range c.actual {
 		s := c.cs[i].Server
 		out[i].Full = l.KVUsed / c.engine.KVRoom(s.Kind, s.Held.Len())
 		if out[i].Full > 1 {
@@ -351,13 +352,13 @@
 	return out
 }
 
-func (c *crowd) begin(daemon int, q *Query, choose func(int, *Query, []Candidate) (Choice, error)) {
-	counts := c.now >= c.warm
+func (c *simulation) begin(daemon int, q *Query, choose func(int, *Query, []Candidate) (Choice, error)) {
+	counts := c.now >= c.warmup
 	if counts {
 		c.requests++
 	}
-	choice, err := choose(daemon, q, c.seen(daemon))
-	if err != nil || c.truth[c.index[choice.Path[0].Server.ID]].Heads >= float64(c.engine.Slots) {
+	choice, err := choose(daemon, q, c.view(daemon))
+	if err != nil || c.actual[c.index[choice.Path[0].Server.ID]].Heads >= float64(c.engine.Slots) {
 		if counts {
 			c.refused++
 		}
@@ -367,18 +368,18 @@
 	steps := make([]step, len(choice.Path))
 	for i, h := range choice.Path {
 		n := c.index[h.Server.ID]
-		steps[i] = step{cand: &Candidate{Server: h.Server, Load: c.truth[n]}, run: h.Layers}
+		steps[i] = step{cand: &Candidate{Server: h.Server, Load: c.actual[n]}, run: h.Layers}
 	}
-	got := describe(q, steps)
+	got := predict(q, steps)
 	if counts && got.Fullest > 1 {
-		c.late++ // it waits for memory
+		c.late++ // waits for memory
 	}
-	lasts := time.Duration((got.FirstMS + got.StepMS*q.Tokens.Answer) * float64(time.Millisecond))
-	c.ends = append(c.ends, ending{at: c.now + lasts, daemon: daemon, path: choice.Path})
+	duration := time.Duration((got.FirstMS + got.StepMS*q.Tokens.Answer) * float64(time.Millisecond))
+	c.completions = append(c.completions, completion{at: c.now + duration, daemon: daemon, path: choice.Path})
 }
 
-func (c *crowd) endRequests() {
-	c.ends = slices.DeleteFunc(c.ends, func(e ending) bool {
+func (c *simulation) completeRequests() {
+	c.completions = slices.DeleteFunc(c.completions, func(e completion) bool {
 		if e.at > c.now {
 			return false
 		}
@@ -387,31 +388,31 @@
 	})
 }
 
-// endedDaemon is the daemon of requests that daemons left as they ended.
+// endedDaemon marks requests of daemons that have ended.
 const endedDaemon = -1
 
-// restart has all daemons end with so many requests under way, spread as their split does,
-// and start again: the cards go on with them for as long as they last.
-func (c *crowd) restart(requests float64) {
-	d := evenly(requests)
+// restart ends and restarts all daemons. The servers continue the running requests,
+// which are distributed according to the split.
+func (c *simulation) restart(requests float64) {
+	d := evenDemand(requests)
 	for _, domain := range fleetDomains {
 		for _, sh := range Split(c.engine, c.cs, d, domain) {
-			lasts := time.Duration(sh.LastsMS * float64(time.Millisecond))
+			duration := time.Duration(sh.LastsMS * float64(time.Millisecond))
 			for range int(sh.Rate * requests * d.Domains[domain]) {
 				c.add(endedDaemon, sh.Choice.Path, 1)
-				c.ends = append(c.ends, ending{at: time.Duration(c.rng.Int64N(int64(lasts))), daemon: endedDaemon, path: sh.Choice.Path})
+				c.completions = append(c.completions, completion{at: time.Duration(c.rng.Int64N(int64(duration))), daemon: endedDaemon, path: sh.Choice.Path})
 			}
 		}
 	}
 }
 
-func (c *crowd) add(daemon int, p site.Path, sign float64) {
+func (c *simulation) add(daemon int, p site.Path, sign float64) {
 	for i, h := range p {
-		of := c.left
+		of := c.orphaned
 		if daemon != endedDaemon {
 			of = c.own[daemon]
 		}
-		for _, l := range []*Load{&c.truth[c.index[h.Server.ID]], &of[c.index[h.Server.ID]]} {
+		for _, l := range []*Load{&c.actual[c.index[h.Server.ID]], &of[c.index[h.Server.ID]]} {
 			l.Running += sign
 			l.KVUsed += sign * Usual(c.engine).Mean() * float64(h.Layers.Len())
 			if i == 0 {
@@ -421,36 +422,38 @@
 	}
 }
 
-func (c *crowd) lateShare() float64    { return float64(c.late) / float64(c.requests) }
-func (c *crowd) refusedShare() float64 { return float64(c.refused) / float64(c.requests) }
+func (c *simulation) lateShare() float64    { return float64(c.late) / float64(c.requests) }
+func (c *simulation) refusedShare() float64 { return float64(c.refused) / float64(c.requests) }
 
-// rateOf returns the requests a second that keep a share of the room in use.
+// rateOf returns the requests per second that keep a fraction of the total capacity
+// in use.
 func rateOf(e *site.Engine, cs []Candidate, load float64) float64 {
-	requests := load * room(e, cs)
+	requests := load * totalCapacity(e, cs)
 	perSecond := 0.0
-	d := evenly(requests)
+	d := evenDemand(requests)
 	for _, domain := range fleetDomains {
-		lasts := 0.0
+		duration := 0.0
 		for _, s := range Split(e, cs, d, domain) {
-			lasts += s.Rate * s.LastsMS
+			duration += s.Rate * s.LastsMS
 		}
-		perSecond += requests * d.Domains[domain] / (lasts / 1000)
+		perSecond += requests * d.Domains[domain] / (duration / 1000)
 	}
 	return perSecond
 }
 
-// playCrowd plays a load with old news, by the split or by the cheapest path.
-func playCrowd(t testing.TB, load float64, split bool) *crowd {
-	c := newCrowd(t, 300, 6*time.Second)
+// simulateLoad simulates a load with delayed reports. Paths are chosen by the split
+// or by the lowest cost.
+func simulateLoad(t testing.TB, load float64, split bool) *simulation {
+	c := newSimulation(t, 300, 6*time.Second)
 	rate := rateOf(c.engine, c.cs, load)
 	cheapest := func(_ int, q *Query, cs []Candidate) (Choice, error) { return Choose(q, cs, c.rng) }
 	if !split {
 		c.run(rate, cheapest)
 		return c
 	}
-	c.follow(evenly(load * room(c.engine, c.cs)))
+	c.applySplit(evenDemand(load * totalCapacity(c.engine, c.cs)))
 	c.run(rate, func(daemon int, q *Query, cs []Candidate) (Choice, error) {
-		if got, ok := c.spreads[daemon].Next(q, cs, c.newsAge); ok {
+		if got, ok := c.spreads[daemon].Next(q, cs, c.loadAge); ok {
 			return got, nil
 		}
 		return Choose(q, cs, c.rng)
@@ -458,26 +461,25 @@
 	return c
 }
 
-// A fleet of 300 daemons that know each other's loads of six seconds ago serves
-// everybody in time, with a fifth of the room left. When each took the path that
-// looked cheapest, a part of the requests waited for memory at heads that all had
-// taken at once.
-func TestFleetWithOldNewsComesToRest(t *testing.T) {
-	c := playCrowd(t, 0.8, true)
+// Guards against oscillation with loads that are six seconds old: at 0.8 of the
+// capacity, 300 daemons that each take the cheapest path choose the same heads, at
+// which requests wait for memory.
+func TestSplitWithStaleLoadsKeepsRequestsInTime(t *testing.T) {
+	c := simulateLoad(t, 0.8, true)
 	require.Less(t, c.lateShare(), 0.02)
 	require.Less(t, c.refusedShare(), 0.005)
-	before := playCrowd(t, 0.8, false)
+	before := simulateLoad(t, 0.8, false)
 	require.Greater(t, before.lateShare()+before.refusedShare(), c.lateShare()+c.refusedShare())
 }
 
-// BenchmarkFleetWithOldNews reports the shares of requests that wait for memory and
-// that are refused, by the load and by how paths are chosen.
-func BenchmarkFleetWithOldNews(b *testing.B) {
+// BenchmarkStaleLoads reports the fractions of requests that wait for memory and that
+// are refused, by load and by how paths are chosen.
+func BenchmarkStaleLoads(b *testing.B) {
 	for _, load := range []float64{0.5, 0.8} {
 		for _, split := range []bool{false, true} {
 			b.Run(fmt.Sprintf("load=%v/split=%v", load, split), func(b *testing.B) {
 				for b.Loop() {
-					c := playCrowd(b, load, split)
+					c := simulateLoad(b, load, split)
 					b.ReportMetric(c.lateShare(), "late_share")
 					b.ReportMetric(c.refusedShare(), "refused_share")
 				}
@@ -486,27 +488,27 @@
 	}
 }
 
-// BenchmarkSplit makes a split at the size of a site.
+// BenchmarkSplit computes a split at the size of a site.
 func BenchmarkSplit(b *testing.B) {
 	e := testEngine()
-	cs := fleetCards(b, e)
-	d := evenly(0.7 * room(e, cs))
+	cs := fleetServers(b, e)
+	d := evenDemand(0.7 * totalCapacity(e, cs))
 	for b.Loop() {
 		Split(e, cs, d, "a")
 	}
 }
 
-// playRestart plays the first four seconds after a start of all daemons of a fleet, with
-// twice as many callers as usual, while the cards go on with the requests of before.
-func playRestart(t testing.TB, conditionAge time.Duration) *crowd {
-	c := newCrowd(t, 75, 3*time.Second)
-	c.warm, c.conditionAge, c.until = 0, conditionAge, 4*time.Second
-	load := 0.8 * room(c.engine, c.cs)
+// simulateRestart simulates the first four seconds after a restart of all daemons, at
+// twice the request rate, while the servers continue the previous requests.
+func simulateRestart(t testing.TB, reportAge time.Duration) *simulation {
+	c := newSimulation(t, 75, 3*time.Second)
+	c.warmup, c.reportAge, c.duration = 0, reportAge, 4*time.Second
+	load := 0.8 * totalCapacity(c.engine, c.cs)
 	rate := 2 * rateOf(c.engine, c.cs, 0.8)
 	c.restart(load)
-	c.follow(evenly(load))
+	c.applySplit(evenDemand(load))
 	c.run(rate, func(daemon int, q *Query, cs []Candidate) (Choice, error) {
-		if got, ok := c.spreads[daemon].Next(q, cs, c.newsAge); ok {
+		if got, ok := c.spreads[daemon].Next(q, cs, c.loadAge); ok {
 			return got, nil
 		}
 		return Choose(q, cs, c.rng)
@@ -514,28 +516,27 @@
 	return c
 }
 
-// After a start of all daemons nobody counts the requests that the cards still run. By the
-// cards' own word, a second old, few requests are sent to where they wait for memory; who
-// cannot be served hears it at once.
-func TestCardsTellWhatNobodyCounts(t *testing.T) {
-	before, after := playRestart(t, 0), playRestart(t, time.Second)
-	t.Logf("wait for memory %.3f, before %.3f; refused %.3f, before %.3f", after.lateShare(), before.lateShare(), after.refusedShare(), before.refusedShare())
+// After a restart of all daemons, no daemon counts the requests that still run. With
+// reports of the servers, fewer requests are sent to servers where they wait for
+// memory.
+func TestServerReportsIncludeUncountedRequests(t *testing.T) {
+	before, after := simulateRestart(t, 0), simulateRestart(t, time.Second)
+	t.Logf("waiting for memory %.3f, without reports %.3f; refused %.3f, without reports %.3f", after.lateShare(), before.lateShare(), after.refusedShare(), before.refusedShare())
 	require.Less(t, after.lateShare(), 0.5*before.lateShare())
 	require.Less(t, after.lateShare()+after.refusedShare(), before.lateShare()+before.refusedShare())
 }
 
-// Six daemons that know each other's loads of a second ago, at one and a half times what the
-// layout holds, serve more requests at once by what they have sent themselves than by the
-// cards' own word of half a second ago, which is the same for all of them: fewer are refused
-// or wait for memory.
-func TestFewDaemonsKnowBetterThanTheWordOfTheCards(t *testing.T) {
-	play := func(conditionAge time.Duration) *crowd {
-		c := newCrowd(t, 6, time.Second)
-		c.conditionAge, c.warm, c.until = conditionAge, 5*time.Second, 13*time.Second
+// Guards the use of own loads with few daemons: six daemons with loads that are one
+// second old, at 1.5 times the capacity, refuse and delay fewer requests by their own
+// loads than by reports of the servers, which are the same for all daemons.
+func TestFewDaemonsDoBetterWithOwnLoads(t *testing.T) {
+	simulate := func(reportAge time.Duration) *simulation {
+		c := newSimulation(t, 6, time.Second)
+		c.reportAge, c.warmup, c.duration = reportAge, 5*time.Second, 13*time.Second
 		c.run(rateOf(c.engine, c.cs, 1.5), func(_ int, q *Query, cs []Candidate) (Choice, error) { return Choose(q, cs, c.rng) })
 		return c
 	}
-	own, word := play(0), play(500*time.Millisecond)
-	t.Logf("wait for memory %.3f, by the cards' word %.3f; refused %.3f, %.3f", own.lateShare(), word.lateShare(), own.refusedShare(), word.refusedShare())
-	require.Less(t, own.lateShare()+own.refusedShare(), word.lateShare()+word.refusedShare())
+	own, reported := simulate(0), simulate(500*time.Millisecond)
+	t.Logf("waiting for memory %.3f, with reports %.3f; refused %.3f, with reports %.3f", own.lateShare(), reported.lateShare(), own.refusedShare(), reported.refusedShare())
+	require.Less(t, own.lateShare()+own.refusedShare(), reported.lateShare()+reported.refusedShare())
 }
