--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,6 +1,6 @@
-// Package placer carries out the placement of layers: the holder of the duty
-// orders backend servers to hold what package pipeline decides, and follows what
-// they report.
+// Package placer carries out the placement of layers: the daemon that holds the
+// placement lease orders backend servers to hold the layers that package pipeline
+// assigns to them, and follows their reports.
 package placer
 
 import (
@@ -21,120 +21,123 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Periods of the duty.
+// Intervals and limits of the placer.
 const (
-	// round is the time between two looks when nothing changes.
-	round = 500 * time.Millisecond
-	// orderAgain is how long a backend server is left alone after an order without an
-	// answer, or while it carries out one that is not known here. The order may be
-	// carried out many seconds later; it names the orders before it, as the next one
-	// does, so that only one of the two is.
-	orderAgain = time.Second
-	// orderShows is how long it may take until a finished order shows in the
-	// record of the backend server, beyond the time of the load.
-	orderShows = 3 * time.Second
-	// loadsSlowed is how much longer a load may take while others use the weight
+	// pollInterval is the time between two checks without a change of the inventory.
+	pollInterval = 500 * time.Millisecond
+	// orderRetryDelay is how long a backend server counts as busy after an order
+	// without an answer, or while it carries out an order that is unknown here. An
+	// unanswered order may still be carried out many seconds later. It and the retry
+	// name the same number of previous orders, so only one of them is carried out.
+	orderRetryDelay = time.Second
+	// orderVisibleTimeout is how long a finished order may take to show in the record
+	// of the backend server, in addition to the load time.
+	orderVisibleTimeout = 3 * time.Second
+	// maxLoadSlowdown is the factor on the load time while others use the weight
 	// store.
-	loadsSlowed = 4
-	// probeAgain is the pause between two probes of a backend server that did not
-	// answer one.
-	probeAgain = time.Second
-	// settle is how long the set of empty cards must have been the same before a
-	// first placement: backend servers register one after the other.
-	settle = 1200 * time.Millisecond
-	// freshFor is how long a card that came empty is kept for the layers of one that
-	// is about to leave: in a rolling replacement the new one comes a second earlier.
-	freshFor = 1500 * time.Millisecond
-	// patience is how long a layer may lie on no card of its group before the group
-	// is laid out anew, which takes two to four: most cards that crash are back, empty,
-	// within two to five seconds, and need time to load as well.
-	patience = 3500 * time.Millisecond
-	// leavesFor is how long a backend server whose record vanished without a sign of
-	// death may still serve: some leave without a word and serve for the 2 to 4 s of a
-	// drain and more. Layers that others give up are not dropped at once meanwhile: 71
-	// streams that passed such a card were stopped by it.
-	leavesFor = 8 * time.Second
-	// ordersAtOnce bounds the orders that are sent at the same moment.
-	ordersAtOnce = 8
+	maxLoadSlowdown = 4
+	// probeRetryInterval is the time between two probes of a backend server that did
+	// not answer one.
+	probeRetryInterval = time.Second
+	// settleDelay is how long the number of empty backend servers must be unchanged
+	// before a first placement, since they register one after the other.
+	settleDelay = 1200 * time.Millisecond
+	// freshPeriod is how long a backend server that registered empty is reserved for
+	// the layers of one that is about to drain. A rolling replacement starts the new
+	// one first.
+	freshPeriod = 1500 * time.Millisecond
+	// rebuildDelay is how long the backend servers of a group may fail to cover a
+	// layer before the group is rebuilt. A rebuild takes seconds, and most crashed
+	// backend servers return empty within seconds and then load layers as well.
+	rebuildDelay = 3500 * time.Millisecond
+	// departureGracePeriod is how long a backend server whose record vanished without
+	// a sign of death may still serve, for example while it drains. No layers are
+	// dropped at once meanwhile, so that requests that pass through it are not
+	// interrupted.
+	departureGracePeriod = 8 * time.Second
+	// maxConcurrentOrders bounds the orders that are sent concurrently.
+	maxConcurrentOrders = 8
 )
 
-// Duty tells whether this daemon holds the duty now.
+// Duty reports whether this daemon holds the placement lease.
 type Duty interface {
 	Held() (fencing uint64, ok bool)
 }
 
-// Backends gives orders to backend servers.
+// Backends sends orders to backend servers.
 type Backends interface {
 	Report(ctx context.Context, s *site.BackendServer) (forward.Report, error)
-	// Hold orders a backend server to hold layers if it has taken just so many
-	// orders before. Layers that it gives up are dropped at once, with the requests
-	// that pass through them, or when those have ended.
+	// Hold orders a backend server to hold layers if it has accepted exactly after
+	// orders before. With atOnce, layers that it no longer holds are dropped at once
+	// together with the requests that pass through them, else when those requests
+	// have ended.
 	Hold(ctx context.Context, s *site.BackendServer, layers site.Range, atOnce bool, after, fence uint64) error
 }
 
-// Inventory gives what is known of the site.
+// Inventory provides the known state of the site.
 type Inventory interface {
 	View() *inventory.View
 	Changed() <-chan struct{}
 }
 
-// Health tells which backend servers look dead to this daemon's requests.
+// Health reports which backend servers look dead to this daemon's requests.
 type Health interface {
 	Failed(id string) bool
 }
 
-// Observer is told how many requests the layout of a service holds at once.
+// Observer receives the number of requests that the layout of a service can hold at
+// once.
 type Observer interface {
 	Bound(service string, requests int)
 }
 
-// Placer is one daemon's part in the duty.
+// Placer places the layers of all services while this daemon holds the lease.
 type Placer struct {
-	duty     Duty
+	lease    Duty
 	inv      Inventory
 	backends Backends
 	health   Health
-	observe  Observer
+	observer Observer
 	logger   log.Logger
 
-	dead  map[string]time.Time           // by backend server ID, when the probe failed
-	fresh map[string]time.Time           // by backend server ID, when it was first seen empty
-	seen  map[string]*site.BackendServer // those that held layers when last looked at, by ID
-	left  time.Time                      // when one of them was last missing without a sign of death
-	homes map[string]string              // by address, the backend server last seen there
+	dead          map[string]time.Time           // by backend server ID, when the probe failed
+	freshSince    map[string]time.Time           // by backend server ID, when it was first found empty; zero if it restarted
+	holders       map[string]*site.BackendServer // by ID, the backend servers that held layers at the last check
+	lastDeparture time.Time                      // when one of holders last vanished without a sign of death
+	lastServerAt  map[string]string              // by address, the ID of the last backend server there
 
 	mu      sync.Mutex
-	pending map[string]order // by backend server ID
+	pending map[string]pendingOrder // by backend server ID
 
-	brokenSince time.Time                 // the cards of a group do not cover all layers since then, zero for none
-	bounds      map[string]pipeline.Bound // as last logged, by service
+	incompleteSince time.Time                 // since when a group does not cover all layers, zero if all do
+	bounds          map[string]pipeline.Bound // last logged value, by service
 
-	empty      int       // cards seen without any layers placed
-	emptySince time.Time // when their number last changed
+	emptyCount     int       // backend servers found while none held layers
+	emptyChangedAt time.Time // when emptyCount last changed
 }
 
-// order is one that is under way.
-type order struct {
+// pendingOrder is an order that was sent but does not show yet.
+type pendingOrder struct {
 	layers site.Range
 	until  time.Time // when it counts as lost
 }
 
-// New returns a placer; Run must be called.
-func New(duty Duty, inv Inventory, b Backends, h Health, o Observer, logger log.Logger) *Placer {
+// New returns a placer; the caller must call Run.
+func New(lease Duty, inv Inventory, b Backends, h Health, o Observer, logger log.Logger) *Placer {
 	return &Placer{
-		duty: duty, inv: inv, backends: b, health: h, observe: o, logger: logger,
-		dead: map[string]time.Time{}, fresh: map[string]time.Time{}, seen: map[string]*site.BackendServer{}, homes: map[string]string{},
-		pending: map[string]order{}, bounds: map[string]pipeline.Bound{},
+		lease: lease, inv: inv, backends: b, health: h, observer: o, logger: logger,
+		dead: map[string]time.Time{}, freshSince: map[string]time.Time{}, holders: map[string]*site.BackendServer{}, lastServerAt: map[string]string{},
+		pending: map[string]pendingOrder{}, bounds: map[string]pipeline.Bound{},
 	}
 }
 
-// Run places until ctx ends.
+// Run places layers until ctx ends.
 func (p *Placer) Run(ctx context.Context) {
-	t := time.NewTicker(round)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		changed := p.inv.Changed()
-		if fence, ok := p.duty.Held(); ok {
+		if fence, ok := p.lease.Held(); ok {
 			p.step(ctx, fence)
 		}
 		select {
@@ -146,7 +149,7 @@
 	}
 }
 
-// step gives the orders that are due.
+// step sends the orders that are due.
 func (p *Placer) step(ctx context.Context, fence uint64) {
 	view := p.inv.View()
 	if view.Config == nil {
@@ -156,49 +159,50 @@
 		if svc.Engine == nil || svc.Engine.LayerMB <= 0 {
 			continue
 		}
-		p.noteLeft(view, svc, time.Now())
+		p.noteDepartures(view, svc, time.Now())
 		p.probe(ctx, view, svc)
-		cards := p.cards(view, svc)
-		if !p.settled(cards) {
+		servers := p.servers(view, svc)
+		if !p.settled(servers) {
 			continue
 		}
-		p.noteBound(svc, cards)
+		p.updateBound(svc, servers)
 		now := time.Now()
-		orders := p.decide(svc.Engine, cards, now)
-		if !view.Config.RepeatableAt(svc.Name) || now.Sub(p.left) < leavesFor {
+		orders := p.decide(svc.Engine, servers, now)
+		if !view.Config.RepeatableAt(svc.Name) || now.Sub(p.lastDeparture) < departureGracePeriod {
 			orders = graceful(orders)
 		}
-		p.give(ctx, svc.Engine, orders, fence)
+		p.sendOrders(ctx, svc.Engine, orders, fence)
 	}
 }
 
-// noteLeft notes backend servers that held layers and are gone although they neither
-// drained nor looked dead. It is called before the dead are forgotten with their
-// records.
-func (p *Placer) noteLeft(view *inventory.View, svc *site.Service, now time.Time) {
-	there := map[string]bool{}
+// noteDepartures records that backend servers with layers have vanished although they
+// neither drained nor looked dead. It must run before probe removes the entries of
+// p.dead that have no record.
+func (p *Placer) noteDepartures(view *inventory.View, svc *site.Service, now time.Time) {
+	addresses := map[string]bool{}
 	for _, s := range view.OfService(svc.Name) {
-		there[s.Address] = true
+		addresses[s.Address] = true
 	}
-	for id, s := range p.seen {
+	for id, s := range p.holders {
 		if s.Service != svc.Name || view.Servers[id] != nil {
 			continue
 		}
-		delete(p.seen, id)
-		ended := there[s.Address] // another incarnation is where it was
-		if _, dead := p.dead[id]; !dead && !ended && !s.Draining && !p.health.Failed(id) {
-			p.left = now
+		delete(p.holders, id)
+		restarted := addresses[s.Address] // another incarnation has its address
+		if _, dead := p.dead[id]; !dead && !restarted && !s.Draining && !p.health.Failed(id) {
+			p.lastDeparture = now
 			_ = level.Info(p.logger).Log("msg", "decision", "kind", "left", "server", id, "address", s.Address, "from", s.Held.From, "to", s.Held.To)
 		}
 	}
 	for _, s := range view.OfService(svc.Name) {
 		if s.Held.Len() > 0 {
-			p.seen[s.ID] = s
+			p.holders[s.ID] = s
 		}
 	}
 }
 
-// graceful returns orders that drop layers only when no request passes through them.
+// graceful returns the orders with AtOnce cleared: layers are dropped only when no
+// request passes through them.
 func graceful(orders []pipeline.Order) []pipeline.Order {
 	out := slices.Clone(orders)
 	for i := range out {
@@ -207,20 +211,20 @@
 	return out
 }
 
-// noteBound logs which layers bind a service when that changes.
-func (p *Placer) noteBound(svc *site.Service, cards []pipeline.Card) {
-	b := pipeline.BoundOf(svc.Engine, cards)
+// updateBound logs and reports the bound of a service when it changes.
+func (p *Placer) updateBound(svc *site.Service, servers []pipeline.Card) {
+	b := pipeline.BoundOf(svc.Engine, servers)
 	if b == p.bounds[svc.Name] {
 		return
 	}
 	p.bounds[svc.Name] = b
-	p.observe.Bound(svc.Name, b.Requests)
-	_ = level.Info(p.logger).Log("msg", "decision", "kind", "bound", "service", svc.Name, "cards", len(cards),
+	p.observer.Bound(svc.Name, b.Requests)
+	_ = level.Info(p.logger).Log("msg", "decision", "kind", "bound", "service", svc.Name, "cards", len(servers),
 		"requests_at_once", b.Requests, "from", b.Layers.From, "to", b.Layers.To)
 }
 
-// probe asks the backend servers that look dead for a report. One that does not
-// answer counts as gone, well before its record lapses.
+// probe requests a report from the backend servers that look dead. One that does not
+// answer is excluded from placement, well before its record expires.
 func (p *Placer) probe(ctx context.Context, view *inventory.View, svc *site.Service) {
 	now := time.Now()
 	for id := range p.dead {
@@ -230,12 +234,12 @@
 	}
 	for _, s := range view.OfService(svc.Name) {
 		at, dead := p.dead[s.ID]
-		if !dead && !p.health.Failed(s.ID) || dead && now.Sub(at) < probeAgain {
+		if !dead && !p.health.Failed(s.ID) || dead && now.Sub(at) < probeRetryInterval {
 			continue
 		}
 		_, err := p.backends.Report(ctx, s)
 		switch {
-		case errors.Is(err, forward.ErrNoPermit): // asked again in the next round
+		case errors.Is(err, forward.ErrNoPermit): // retried in the next round
 		case err == nil && dead:
 			delete(p.dead, s.ID)
 			_ = level.Info(p.logger).Log("msg", "decision", "kind", "probe", "server", s.ID, "state", "answers again")
@@ -248,41 +252,43 @@
 	}
 }
 
-// decide places with patience as long as a group has not been broken for long.
-func (p *Placer) decide(e *site.Engine, cards []pipeline.Card, now time.Time) []pipeline.Order {
-	plan := pipeline.Place(e, cards, true)
+// decide returns the orders of a patient placement until a group has been incomplete
+// for rebuildDelay, then those of one that may rebuild groups.
+func (p *Placer) decide(e *site.Engine, servers []pipeline.Card, now time.Time) []pipeline.Order {
+	plan := pipeline.Place(e, servers, true)
 	if !plan.Broken {
-		p.brokenSince = time.Time{}
+		p.incompleteSince = time.Time{}
 		return plan.Orders
 	}
-	if p.brokenSince.IsZero() {
-		p.brokenSince = now
+	if p.incompleteSince.IsZero() {
+		p.incompleteSince = now
 	}
-	if now.Sub(p.brokenSince) < patience {
+	if now.Sub(p.incompleteSince) < rebuildDelay {
 		return plan.Orders
 	}
-	return pipeline.Place(e, cards, false).Orders
+	return pipeline.Place(e, servers, false).Orders
 }
 
-// settled reports whether a placement may begin: at once when some card holds
-// layers, else when no further card has registered for a while.
-func (p *Placer) settled(cards []pipeline.Card) bool {
-	if slices.ContainsFunc(cards, func(c pipeline.Card) bool { return c.Ordered.Len() > 0 }) {
+// settled reports whether a placement may begin: at once when some backend server
+// holds layers, else when the number of backend servers has been unchanged for
+// settleDelay.
+func (p *Placer) settled(servers []pipeline.Card) bool {
+	if slices.ContainsFunc(servers, func(c pipeline.Card) bool { return c.Ordered.Len() > 0 }) {
 		return true
 	}
 	now := time.Now()
-	if len(cards) != p.empty {
-		p.empty, p.emptySince = len(cards), now
+	if len(servers) != p.emptyCount {
+		p.emptyCount, p.emptyChangedAt = len(servers), now
 	}
-	return now.Sub(p.emptySince) >= settle
+	return now.Sub(p.emptyChangedAt) >= settleDelay
 }
 
-func (p *Placer) cards(view *inventory.View, svc *site.Service) []pipeline.Card {
+func (p *Placer) servers(view *inventory.View, svc *site.Service) []pipeline.Card {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	var out []pipeline.Card
-	maps.DeleteFunc(p.fresh, func(id string, _ time.Time) bool { return view.Servers[id] == nil })
+	maps.DeleteFunc(p.freshSince, func(id string, _ time.Time) bool { return view.Servers[id] == nil })
 	for _, s := range view.OfService(svc.Name) {
 		if _, dead := p.dead[s.ID]; dead {
 			continue
@@ -301,64 +307,64 @@
 	return out
 }
 
-// isFresh reports whether a card came empty a moment ago, at an address of its own:
-// one at the address of another has only been started again, and replaces nobody.
+// isFresh reports whether a backend server registered empty less than freshPeriod
+// ago, at a new address. One at a known address has restarted and replaces no other.
 func (p *Placer) isFresh(s *site.BackendServer, now time.Time) bool {
-	before := p.homes[s.Address]
-	p.homes[s.Address] = s.ID
+	before := p.lastServerAt[s.Address]
+	p.lastServerAt[s.Address] = s.ID
 	if s.Held.Len() > 0 {
 		return false
 	}
 	if before != "" && before != s.ID {
-		p.fresh[s.ID] = time.Time{}
+		p.freshSince[s.ID] = time.Time{}
 	}
-	if _, known := p.fresh[s.ID]; !known {
-		p.fresh[s.ID] = now
+	if _, known := p.freshSince[s.ID]; !known {
+		p.freshSince[s.ID] = now
 	}
-	return now.Sub(p.fresh[s.ID]) < freshFor
+	return now.Sub(p.freshSince[s.ID]) < freshPeriod
 }
 
-// give sends orders, several at once. Whoever receives an order counts as busy
-// until it shows.
-func (p *Placer) give(ctx context.Context, e *site.Engine, orders []pipeline.Order, fence uint64) {
-	limit := make(chan struct{}, ordersAtOnce)
+// sendOrders sends orders concurrently. A backend server that gets an order counts as
+// busy until the order shows in its record.
+func (p *Placer) sendOrders(ctx context.Context, e *site.Engine, orders []pipeline.Order, fence uint64) {
+	limit := make(chan struct{}, maxConcurrentOrders)
 	var wg sync.WaitGroup
 	for _, o := range orders {
 		limit <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-limit }()
-			p.order(ctx, e, o, fence)
+			p.sendOrder(ctx, e, o, fence)
 		})
 	}
 	wg.Wait()
 }
 
-// expect counts a backend server as busy with an order until it shows, for a while
-// at most.
-func (p *Placer) expect(o pipeline.Order, atMost time.Duration) {
+// markBusy marks a backend server as busy with an order until the order shows in its
+// record, or for the timeout.
+func (p *Placer) markBusy(o pipeline.Order, timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pending[o.Server.ID] = order{layers: o.Layers, until: time.Now().Add(atMost)}
+	p.pending[o.Server.ID] = pendingOrder{layers: o.Layers, until: time.Now().Add(timeout)}
 }
 
-func (p *Placer) order(ctx context.Context, e *site.Engine, o pipeline.Order, fence uint64) {
-	if _, ok := p.duty.Held(); !ok {
-		return // lost while earlier orders were sent
+func (p *Placer) sendOrder(ctx context.Context, e *site.Engine, o pipeline.Order, fence uint64) {
+	if _, ok := p.lease.Held(); !ok {
+		return // lost while previous orders were sent
 	}
 	rep, err := p.backends.Report(ctx, o.Server)
 	if err != nil || rep.Busy {
 		_ = level.Warn(p.logger).Log("msg", "order not sent", "server", o.Server.ID, "busy", rep.Busy, "err", err)
-		p.expect(o, orderAgain)
+		p.markBusy(o, orderRetryDelay)
 		return
 	}
 	err = p.backends.Hold(ctx, o.Server, o.Layers, o.AtOnce, rep.Orders, fence)
 	switch {
 	case err == nil:
-		p.expect(o, orderShows+loadsSlowed*e.LoadTime(o.Layers.Len()))
+		p.markBusy(o, orderVisibleTimeout+maxLoadSlowdown*e.LoadTime(o.Layers.Len()))
 	case errors.Is(err, forward.ErrOrderRefused) || errors.Is(err, execution.ErrNotSent):
-		p.expect(o, round)
+		p.markBusy(o, pollInterval)
 	default:
-		p.expect(o, orderAgain)
+		p.markBusy(o, orderRetryDelay)
 	}
 	_ = level.Info(p.logger).Log("msg", "decision", "kind", "placement", "server", o.Server.ID, "address", o.Server.Address,
 		"card", o.Server.Kind, "domain", o.Server.FailureDomain, "held_from", o.Server.Held.From, "held_to", o.Server.Held.To,
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -19,36 +19,35 @@
 
 const model = "model"
 
-// cluster is an inventory, a duty and backend servers in one; it implements what
-// a placer needs.
+// cluster is an inventory, a lease, the backend servers and the observer of a placer.
 type cluster struct {
 	mu      sync.Mutex
 	held    bool
 	servers map[string]*site.BackendServer
 	orders  map[string][]site.Range
-	late    map[string]time.Duration // after which the first order, without an answer, arrives
+	delays  map[string]time.Duration // delay of the first order, which gets no answer
 	failed  map[string]bool
 	dead    map[string]bool
 	changed chan struct{}
 	onOrder func()
 	load    time.Duration // of the whole model
-	bound   int           // as last told, in requests
+	bound   int           // last observed value, in requests
 	routes  []*site.Route
-	dropped int // orders to drop layers at once
+	dropped int // orders that drop layers at once
 }
 
-func newCluster(cards int) *cluster {
+func newCluster(servers int) *cluster {
 	c := &cluster{
-		held: true, load: time.Second, servers: map[string]*site.BackendServer{}, orders: map[string][]site.Range{}, late: map[string]time.Duration{},
+		held: true, load: time.Second, servers: map[string]*site.BackendServer{}, orders: map[string][]site.Range{}, delays: map[string]time.Duration{},
 		failed: map[string]bool{}, dead: map[string]bool{}, changed: make(chan struct{}),
 	}
-	for i := range cards {
+	for i := range servers {
 		c.add(fmt.Sprintf("card-%d", i))
 	}
 	return c
 }
 
-// add registers an empty card.
+// add registers an empty backend server.
 func (c *cluster) add(id string) { c.addAt(id, id) }
 
 func (c *cluster) addAt(id, address string) {
@@ -72,8 +71,8 @@
 	defer c.mu.Unlock()
 	e := &site.Engine{
 		Slots: 100, Layers: 4, LayerMB: 100, KVTokenBytes: 400000, Prompt: 10, Answer: 10,
-		// With room for 46 requests a large card holds two layers and another one, with
-		// less room three and two.
+		// With capacity for 46 requests the large backend server holds two layers and
+		// others one, with less capacity three and two.
 		Kinds: map[string]site.Accelerator{
 			"large": {MemoryMB: 340, Pace: 1, ReadPace: 1},
 			"card":  {MemoryMB: 230, Pace: 1, ReadPace: 1},
@@ -119,21 +118,21 @@
 	if atOnce {
 		c.dropped++
 	}
-	if late, ok := c.late[s.ID]; ok {
-		delete(c.late, s.ID)
-		time.AfterFunc(late, func() {
+	if delay, ok := c.delays[s.ID]; ok {
+		delete(c.delays, s.ID)
+		time.AfterFunc(delay, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			_ = c.take(s.ID, layers, after)
+			_ = c.apply(s.ID, layers, after)
 		})
 		return execution.ErrLost
 	}
-	return c.take(s.ID, layers, after)
+	return c.apply(s.ID, layers, after)
 }
 
-// take carries an order out if just so many came before it. The caller holds the
-// lock.
-func (c *cluster) take(id string, layers site.Range, after uint64) error {
+// apply carries out an order if its number of previous orders is correct. The caller
+// must hold c.mu.
+func (c *cluster) apply(id string, layers site.Range, after uint64) error {
 	if int(after) != len(c.orders[id]) {
 		return forward.ErrOrderRefused
 	}
@@ -144,21 +143,21 @@
 	return nil
 }
 
-// layersOf returns the layers that a card holds.
+// layersOf returns the layers that a backend server holds.
 func (c *cluster) layersOf(id string) site.Range {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers[id].Held
 }
 
-// remove takes a card away.
+// remove deletes the record of a backend server.
 func (c *cluster) remove(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.servers, id)
 }
 
-func (c *cluster) total() int {
+func (c *cluster) totalOrders() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -168,13 +167,13 @@
 	return n
 }
 
-func (c *cluster) taken(id string) int {
+func (c *cluster) orderCount(id string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.orders[id])
 }
 
-// kill lets a card die that holds so many layers.
+// kill makes a backend server fail that holds the given number of layers.
 func (c *cluster) kill(t *testing.T, layers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,10 +183,10 @@
 			return
 		}
 	}
-	require.Fail(t, "no card holds so many layers")
+	require.Fail(t, "no backend server holds this number of layers")
 }
 
-func run(t *testing.T, c *cluster) {
+func startPlacer(t *testing.T, c *cluster) {
 	p := New(c, c, c, c, c, log.NewNopLogger())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -201,118 +200,117 @@
 	})
 }
 
-func TestPlacesOnceAndThenLeavesTheCardsAlone(t *testing.T) {
+func TestPlacesOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(4)
-		run(t, c)
-		time.Sleep(settle / 2)
-		require.Zero(t, c.total(), "more cards may register")
+		startPlacer(t, c)
+		time.Sleep(settleDelay / 2)
+		require.Zero(t, c.totalOrders(), "more backend servers may register")
 		time.Sleep(time.Minute)
-		require.Equal(t, 4, c.total())
+		require.Equal(t, 4, c.totalOrders())
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		require.Positive(t, c.bound)
 	})
 }
 
-func TestWithoutTheDutyNoOrders(t *testing.T) {
+func TestNoOrdersWithoutLease(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(4)
 		c.held = false
-		run(t, c)
+		startPlacer(t, c)
 		time.Sleep(time.Minute)
-		require.Zero(t, c.total())
+		require.Zero(t, c.totalOrders())
 	})
 }
 
-func TestDutyLostBetweenOrdersStopsTheRest(t *testing.T) {
+func TestLosingLeaseStopsRemainingOrders(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(40)
 		c.onOrder = func() { c.held = false }
-		run(t, c)
+		startPlacer(t, c)
 		time.Sleep(time.Minute)
-		require.LessOrEqual(t, c.total(), ordersAtOnce)
+		require.LessOrEqual(t, c.totalOrders(), maxConcurrentOrders)
 	})
 }
 
-// An order without an answer is given again soon, and names the same orders before
-// it: of the two, whenever the first is carried out, only one is.
-func TestOrderWithoutAnAnswerMayStillBeCarriedOut(t *testing.T) {
-	for _, late := range []time.Duration{0, orderAgain / 2, 5 * time.Second, 12 * time.Second} {
-		t.Run(late.String(), func(t *testing.T) {
+// An unanswered order is retried with the same number of previous orders. Guards
+// against carrying out both.
+func TestUnansweredOrderIsCarriedOutOnce(t *testing.T) {
+	for _, delay := range []time.Duration{0, orderRetryDelay / 2, 5 * time.Second, 12 * time.Second} {
+		t.Run(delay.String(), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
 				c := newCluster(4)
-				c.late["card-0"] = late
-				run(t, c)
-				time.Sleep(settle + 2*round + 2*orderAgain)
-				require.Equal(t, 1, c.taken("card-0"), "it does not wait for the late one")
+				c.delays["card-0"] = delay
+				startPlacer(t, c)
+				time.Sleep(settleDelay + 2*pollInterval + 2*orderRetryDelay)
+				require.Equal(t, 1, c.orderCount("card-0"), "the retry does not wait for the delayed order")
 				held := c.layersOf("card-0")
 				require.Positive(t, held.Len())
 				time.Sleep(20 * time.Second)
-				require.Equal(t, 1, c.taken("card-0"), "the late one is not carried out on top of it")
+				require.Equal(t, 1, c.orderCount("card-0"), "the delayed order is not carried out as well")
 				require.Equal(t, held, c.layersOf("card-0"))
 			})
 		})
 	}
 }
 
-func TestCardThatLooksDeadIsReplacedBeforeItsRecordLapses(t *testing.T) {
+func TestDeadServerIsReplacedBeforeItsRecordExpires(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(3) // they hold two layers, one and one
-		run(t, c)
+		startPlacer(t, c)
 		time.Sleep(10 * time.Second)
-		before := c.total()
+		before := c.totalOrders()
 		c.kill(t, 1)
 		time.Sleep(3 * time.Second)
-		require.Greater(t, c.total(), before, "a neighbour takes its layer over")
+		require.Greater(t, c.totalOrders(), before, "a neighbor takes its layer over")
 	})
 }
 
-func TestCardThatJustCameIsKeptForOneThatLeaves(t *testing.T) {
+func TestFreshServerIsReserved(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(2)
-		run(t, c)
+		startPlacer(t, c)
 		time.Sleep(10 * time.Second)
-		require.Zero(t, c.taken("card-new"))
+		require.Zero(t, c.orderCount("card-new"))
 		c.add("card-new")
-		time.Sleep(freshFor - 2*round)
-		require.Zero(t, c.taken("card-new"), "one may be about to leave")
-		time.Sleep(4 * round)
-		require.Equal(t, 1, c.taken("card-new"))
+		time.Sleep(freshPeriod - 2*pollInterval)
+		require.Zero(t, c.orderCount("card-new"), "another server may be about to drain")
+		time.Sleep(4 * pollInterval)
+		require.Equal(t, 1, c.orderCount("card-new"))
 	})
 }
 
-func TestCardThatIsStartedAgainIsUsedAtOnce(t *testing.T) {
+func TestRestartedServerIsUsedAtOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(3)
-		run(t, c)
+		startPlacer(t, c)
 		time.Sleep(10 * time.Second)
 		c.remove("card-0")
 		time.Sleep(5 * time.Second)
 		c.addAt("card-0-again", "card-0")
-		time.Sleep(2 * round)
-		require.Equal(t, 1, c.taken("card-0-again"))
+		time.Sleep(2 * pollInterval)
+		require.Equal(t, 1, c.orderCount("card-0-again"))
 	})
 }
 
-func TestPipelineIsLaidOutAnewOnlyAfterAWhile(t *testing.T) {
+func TestPipelineIsRebuiltOnlyAfterDelay(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(3)
 		c.load = 20 * time.Second
-		run(t, c)
+		startPlacer(t, c)
 		time.Sleep(10 * time.Second)
-		before := c.total()
-		c.kill(t, 2) // the others would read weights for longer than it may be away
-		time.Sleep(patience - time.Second)
-		require.Equal(t, before, c.total(), "the card may come back")
+		before := c.totalOrders()
+		c.kill(t, 2) // the others would load weights for longer than a crashed server is away
+		time.Sleep(rebuildDelay - time.Second)
+		require.Equal(t, before, c.totalOrders(), "the server may return")
 		time.Sleep(3 * time.Second)
-		require.Greater(t, c.total(), before)
+		require.Greater(t, c.totalOrders(), before)
 	})
 }
 
-// Requests that cannot go on elsewhere would be lost with the layers they pass: then
-// layers are dropped only when nothing passes them.
-func TestLayersAreDroppedAtOnceOnlyUnderRepeatableRequests(t *testing.T) {
+// Layers are not dropped at once if the requests on them cannot be resumed elsewhere.
+func TestLayersAreDroppedAtOnceOnlyWithRepeatableRequests(t *testing.T) {
 	for name, resumable := range map[string]bool{"resumable": true, "not resumable": false} {
 		t.Run(name, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
@@ -320,7 +318,7 @@
 				c.routes = []*site.Route{{
 					Name: "r", Host: "h", Prefix: "/", Repeat: site.Stream, Resumable: resumable, Targets: []site.Target{{Service: model, Weight: 1}},
 				}}
-				run(t, c)
+				startPlacer(t, c)
 				time.Sleep(10 * time.Second)
 				c.kill(t, 1)
 				time.Sleep(time.Minute)
@@ -332,14 +330,14 @@
 	}
 }
 
-// A backend server whose record vanishes without a sign of death may still serve: the
-// requests that pass it and others are not stopped for its layers.
-func TestLayersAreKeptWhileOneThatLeftMayServe(t *testing.T) {
+// A backend server whose record vanishes without a sign of death may still serve.
+// Guards against dropping layers of requests that pass through it.
+func TestLayersAreKeptWhileDepartedServerMayServe(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(3)
-		run(t, c)
+		startPlacer(t, c)
 		time.Sleep(10 * time.Second)
-		before := c.total()
+		before := c.totalOrders()
 		for id, s := range c.View().Servers {
 			if s.Held.Len() == 1 {
 				c.remove(id)
@@ -347,7 +345,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		require.Greater(t, c.total(), before, "its layer is taken over")
+		require.Greater(t, c.totalOrders(), before, "its layer is taken over")
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		require.Zero(t, c.dropped)
