--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -179,11 +179,9 @@
 	return slices.Contains(g.holders()[layers.From:layers.To], 0)
 }
 
-// blocked reports whether no request can pass through an uncovered range: no server
-// of the group holds some of its layers, nor does a draining one.
-func (g *group) blocked(uncovered site.Range) bool {
-	return g.hasUnheldLayer(uncovered) && !g.heldByDraining(uncovered)
-}
+// blocked reports whether no request can pass through a range: no server of the group
+// holds some of its layers, nor does a draining one.
+func (g *group) blocked(r site.Range) bool { return g.hasUnheldLayer(r) && !g.heldByDraining(r) }
 
 // uncoveredRanges returns the ranges of layers that are held by fewer servers than
 // there are pipelines.
