--- a/pipeline/neighborsplit.go
+++ b/pipeline/neighborsplit.go
@@ -15,7 +15,7 @@
 	capacity        float64 // typical requests that the fuller of the two can then hold
 }
 
-// orderNeighborSplit orders the layers of an uncovered range to its neighbors.
+// orderNeighborSplit assigns the layers of an uncovered range to its neighbors.
 func (g *group) orderNeighborSplit(h neighborSplit, uncovered site.Range) {
 	reason := fmt.Sprintf("layers %d-%d are held by too few backend servers, taken over by their neighbors", uncovered.From, uncovered.To)
 	if h.at > uncovered.From {
--- a/pipeline/window.go
+++ b/pipeline/window.go
@@ -186,14 +186,16 @@
 	return out
 }
 
-// before returns the server whose layers end where a window begins, -1 for none.
+// before returns the server whose layers end where a window begins, -1 for none. In a
+// group with one pipeline the layers may overlap the window.
 func (g *group) before(w window) int {
 	return g.neighbor(w, func(r site.Range) bool {
 		return r.From < w.layers.From && (r.To == w.layers.From || g.copies == 1 && w.layers.From < r.To && r.To <= w.layers.To)
 	})
 }
 
-// after returns the server whose layers begin where a window ends, -1 for none.
+// after returns the server whose layers begin where a window ends, -1 for none. In a
+// group with one pipeline the layers may overlap the window.
 func (g *group) after(w window) int {
 	return g.neighbor(w, func(r site.Range) bool {
 		return r.To > w.layers.To && (r.From == w.layers.To || g.copies == 1 && w.layers.From <= r.From && r.From < w.layers.To)
@@ -215,7 +217,8 @@
 	return best
 }
 
-// orderWindow orders the layers of a window. A server that takes none gets no order.
+// orderWindow assigns the layers of a window to its servers. A server that takes none
+// gets no order.
 func (g *group) orderWindow(w window, reason string) {
 	for i, r := range w.ranges() {
 		if at := w.servers[i]; r.Len() > 0 && r != g.servers[at].Ordered {
