--- a/relay/age_test.go
+++ b/relay/age_test.go
@@ -13,41 +13,41 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// fleetModel holds the daemons of several failure domains, each a tree below its
-// source, that exchange loads on a clock and without links: their sums and what is told
-// of them are the real ones.
+// fleetModel simulates the exchange of loads between the daemons of several failure
+// domains, each a tree below its source. It runs on a virtual clock without links and uses
+// the real sums and encodings.
 type fleetModel struct {
-	rng    *rand.Rand
-	now    time.Time
-	period time.Duration
-	all    []*modelDaemon
+	rng      *rand.Rand
+	now      time.Time
+	interval time.Duration
+	all      []*modelDaemon
 }
 
-// modelDaemon is a daemon with its link upwards.
+// modelDaemon is a daemon with the two ends of the link to its parent.
 type modelDaemon struct {
-	node   *Node
-	book   *copied
-	above  *modelDaemon // nil for a source
-	next   time.Time
-	up     teller
-	atTop  listener
-	down   teller
-	here   listener
-	toPeer map[*modelDaemon]*peerLink
-	bytes  int
+	node     *Node
+	book     *fakeInventory
+	above    *modelDaemon // nil for a source
+	next     time.Time
+	up       loadReporter // to the parent
+	atParent loadReceiver
+	down     loadReporter // from the parent
+	local    loadReceiver
+	toPeer   map[*modelDaemon]*peerLink
+	bytes    int
 }
 
-// peerLink is what one source tells another.
+// peerLink is one direction of a link between two sources.
 type peerLink struct {
-	told  teller
-	heard listener
+	reporter loadReporter
+	receiver loadReceiver
 }
 
 const (
 	modelDomains = 5
 	modelServers = 222
-	// modelOwnLoads is how many backend servers the requests of one daemon pass: two requests
-	// with eleven hops each.
+	// modelOwnLoads is the number of backend servers that the requests of one daemon pass
+	// through: two requests with eleven hops each.
 	modelOwnLoads = 22
 )
 
@@ -58,18 +58,18 @@
 		servers[fmt.Sprintf("i-%010x", i)] = inventory.Entry{}
 	}
 	state := &inventory.State{ConfigVersion: 1, Complete: true, Servers: servers}
-	// Loads go with a ping, so the period is a whole number of those.
-	f.period = (loadsPeriod(modelServers) + pingEvery - 1) / pingEvery * pingEvery
+	// Loads are sent with pings, so the interval is a multiple of pingInterval.
+	f.interval = (loadsInterval(modelServers) + pingInterval - 1) / pingInterval * pingInterval
 	for d := range modelDomains {
 		first := len(f.all)
 		for i := range daemons / modelDomains {
-			book := newCopied(&copySource{})
+			book := newFakeInventory(&fakeStore{})
 			book.state = state
 			o := Options{Name: daemonName(len(f.all)), Domain: string(rune('a' + d))}
-			b := &modelDaemon{node: New(o, book, book, everybody{}, log.NewNopLogger()), book: book, toPeer: map[*modelDaemon]*peerLink{}}
-			b.next = f.now.Add(time.Duration(f.rng.Int64N(int64(f.period))))
+			b := &modelDaemon{node: New(o, book, book, memberList{}, log.NewNopLogger()), book: book, toPeer: map[*modelDaemon]*peerLink{}}
+			b.next = f.now.Add(time.Duration(f.rng.Int64N(int64(f.interval))))
 			if i > 0 {
-				b.above = f.all[first+(i-1)/fanOut]
+				b.above = f.all[first+(i-1)/defaultFanOut]
 			} else {
 				b.node.reading.Store(true)
 			}
@@ -88,18 +88,17 @@
 			f.newLoads(b)
 			if b.above != nil {
 				b.exchange(f.now)
-				b.next = b.next.Add(f.period)
+				b.next = b.next.Add(f.interval)
 			} else {
-				f.askSources(b)
-				b.next = b.next.Add(exchangeFactor * f.period)
+				f.querySources(b)
+				b.next = b.next.Add(exchangeFactor * f.interval)
 			}
-			b.node.takeOthers(f.now)
+			b.node.updateOthers(f.now)
 		}
 	}
 }
 
-// newLoads has the daemon's requests pass other backend servers: they last about as
-// long as a period.
+// newLoads replaces the daemon's requests, which last about one interval.
 func (f *fleetModel) newLoads(b *modelDaemon) {
 	b.book.own = b.book.own[:0]
 	for range modelOwnLoads {
@@ -107,22 +106,22 @@
 	}
 }
 
-// exchange tells the daemon's loads upwards and those of the others back.
+// exchange sends the daemon's loads to its parent and receives those of the others.
 func (b *modelDaemon) exchange(now time.Time) {
 	n, source := b.node, b.above.node
-	below := n.loadsBelow(now)
+	below := n.subtreeLoads(now)
 	p := &ping{Sender: n.opts.Name, Domain: n.opts.Domain, HasLoads: true, Loads: b.up.changes(below.Items), Daemons: below.Daemons, LoadsAge: below.Age}
-	source.ledger.put(n.opts.Name, told{at: now, domain: n.opts.Domain, loads: p.told(&b.atTop, source.serverNames())})
+	source.followerLoads.put(n.opts.Name, loadReport{at: now, domain: n.opts.Domain, loads: p.report(&b.atParent, source.serverNames())})
 	others := source.loadsFor(n.opts.Name, true, now)
 	a := &pong{Loads: b.down.changes(others.Items), Daemons: others.Daemons, LoadsAge: others.Age}
-	n.above.put(sourceLoads, told{at: now, loads: a.told(&b.here, n.serverNames())})
+	n.sourceLoads.put(sourceKey, loadReport{at: now, loads: a.report(&b.local, n.serverNames())})
 	size := frameSize(&frame{Ping: p}) + frameSize(&frame{Pong: a})
 	b.bytes += size
 	b.above.bytes += size
 }
 
-// askSources asks the other sources for the loads of their domains.
-func (f *fleetModel) askSources(b *modelDaemon) {
+// querySources queries the other sources for the loads of their domains.
+func (f *fleetModel) querySources(b *modelDaemon) {
 	for _, o := range f.all {
 		if o.above != nil || o == b {
 			continue
@@ -132,8 +131,8 @@
 		}
 		link := o.toPeer[b]
 		loads := o.node.loadsFor(b.node.opts.Name, false, f.now)
-		a := &pong{Loads: link.told.changes(loads.Items), Daemons: loads.Daemons, LoadsAge: loads.Age}
-		b.node.otherDomains.put(o.node.opts.Domain, told{at: f.now, domain: o.node.opts.Domain, loads: a.told(&link.heard, b.node.serverNames())})
+		a := &pong{Loads: link.reporter.changes(loads.Items), Daemons: loads.Daemons, LoadsAge: loads.Age}
+		b.node.domainLoads.put(o.node.opts.Domain, loadReport{at: f.now, domain: o.node.opts.Domain, loads: a.report(&link.receiver, b.node.serverNames())})
 		size := frameSize(&frame{Pong: a})
 		b.bytes += size
 		o.bytes += size
@@ -148,8 +147,8 @@
 	return len(data)
 }
 
-// BenchmarkLoadsOfAFleet reports how old the loads of the others are as they come to
-// a daemon, and what it and the busiest one spend on telling them, pings aside.
+// BenchmarkLoadsOfAFleet reports the age of the received loads, and the bytes that a
+// typical daemon and the busiest one spend on them, without pings.
 func BenchmarkLoadsOfAFleet(b *testing.B) {
 	const length = time.Minute
 	for _, daemons := range []int{30, 300, 380} {
@@ -174,16 +173,16 @@
 	}
 }
 
-// Every daemon of a fleet comes to know the loads of all others.
+// Every daemon of a fleet receives the loads of all others.
 func TestLoadsOfAFleetReachAll(t *testing.T) {
 	f := newFleetModel(300)
 	f.run(30 * time.Second)
 	for _, b := range f.all {
 		if b.book.daemons != 299 {
-			t.Fatalf("%s knows the loads of %d others", b.node.opts.Name, b.book.daemons)
+			t.Fatalf("%s: got the loads of %d others, want 299", b.node.opts.Name, b.book.daemons)
 		}
 		if b.book.age <= 0 || b.book.age > 20*time.Second {
-			t.Fatalf("%s: loads of age %s", b.node.opts.Name, b.book.age)
+			t.Fatalf("%s: age of loads is %s, want between 0 and 20s", b.node.opts.Name, b.book.age)
 		}
 	}
 }
--- a/relay/candidates.go
+++ b/relay/candidates.go
@@ -9,18 +9,17 @@
 type Member struct {
 	Name    string
 	Domain  string
-	Address string // of its links
+	Address string // where it serves links
 }
 
 // Members lists the daemons, this one included.
 type Members interface{ All() []Member }
 
-// candidates returns the daemons that this one may follow, the best first: the
-// one above it in the tree of its domain; the first ones of its domain; then, for
-// all but the first two, the first ones of the other domains. Within a domain a
-// daemon follows only those that come before it in the order of names, and those
-// of another domain only while they follow the store, so daemons never follow
-// each other in a circle.
+// candidates returns the daemons that this one may follow, best first: its parent in the
+// tree of its domain, then the first daemons of the domain, then the first daemon of each
+// other domain. The first two daemons of a domain get none from other domains. Within a
+// domain a daemon follows only daemons whose names sort before its own, and a daemon of
+// another domain only while that one follows the store, so there are no cycles.
 func (n *Node) candidates() []Member {
 	all := n.members.All()
 	var before []Member
@@ -30,12 +29,12 @@
 		}
 	}
 	slices.SortFunc(before, byName)
-	if len(before) < ownSources {
+	if len(before) < sourcesPerDomain {
 		return before
 	}
 	above := (len(before) - 1) / n.opts.FanOut
 	out := []Member{before[above]}
-	for i, m := range before[:ownSources] {
+	for i, m := range before[:sourcesPerDomain] {
 		if i != above {
 			out = append(out, m)
 		}
@@ -48,9 +47,9 @@
 	return append(out, others...)
 }
 
-// nextOfDomain returns the daemons of the own domain that take over from this one: they
-// follow the store while this one is away.
-func (n *Node) nextOfDomain() []Member {
+// successors returns the daemons of this domain that follow the store while this one is
+// away.
+func (n *Node) successors() []Member {
 	var next []Member
 	for _, m := range n.members.All() {
 		if m.Domain == n.opts.Domain && m.Name != n.opts.Name {
@@ -58,13 +57,12 @@
 		}
 	}
 	slices.SortFunc(next, byName)
-	return next[:min(len(next), ownSources)]
+	return next[:min(len(next), sourcesPerDomain)]
 }
 
 func byName(a, b Member) int { return strings.Compare(a.Name, b.Name) }
 
-// otherSources returns the first daemon of each other domain: most likely its
-// source.
+// otherSources returns the first daemon of each other domain, which is usually its source.
 func (n *Node) otherSources() map[string]Member {
 	out := map[string]Member{}
 	for _, m := range n.members.All() {
--- a/relay/condition.go
+++ b/relay/condition.go
@@ -5,41 +5,41 @@
 	"math"
 )
 
-// Condition is what a backend server says of itself.
+// Condition is the state that a backend server reports.
 type Condition struct {
-	Slowdown float64 // how many times longer than usual it takes
-	Full     float64 // share of its memory that is used
-	Waiting  int     // requests that wait there
+	Slowdown float64 // ratio of current to baseline latency
+	Full     float64 // share of memory in use
+	Waiting  int     // queued requests
 }
 
-// Asker asks backend servers.
+// Asker queries backend servers for their condition.
 type Asker interface {
-	// Condition asks one for its condition.
+	// Condition queries one backend server.
 	Condition(ctx context.Context, server string) (Condition, error)
-	// DomainOf returns the failure domain of one, "" if it is not known.
+	// DomainOf returns the failure domain of a backend server, "" if unknown.
 	DomainOf(server string) string
-	// MaybeCrowded returns those of the own failure domain that may be crowded, by the
-	// loads that are known.
+	// MaybeCrowded returns the backend servers of the own failure domain that may be
+	// saturated according to the known loads.
 	MaybeCrowded() []string
 }
 
-// packedCondition is the condition of a slow or crowded backend server on a link, named
-// as in packedLoad.
+// packedCondition is the condition of a slow or saturated backend server on a link. Server
+// is a serverHash.
 type packedCondition struct {
 	_       struct{} `cbor:",toarray"`
 	Server  uint32
-	Tenths  uint16 // how many times longer it takes, in tenths; 0 unless it is slow
-	Percent uint8  // of its memory that is used
-	Waiting uint8  // requests that wait there
+	Tenths  uint16 // slowdown in tenths; 0 unless slow
+	Percent uint8  // share of memory in use
+	Waiting uint8  // queued requests
 }
 
 func packCondition(server uint32, c Condition) packedCondition {
 	p := packedCondition{
-		Server: server, Waiting: uint8(min(waitingMost, max(0, c.Waiting))),
-		Percent: uint8(100 * fullStep * math.Round(min(1, max(0, c.Full))/fullStep)),
+		Server: server, Waiting: uint8(min(maxWaiting, max(0, c.Waiting))),
+		Percent: uint8(100 * usageStep * math.Round(min(1, max(0, c.Full))/usageStep)),
 	}
-	if c.Slowdown >= slowFrom {
-		p.Tenths = uint16(math.Round(10 * min(slowMost, c.Slowdown)))
+	if c.Slowdown >= slowThreshold {
+		p.Tenths = uint16(math.Round(10 * min(maxSlowdown, c.Slowdown)))
 	}
 	return p
 }
@@ -48,20 +48,19 @@
 	return Condition{Slowdown: float64(p.Tenths) / 10, Full: float64(p.Percent) / 100, Waiting: int(p.Waiting)}
 }
 
-// crowded reports whether it has no room for further requests, or soon none.
-func (p packedCondition) crowded() bool {
-	return p.Waiting > 0 || float64(p.Percent) >= 100*crowdedFrom
+// saturated reports whether the backend server is at or near its capacity.
+func (p packedCondition) saturated() bool {
+	return p.Waiting > 0 || float64(p.Percent) >= 100*saturationThreshold
 }
 
-// possible reports whether a backend server can be in such a condition, and whether that
-// is worth a word.
-func (p packedCondition) possible() bool {
-	slow := p.Tenths >= slowFrom*10 && p.Tenths <= slowMost*10
-	well := p.Waiting == 0 && float64(p.Percent) < 100*tellFrom
-	return (slow || p.Tenths == 0 && !well) && p.Percent <= 100
+// valid reports whether the values are in range and bad enough to be reported.
+func (p packedCondition) valid() bool {
+	slow := p.Tenths >= slowThreshold*10 && p.Tenths <= maxSlowdown*10
+	healthy := p.Waiting == 0 && float64(p.Percent) < 100*reportThreshold
+	return (slow || p.Tenths == 0 && !healthy) && p.Percent <= 100
 }
 
-// worse returns the worse of two words on one backend server.
+// worse merges two reports on one backend server, taking the worse of each value.
 func (p packedCondition) worse(q packedCondition) packedCondition {
 	return packedCondition{Server: p.Server, Tenths: max(p.Tenths, q.Tenths), Percent: max(p.Percent, q.Percent), Waiting: max(p.Waiting, q.Waiting)}
 }
--- a/relay/conditions.go
+++ b/relay/conditions.go
@@ -13,131 +13,128 @@
 	"github.com/snowspoke/snowspoke/internal/wait"
 )
 
-// What the fleet knows of backend servers that are slow or crowded, by their own word. A
-// daemon tells the backend servers that it suspects upwards with its pings; the daemon of
-// each failure domain that follows the store asks those of its domain, and those that are
-// crowded by the loads that it knows, goes on asking those that are, and tells the answers
-// downwards and to the other domains. Each is so asked by one daemon.
+// Distribution of slow and saturated backend servers, as they report themselves. A daemon
+// sends suspected servers up the tree with its pings. In each failure domain the daemon
+// that follows the store queries these, the servers of its domain that may be saturated by
+// the known loads, and those already known to be slow or saturated. It sends the results
+// down the tree and to the other domains. Each server is so queried by one daemon.
 
-// Periods and bounds of looking after backend servers.
+// Intervals and bounds of polling backend servers.
 const (
-	// lookEvery is the time between two looks. One that is suspected, or slow, or may be
-	// crowded is asked again after askAgain: each call is paid for. What it tells of itself
-	// is some hundred milliseconds old, so one that was asked too soon is asked again
-	// soon: after two seconds, half of 28 slow ones were not known 3 s after they had
-	// become slow. A crowded one is asked at each look, since requests go elsewhere only
-	// until it has room again.
-	lookEvery = 250 * time.Millisecond
-	askAgain  = time.Second
-	// slowFrom is how many times longer a backend server must take to be told as slow:
-	// less is within what requests of different sizes make.
-	slowFrom = 1.5
-	// slowMost bounds what is believed of a backend server.
-	slowMost = 1000
-	// tellFrom is the share of its memory from which a backend server's condition is told,
-	// crowdedFrom the one from which it is asked at each look, and fullStep that in which
-	// the share is told: requests that are on their way to it take some hundredths.
-	tellFrom    = 0.7
-	crowdedFrom = 0.9
-	fullStep    = 0.02
-	// waitingMost bounds the requests that are told to wait at one.
-	waitingMost = 255
-	// maybeMost bounds those that are asked at one look because they may be crowded. All
-	// of a domain's 86 at the size to come are asked within 1.5 s, and 1,000 cost no more.
-	maybeMost = 16
-	// askAtOnce bounds the calls at one time.
-	askAtOnce = 8
-	// suspectsInPing bounds the suspects that a ping carries, at five bytes each: with 28
-	// of 222 cards slow nearly all paths are. With room for 64 of them, 20 of the 28 were
-	// found 0.7 to 1.3 s later than the others.
-	suspectsInPing = 256
+	// pollInterval is the time between two polls. A saturated server is queried at each
+	// poll, since traffic avoids it until it reports capacity again. Others are queried at
+	// most once per queryInterval, which bounds the cost of the calls. A report lags by
+	// some hundred milliseconds, so an early query can miss a slow server.
+	pollInterval  = 250 * time.Millisecond
+	queryInterval = time.Second
+	// slowThreshold is the slowdown at which a server is reported as slow. Lower values are
+	// within the variation between requests.
+	slowThreshold = 1.5
+	// maxSlowdown bounds the slowdown that is accepted.
+	maxSlowdown = 1000
+	// reportThreshold is the memory share at which a condition is reported,
+	// saturationThreshold the one at which a server counts as saturated. usageStep is the
+	// resolution of reported shares: requests in flight change the share by some
+	// hundredths.
+	reportThreshold     = 0.7
+	saturationThreshold = 0.9
+	usageStep           = 0.02
+	// maxWaiting bounds the reported queue length; it is encoded as uint8.
+	maxWaiting = 255
+	// maxSaturationChecks bounds the servers that one poll queries because they may be
+	// saturated.
+	maxSaturationChecks = 16
+	// maxConcurrentQueries bounds concurrent calls.
+	maxConcurrentQueries = 8
+	// maxSuspects bounds the suspects in a ping, at five bytes each.
+	maxSuspects = 256
 )
 
-// conditionBook keeps the suspects of this daemon and of those below it, and what was told
-// of conditions from each direction. It is safe for concurrent use.
-type conditionBook struct {
+// conditionRegistry holds the suspects of this daemon and its followers, and the
+// conditions received from each peer. It is safe for concurrent use.
+type conditionRegistry struct {
 	mu       sync.Mutex
 	suspects map[uint32]bool
-	told     map[string]map[uint32]packedCondition // by who told it
-	version  uint64                                // of told
-	changed  chan struct{}                         // closed at the next change of told
-	outbox   map[string][]uint32                   // suspects for the sources of other domains that can be told
+	reported map[string]map[uint32]packedCondition // by reporter
+	version  uint64                                // of reported
+	changed  chan struct{}                         // closed at the next change of reported
+	outbox   map[string][]uint32                   // suspects for the sources of other domains; a key for each linked domain
 }
 
-func newConditionBook() *conditionBook {
-	return &conditionBook{suspects: map[uint32]bool{}, told: map[string]map[uint32]packedCondition{}, outbox: map[string][]uint32{}, changed: make(chan struct{})}
+func newConditionRegistry() *conditionRegistry {
+	return &conditionRegistry{suspects: map[uint32]bool{}, reported: map[string]map[uint32]packedCondition{}, outbox: map[string][]uint32{}, changed: make(chan struct{})}
 }
 
-// own names what this daemon has found out itself in conditionBook.told.
-const own = ""
+// localKey is the key of this daemon's own findings in conditionRegistry.reported.
+const localKey = ""
 
-// suspect adds suspects.
-func (b *conditionBook) suspect(servers []uint32) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// suspect adds suspects, up to maxSuspects.
+func (r *conditionRegistry) suspect(servers []uint32) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, s := range servers {
-		if len(b.suspects) < suspectsInPing {
-			b.suspects[s] = true
+		if len(r.suspects) < maxSuspects {
+			r.suspects[s] = true
 		}
 	}
 }
 
-// takeSuspects returns the suspects and forgets them.
-func (b *conditionBook) takeSuspects() []uint32 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// takeSuspects returns and clears the suspects.
+func (r *conditionRegistry) takeSuspects() []uint32 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []uint32
-	for s := range b.suspects {
+	for s := range r.suspects {
 		out = append(out, s)
 	}
-	clear(b.suspects)
+	clear(r.suspects)
 	return out
 }
 
-// take takes all that somebody tells; nothing is told by nil. It returns whether that
-// is news.
-func (b *conditionBook) take(from string, told []packedCondition) bool {
-	now := make(map[uint32]packedCondition, len(told))
-	for _, s := range told {
-		if s.possible() {
+// replace sets all conditions reported by one peer, nil for none. It returns whether they
+// changed. Invalid ones are dropped.
+func (r *conditionRegistry) replace(from string, reported []packedCondition) bool {
+	now := make(map[uint32]packedCondition, len(reported))
+	for _, s := range reported {
+		if s.valid() {
 			now[s.Server] = s
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if maps.Equal(b.told[from], now) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if maps.Equal(r.reported[from], now) {
 		return false
 	}
-	b.told[from] = now
-	b.version++
-	close(b.changed)
-	b.changed = make(chan struct{})
+	r.reported[from] = now
+	r.version++
+	close(r.changed)
+	r.changed = make(chan struct{})
 	return true
 }
 
-// all returns what is known with the version of it; of says whose word counts, nil for
-// everybody's.
-func (b *conditionBook) all(of func(from string) bool) (known map[uint32]packedCondition, version uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// merged returns the worst reported condition of each server, with the version of the
+// registry. include selects the reporters, nil for all.
+func (r *conditionRegistry) merged(include func(from string) bool) (known map[uint32]packedCondition, version uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	known = map[uint32]packedCondition{}
-	for from, told := range b.told {
-		if of != nil && !of(from) {
+	for from, reported := range r.reported {
+		if include != nil && !include(from) {
 			continue
 		}
-		for s, c := range told {
+		for s, c := range reported {
 			known[s] = c.worse(known[s])
 		}
 	}
-	return known, b.version
+	return known, r.version
 }
 
 func packConditions(known map[uint32]packedCondition) []packedCondition {
 	return slices.Collect(maps.Values(known))
 }
 
-// gatherSuspects adds the suspects of this daemon to those told by its followers.
-func (n *Node) gatherSuspects() {
+// collectSuspects adds the suspects of this daemon to those of its followers.
+func (n *Node) collectSuspects() {
 	ids := n.book.TakeSuspects()
 	hashes := make([]uint32, len(ids))
 	for i, id := range ids {
@@ -146,49 +143,47 @@
 	n.conditions.suspect(hashes)
 }
 
-// hearConditions takes all that somebody tells of slow and crowded backend servers, and
-// tells the load book if that changes what is known.
-func (n *Node) hearConditions(from string, told []packedCondition) {
-	if !n.conditions.take(from, told) {
+// applyConditions sets the conditions reported by one peer, and updates the load book if
+// they changed.
+func (n *Node) applyConditions(from string, reported []packedCondition) {
+	if !n.conditions.replace(from, reported) {
 		return
 	}
-	known, _ := n.conditions.all(nil)
+	known, _ := n.conditions.merged(nil)
 	names := n.serverNames()
 	out := make(map[string]Condition, len(known))
 	for hash, c := range known {
-		if id, there := names[hash]; there {
+		if id, ok := names[hash]; ok {
 			out[id] = c.unpack()
 		}
 	}
 	n.book.TakeConditions(out)
 }
 
-// news returns a channel that is closed at the next change of what was told.
-func (b *conditionBook) news() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+// changes returns a channel that is closed at the next change of the reported conditions.
+func (r *conditionRegistry) changes() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
 
-// conditionsPause is the least time between two words on conditions over one link. Over
-// two links it adds 0.2 s, less than the lag of the cards' own reports.
-const conditionsPause = 100 * time.Millisecond
+// minConditionsInterval is the least time between two frames with conditions on one link.
+const minConditionsInterval = 100 * time.Millisecond
 
-// pushConditions tells a follower which backend servers are slow or crowded as that
-// changes, until the link ends. A first hop can get 60 requests a second: told with the
-// answers to pings, 0.4 s a step, it gained less (+0.008 +- 0.010 of worth over five days,
-// pushed +0.017 +- 0.005).
+// pushConditions sends a follower the slow and saturated backend servers whenever they
+// change, until the link ends. They are pushed rather than added to pongs, since a
+// saturated first hop is to be avoided at once.
 func (n *Node) pushConditions(ctx context.Context, c *websocket.Conn) {
-	told := uint64(0)
+	sent := uint64(0)
 	for {
-		news := n.conditions.news()
-		known, version := n.conditions.all(nil)
-		if version != told {
+		changed := n.conditions.changes()
+		known, version := n.conditions.merged(nil)
+		if version != sent {
 			if writeFrame(ctx, c, &frame{Conditions: &conditions{Known: packConditions(known)}}) != nil {
-				return // the link is over
+				return // the link has ended
 			}
-			told = version
-			if !wait.For(ctx, conditionsPause) {
+			sent = version
+			if !wait.For(ctx, minConditionsInterval) {
 				return
 			}
 			continue
@@ -196,125 +191,125 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-news:
+		case <-changed:
 		}
 	}
 }
 
-// post keeps a suspect for the source of another domain. It returns false if that
-// cannot be told.
-func (b *conditionBook) post(domain string, server uint32) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	waiting, linked := b.outbox[domain]
-	if linked && len(waiting) < suspectsInPing {
-		b.outbox[domain] = append(waiting, server)
+// enqueue adds a suspect for the source of another domain. It returns false if there is no
+// link to that.
+func (r *conditionRegistry) enqueue(domain string, server uint32) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	pending, linked := r.outbox[domain]
+	if linked && len(pending) < maxSuspects {
+		r.outbox[domain] = append(pending, server)
 	}
 	return linked
 }
 
-// link says whether the source of another domain can be told.
-func (b *conditionBook) link(domain string, up bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// setLinked records whether there is a link to the source of another domain.
+func (r *conditionRegistry) setLinked(domain string, up bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if !up {
-		delete(b.outbox, domain)
+		delete(r.outbox, domain)
 		return
 	}
-	if _, linked := b.outbox[domain]; !linked {
-		b.outbox[domain] = nil
+	if _, linked := r.outbox[domain]; !linked {
+		r.outbox[domain] = nil
 	}
 }
 
-// collect returns what is to be told to the source of another domain.
-func (b *conditionBook) collect(domain string) []uint32 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out, linked := b.outbox[domain]
+// drainOutbox returns and clears the suspects for the source of another domain.
+func (r *conditionRegistry) drainOutbox(domain string) []uint32 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out, linked := r.outbox[domain]
 	if linked {
-		b.outbox[domain] = nil
+		r.outbox[domain] = nil
 	}
 	return out
 }
 
-// watchConditions asks the backend servers that may be slow or crowded while this daemon
+// pollConditions polls the backend servers that may be slow or saturated while this daemon
 // follows the store.
-func (n *Node) watchConditions(ctx context.Context) {
-	defer n.hearConditions(own, nil)
-	asked := map[uint32]time.Time{}
-	for wait.For(ctx, lookEvery) {
-		n.gatherSuspects()
+func (n *Node) pollConditions(ctx context.Context) {
+	defer n.applyConditions(localKey, nil)
+	queriedAt := map[uint32]time.Time{}
+	for wait.For(ctx, pollInterval) {
+		n.collectSuspects()
 		now := time.Now()
-		due := n.dueForAsking(asked, now)
+		due := n.dueQueries(queriedAt, now)
 		if len(due) > 0 {
-			n.hearConditions(own, n.askConditions(ctx, due))
+			n.applyConditions(localKey, n.queryConditions(ctx, due))
 		}
-		maps.DeleteFunc(asked, func(_ uint32, at time.Time) bool { return now.Sub(at) > askAgain })
+		maps.DeleteFunc(queriedAt, func(_ uint32, at time.Time) bool { return now.Sub(at) > queryInterval })
 	}
 }
 
-// dueForAsking returns which backend servers are to be asked now, by hash, with their
-// IDs, and notes that in asked. Those in a bad condition that are gone are among them
-// without an ID.
-func (n *Node) dueForAsking(asked map[uint32]time.Time, now time.Time) map[uint32]string {
+// dueQueries returns the IDs of the backend servers to be queried now, by hash, and
+// records the time in queriedAt. A server in a bad condition that is gone from the
+// inventory has an empty ID.
+func (n *Node) dueQueries(queriedAt map[uint32]time.Time, now time.Time) map[uint32]string {
 	names := n.serverNames()
 	due := map[uint32]string{}
-	add := func(server uint32, again time.Duration) {
+	add := func(server uint32, interval time.Duration) {
 		id, known := names[server]
-		if known && now.Sub(asked[server]) >= again {
-			due[server], asked[server] = id, now
+		if known && now.Sub(queriedAt[server]) >= interval {
+			due[server], queriedAt[server] = id, now
 		}
 	}
-	found, _ := n.conditions.all(func(from string) bool { return from == own })
+	found, _ := n.conditions.merged(func(from string) bool { return from == localKey })
 	for s, c := range found {
 		switch _, known := names[s]; {
 		case !known:
 			due[s] = ""
-		case c.crowded():
+		case c.saturated():
 			add(s, 0)
 		default:
-			add(s, askAgain)
+			add(s, queryInterval)
 		}
 	}
-	maybe, others := n.opts.Asker.MaybeCrowded(), len(due)
-	for _, i := range rand.Perm(len(maybe)) {
-		if len(due)-others >= maybeMost {
+	candidates, before := n.opts.Asker.MaybeCrowded(), len(due)
+	for _, i := range rand.Perm(len(candidates)) {
+		if len(due)-before >= maxSaturationChecks {
 			break
 		}
-		add(serverHash(maybe[i]), askAgain)
+		add(serverHash(candidates[i]), queryInterval)
 	}
 	for _, s := range n.conditions.takeSuspects() {
 		domain := n.opts.Asker.DomainOf(names[s])
-		if domain == n.opts.Domain || !n.conditions.post(domain, s) {
-			add(s, askAgain)
+		if domain == n.opts.Domain || !n.conditions.enqueue(domain, s) {
+			add(s, queryInterval)
 		}
 	}
 	return due
 }
 
-// askConditions asks backend servers and returns all that this daemon then knows to be
-// slow or crowded: those that are not due stay as they are, and those that are gone are
-// dropped.
-func (n *Node) askConditions(ctx context.Context, due map[uint32]string) []packedCondition {
-	found, _ := n.conditions.all(func(from string) bool { return from == own })
+// queryConditions queries the servers in due and returns all that this daemon then knows
+// to be slow or saturated. Servers that are not due keep their condition; those without an
+// ID are dropped.
+func (n *Node) queryConditions(ctx context.Context, due map[uint32]string) []packedCondition {
+	found, _ := n.conditions.merged(func(from string) bool { return from == localKey })
 	maps.DeleteFunc(found, func(s uint32, _ packedCondition) bool {
 		_, isDue := due[s]
 		return isDue
 	})
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	turn := make(chan struct{}, askAtOnce)
+	slots := make(chan struct{}, maxConcurrentQueries)
 	for s, id := range due {
 		if id == "" {
 			continue
 		}
 		wg.Go(func() {
-			turn <- struct{}{}
-			defer func() { <-turn }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			c, err := n.opts.Asker.Condition(ctx, id)
 			p := packCondition(s, c)
-			if err != nil || !p.possible() {
-				return // it is well, or dead, which who uses it finds out
+			if err != nil || !p.valid() {
+				return // healthy, or unreachable, which its callers detect
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -13,68 +13,69 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// askedOf is an Asker: the conditions of backend servers, and who may be crowded.
-type askedOf struct {
+// fakeAsker is an Asker with fixed conditions and a fixed list of servers that may be
+// saturated.
+type fakeAsker struct {
 	mu         sync.Mutex
 	conditions map[string]Condition
 	maybe      []string
 	calls      int
 }
 
-func slowed(by map[string]float64) *askedOf {
-	a := &askedOf{conditions: map[string]Condition{}}
-	for server, slowdown := range by {
+func newFakeAsker(slowdowns map[string]float64) *fakeAsker {
+	a := &fakeAsker{conditions: map[string]Condition{}}
+	for server, slowdown := range slowdowns {
 		a.conditions[server] = Condition{Slowdown: slowdown}
 	}
 	return a
 }
 
-func (p *askedOf) Condition(_ context.Context, server string) (Condition, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.calls++
-	s, known := p.conditions[server]
+func (a *fakeAsker) Condition(_ context.Context, server string) (Condition, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.calls++
+	s, known := a.conditions[server]
 	if !known {
 		return Condition{}, errors.New("no answer")
 	}
 	return s, nil
 }
 
-func (p *askedOf) DomainOf(string) string { return "d" }
+func (a *fakeAsker) DomainOf(string) string { return "d" }
 
-func (p *askedOf) MaybeCrowded() []string {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.maybe
+func (a *fakeAsker) MaybeCrowded() []string {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.maybe
 }
 
-func (p *askedOf) set(server string, c Condition) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.conditions[server] = c
+func (a *fakeAsker) set(server string, c Condition) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.conditions[server] = c
 }
 
-func (c *copied) condition(server string) Condition {
+func (c *fakeInventory) condition(server string) Condition {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conditions[server]
 }
 
-func (c *copied) slowdown(server string) float64 { return c.condition(server).Slowdown }
+func (c *fakeInventory) slowdown(server string) float64 { return c.condition(server).Slowdown }
 
-// A backend server that may be crowded, by the loads that are known, is asked although
-// nobody suspects it, and all know how it is until it has room again.
-func TestCrowdedServerIsKnownToAll(t *testing.T) {
+// A server that may be saturated is queried without a suspicion, and all daemons receive
+// its condition until it has capacity again.
+func TestSaturatedServerIsReportedToAll(t *testing.T) {
 	t.Parallel()
-	asker := slowed(nil)
+	asker := newFakeAsker(nil)
 	asker.maybe = []string{"s"}
-	crowded := Condition{Full: 0.98, Waiting: 7}
-	asker.set("s", crowded)
-	c := newChainOf(t, 4, &copySource{version: 1}, Options{FanOut: 1, Asker: asker})
-	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.readers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
-	allKnow := func(want Condition) func() bool {
+	saturated := Condition{Full: 0.98, Waiting: 7}
+	asker.set("s", saturated)
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, Asker: asker})
+	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
+	allReport := func(want Condition) func() bool {
 		return func() bool {
-			for _, inv := range c.copies {
+			for _, inv := range c.inventories {
 				if inv.condition("s") != want {
 					return false
 				}
@@ -82,35 +83,35 @@
 			return true
 		}
 	}
-	require.Eventually(t, allKnow(crowded), lookEvery+askAgain+3*pingEvery, 10*time.Millisecond)
+	require.Eventually(t, allReport(saturated), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
 	asker.set("s", Condition{Full: 0.6, Slowdown: 1})
-	require.Eventually(t, allKnow(Condition{}), lookEvery+askAgain+3*pingEvery, 10*time.Millisecond)
+	require.Eventually(t, allReport(Condition{}), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
 }
 
-func TestConditionsOnALink(t *testing.T) {
+func TestConditionPackingRoundTrip(t *testing.T) {
 	for _, c := range []Condition{{Slowdown: 12}, {Full: 0.96}, {Waiting: 3}, {Slowdown: 1.5, Full: 1, Waiting: 255}} {
 		p := packCondition(7, c)
-		require.True(t, p.possible())
+		require.True(t, p.valid())
 		require.Equal(t, c, p.unpack())
 	}
-	for _, well := range []Condition{{}, {Slowdown: 1.2, Full: 0.6}, {Slowdown: 1}} {
-		require.False(t, packCondition(7, well).possible(), "%+v is not worth a word", well)
+	for _, healthy := range []Condition{{}, {Slowdown: 1.2, Full: 0.6}, {Slowdown: 1}} {
+		require.False(t, packCondition(7, healthy).valid(), "%+v is not reported", healthy)
 	}
-	require.False(t, packedCondition{Percent: 101}.possible())
-	require.Equal(t, Condition{Full: 1, Waiting: waitingMost}, packCondition(7, Condition{Full: 1.3, Waiting: 4000}).unpack())
+	require.False(t, packedCondition{Percent: 101}.valid())
+	require.Equal(t, Condition{Full: 1, Waiting: maxWaiting}, packCondition(7, Condition{Full: 1.3, Waiting: 4000}).unpack())
 }
 
-// What one daemon suspects is asked once, by the daemon that follows the store, and
-// all know the answer within two seconds; and again when it is as fast as before.
-func TestSlowServerIsKnownToAll(t *testing.T) {
+// A server that one daemon suspects is queried once, by the daemon that follows the store.
+// All daemons receive the result, and its recovery.
+func TestSlowServerIsReportedToAll(t *testing.T) {
 	t.Parallel()
-	asker := slowed(map[string]float64{"s": 12})
-	c := newChainOf(t, 4, &copySource{version: 1}, Options{FanOut: 1, Asker: asker})
-	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.readers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
-	require.Zero(t, asker.calls, "nobody is asked while nobody is suspected")
-	allKnow := func(slowdown float64) func() bool {
+	asker := newFakeAsker(map[string]float64{"s": 12})
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, Asker: asker})
+	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
+	require.Zero(t, asker.calls, "no server is queried without a suspicion")
+	allReport := func(slowdown float64) func() bool {
 		return func() bool {
-			for _, inv := range c.copies {
+			for _, inv := range c.inventories {
 				if inv.slowdown("s") != slowdown {
 					return false
 				}
@@ -118,105 +119,105 @@
 			return true
 		}
 	}
-	c.copies[3].mu.Lock()
-	c.copies[3].suspects = []string{"s"}
-	c.copies[3].mu.Unlock()
-	// Three steps of a ping up, the look, and three steps down.
-	require.Eventually(t, allKnow(12), 6*pingEvery+2*lookEvery, 10*time.Millisecond)
+	c.inventories[3].mu.Lock()
+	c.inventories[3].suspects = []string{"s"}
+	c.inventories[3].mu.Unlock()
+	// Three pings up, a poll, and three steps down.
+	require.Eventually(t, allReport(12), 6*pingInterval+2*pollInterval, 10*time.Millisecond)
 	asker.set("s", Condition{Slowdown: 1})
-	require.Eventually(t, allKnow(0), 3*pingEvery+lookEvery+2*askAgain, 10*time.Millisecond)
+	require.Eventually(t, allReport(0), 3*pingInterval+pollInterval+2*queryInterval, 10*time.Millisecond)
 	asker.mu.Lock()
 	calls := asker.calls
 	asker.mu.Unlock()
-	time.Sleep(2 * askAgain)
+	time.Sleep(2 * queryInterval)
 	asker.mu.Lock()
 	defer asker.mu.Unlock()
-	require.Equal(t, calls, asker.calls, "one that is as fast as before is not asked again")
+	require.Equal(t, calls, asker.calls, "a recovered server is not queried again")
 }
 
-// A slow one that cannot be asked any more does not count as slow.
-func TestSilentServerIsNotSlow(t *testing.T) {
-	asker := slowed(nil)
-	inv := newCopied(&copySource{version: 1})
+// A slow server that does not answer is not reported as slow.
+func TestUnreachableServerIsNotSlow(t *testing.T) {
+	asker := newFakeAsker(nil)
+	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, everybody{}, nil)
-	n.hearConditions(own, []packedCondition{{Server: serverHash("s"), Tenths: 30}})
+	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n.applyConditions(localKey, []packedCondition{{Server: serverHash("s"), Tenths: 30}})
 	require.InDelta(t, 3.0, inv.slowdown("s"), 0)
-	asked, now := map[uint32]time.Time{}, time.Now()
-	due := n.dueForAsking(asked, now)
+	queriedAt, now := map[uint32]time.Time{}, time.Now()
+	due := n.dueQueries(queriedAt, now)
 	require.Len(t, due, 1)
-	require.Empty(t, n.dueForAsking(asked, now), "it was asked just now")
-	n.hearConditions(own, n.askConditions(t.Context(), due))
+	require.Empty(t, n.dueQueries(queriedAt, now), "queried less than queryInterval ago")
+	n.applyConditions(localKey, n.queryConditions(t.Context(), due))
 	require.Equal(t, 1, asker.calls)
 	require.Zero(t, inv.slowdown("s"))
 }
 
-// A slow one that has left is not told any more, and nobody asks it.
-func TestSlowServerThatLeftIsForgotten(t *testing.T) {
-	asker := slowed(map[string]float64{"left": 3})
-	inv := newCopied(&copySource{version: 1})
+// A slow server that is gone from the inventory is neither reported nor queried.
+func TestRemovedSlowServerIsDropped(t *testing.T) {
+	asker := newFakeAsker(map[string]float64{"left": 3})
+	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, everybody{}, nil)
-	n.hearConditions(own, []packedCondition{{Server: serverHash("left"), Tenths: 30}})
-	due := n.dueForAsking(map[uint32]time.Time{}, time.Now())
+	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n.applyConditions(localKey, []packedCondition{{Server: serverHash("left"), Tenths: 30}})
+	due := n.dueQueries(map[uint32]time.Time{}, time.Now())
 	require.Len(t, due, 1)
-	n.hearConditions(own, n.askConditions(t.Context(), due))
+	n.applyConditions(localKey, n.queryConditions(t.Context(), due))
 	require.Zero(t, asker.calls)
-	slow, _ := n.conditions.all(nil)
+	slow, _ := n.conditions.merged(nil)
 	require.Empty(t, slow)
 }
 
-// The suspects of another domain are left to its source, unless that cannot be told.
-func TestSuspectsOfOtherDomainsAreLeftToTheirSource(t *testing.T) {
-	inv := newCopied(&copySource{version: 1})
+// Suspects of another domain are forwarded to its source while there is a link to it.
+func TestSuspectsOfOtherDomainsAreForwarded(t *testing.T) {
+	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "e", Asker: slowed(nil)}, inv, inv, everybody{}, nil)
+	n := New(Options{Domain: "e", Asker: newFakeAsker(nil)}, inv, inv, memberList{}, nil)
 	s := serverHash("s")
-	asked, now := map[uint32]time.Time{}, time.Now()
-	n.conditions.link("d", true)
+	queriedAt, now := map[uint32]time.Time{}, time.Now()
+	n.conditions.setLinked("d", true)
 	n.conditions.suspect([]uint32{s})
-	require.Empty(t, n.dueForAsking(asked, now))
-	require.Equal(t, []uint32{s}, n.conditions.collect("d"))
-	require.Empty(t, n.conditions.collect("d"))
-	n.conditions.link("d", false)
+	require.Empty(t, n.dueQueries(queriedAt, now))
+	require.Equal(t, []uint32{s}, n.conditions.drainOutbox("d"))
+	require.Empty(t, n.conditions.drainOutbox("d"))
+	n.conditions.setLinked("d", false)
 	n.conditions.suspect([]uint32{s})
-	require.Len(t, n.dueForAsking(asked, now), 1)
+	require.Len(t, n.dueQueries(queriedAt, now), 1)
 }
 
-// What cannot be is not believed, and of two words the slower one counts.
-func TestWordsOfSlowServers(t *testing.T) {
-	b := newConditionBook()
-	require.True(t, b.take("a", []packedCondition{{Server: 1, Tenths: 120}, {Server: 2, Tenths: 10}, {Server: 3, Tenths: 60000}}))
-	require.True(t, b.take("b", []packedCondition{{Server: 1, Tenths: 30}}))
-	require.False(t, b.take("b", []packedCondition{{Server: 1, Tenths: 30}}), "no news")
-	slow, version := b.all(nil)
+// Invalid reports are dropped, the worse of two reports counts, and suspects are bounded.
+func TestConditionReportsAreValidatedAndMerged(t *testing.T) {
+	r := newConditionRegistry()
+	require.True(t, r.replace("a", []packedCondition{{Server: 1, Tenths: 120}, {Server: 2, Tenths: 10}, {Server: 3, Tenths: 60000}}))
+	require.True(t, r.replace("b", []packedCondition{{Server: 1, Tenths: 30}}))
+	require.False(t, r.replace("b", []packedCondition{{Server: 1, Tenths: 30}}), "unchanged")
+	slow, version := r.merged(nil)
 	require.Equal(t, map[uint32]packedCondition{1: {Server: 1, Tenths: 120}}, slow)
 	require.Equal(t, uint64(2), version)
-	slow, _ = b.all(func(from string) bool { return from == "b" })
+	slow, _ = r.merged(func(from string) bool { return from == "b" })
 	require.Equal(t, map[uint32]packedCondition{1: {Server: 1, Tenths: 30}}, slow)
-	b.suspect(make([]uint32, 3))
-	for i := range uint32(2 * suspectsInPing) {
-		b.suspect([]uint32{i})
+	r.suspect(make([]uint32, 3))
+	for i := range uint32(2 * maxSuspects) {
+		r.suspect([]uint32{i})
 	}
-	require.Len(t, b.takeSuspects(), suspectsInPing)
-	require.Empty(t, b.takeSuspects())
+	require.Len(t, r.takeSuspects(), maxSuspects)
+	require.Empty(t, r.takeSuspects())
 }
 
-// Where all of a thousand backend servers may be crowded, as after a start, only some are
-// asked at each look, and others at the next.
-func TestFewAreAskedAtOneLook(t *testing.T) {
-	asker := slowed(nil)
-	inv := newCopied(&copySource{version: 1})
+// When all of a thousand servers may be saturated, each poll queries a bounded number, and
+// the next poll others.
+func TestQueriesPerPollAreBounded(t *testing.T) {
+	asker := newFakeAsker(nil)
+	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.state = &inventory.State{ConfigVersion: 1, Servers: map[string]inventory.Entry{}}
 	for i := range 1000 {
 		id := fmt.Sprint("s-", i)
 		inv.state.Servers[id] = inventory.Entry{}
 		asker.maybe = append(asker.maybe, id)
 	}
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, everybody{}, nil)
-	asked, now := map[uint32]time.Time{}, time.Now()
-	for look := range 3 {
-		require.Len(t, n.dueForAsking(asked, now), maybeMost)
-		require.Len(t, asked, (look+1)*maybeMost)
+	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	queriedAt, now := map[uint32]time.Time{}, time.Now()
+	for poll := range 3 {
+		require.Len(t, n.dueQueries(queriedAt, now), maxSaturationChecks)
+		require.Len(t, queriedAt, (poll+1)*maxSaturationChecks)
 	}
 }
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -10,21 +10,19 @@
 	"github.com/snowspoke/snowspoke/quarantine"
 )
 
-// What the fleet knows of requests under which backend servers ended travels in all
-// directions as it comes: along the links of a failure domain at once, to the sources of
-// the other domains with the exchange of loads. A caller comes back at any daemon after
-// a second or two, and an end is to be known there by then. Whoever hears what it knows
-// already tells nobody, so that news goes round once.
+// Distribution of requests under which backend servers ended. Changes are sent at once
+// over the links of a failure domain, and to the sources of other domains with the
+// exchange of loads, so that every daemon knows an end before the caller retries. A daemon
+// forwards only changes to its own registry, so a change is not sent around in cycles.
 
-// Bounds of what is told of such requests.
+// Bounds of what is sent.
 const (
-	// crashesAtOnce bounds the entries of one message, at some 25 bytes each, and
-	// crashPause is the time between two messages: a backend server that ends under 130
-	// streams is told within 0.3 s a step.
-	crashesAtOnce = 64
-	crashPause    = 100 * time.Millisecond
-	// endsAtMost bounds the ends of an entry that is believed.
-	endsAtMost = 16
+	// maxCrashesPerFrame bounds the entries of a frame, at about 25 bytes each.
+	// minCrashInterval is the least time between two frames on a link.
+	maxCrashesPerFrame = 64
+	minCrashInterval   = 100 * time.Millisecond
+	// maxEnds bounds the ends of an accepted entry.
+	maxEnds = 16
 )
 
 // packedEnd is a quarantine.End on a link.
@@ -35,24 +33,24 @@
 	Age    uint32 // milliseconds
 }
 
-// packedCrash is a quarantine.Entry on a link, with ages for times: the clocks of two
-// daemons have nothing in common.
+// packedCrash is a quarantine.Entry on a link. Times are sent as ages, since daemons share
+// no clock.
 type packedCrash struct {
 	_      struct{} `cbor:",toarray"`
 	Print  uint64
 	Ends   []packedEnd
-	Tried  uint32 // milliseconds since the last trial, plus one; 0 for none
-	Served uint32 // the same since it was last served
+	Tried  uint32 // milliseconds since the last trial, plus 1; 0 for none
+	Served uint32 // milliseconds since it was last served, plus 1; 0 for never
 }
 
-// possible reports whether an entry can be what a daemon tells.
-func (p *packedCrash) possible() bool {
+// valid reports whether the weights and the number of ends are in range.
+func (p *packedCrash) valid() bool {
 	for _, e := range p.Ends {
 		if e.Weight != uint8(quarantine.Possible) && e.Weight != uint8(quarantine.Likely) {
 			return false
 		}
 	}
-	return len(p.Ends) <= endsAtMost
+	return len(p.Ends) <= maxEnds
 }
 
 func packCrashes(entries []quarantine.Entry, now time.Time) []packedCrash {
@@ -70,7 +68,7 @@
 func unpackCrashes(packed []packedCrash, now time.Time) []quarantine.Entry {
 	out := make([]quarantine.Entry, 0, len(packed))
 	for _, p := range packed {
-		if !p.possible() {
+		if !p.valid() {
 			continue
 		}
 		e := quarantine.Entry{Print: quarantine.Fingerprint(p.Print), TriedAt: unpackTime(p.Tried, now), ServedAt: unpackTime(p.Served, now)}
@@ -83,7 +81,7 @@
 	return out
 }
 
-// ageOf returns how long ago something was, in milliseconds.
+// ageOf returns the milliseconds from at to now.
 func ageOf(at, now time.Time) uint32 { return uint32(max(0, now.Sub(at).Milliseconds())) }
 
 func packTime(at, now time.Time) uint32 {
@@ -100,21 +98,22 @@
 	return now.Add(-time.Duration(packed-1) * time.Millisecond)
 }
 
-// crashTeller keeps how far the changes of the book were told on one link.
-type crashTeller struct{ told uint64 }
+// crashReporter records up to which version the changes of the registry were sent on one
+// link.
+type crashReporter struct{ sent uint64 }
 
-// next returns changes that were not told yet.
-func (t *crashTeller) next(b *quarantine.Book) []packedCrash {
+// next returns the next changes that were not sent yet.
+func (r *crashReporter) next(b *quarantine.Book) []packedCrash {
 	if b == nil {
 		return nil
 	}
-	entries, told := b.Since(t.told, crashesAtOnce)
-	t.told = told
+	entries, sent := b.Since(r.sent, maxCrashesPerFrame)
+	r.sent = sent
 	return packCrashes(entries, time.Now())
 }
 
-// hearCrashes takes what another daemon tells.
-func (n *Node) hearCrashes(packed []packedCrash) {
+// applyCrashes adds the entries received from another daemon.
+func (n *Node) applyCrashes(packed []packedCrash) {
 	if n.opts.Quarantine == nil || len(packed) == 0 {
 		return
 	}
@@ -122,10 +121,10 @@
 	n.opts.Quarantine.Join(unpackCrashes(packed, now), now)
 }
 
-// tellKnownCrashes tells the other end of a link all that is known by now.
-func (n *Node) tellKnownCrashes(ctx context.Context, c *websocket.Conn, teller *crashTeller) error {
+// sendKnownCrashes sends all entries known so far.
+func (n *Node) sendKnownCrashes(ctx context.Context, c *websocket.Conn, reporter *crashReporter) error {
 	for {
-		known := teller.next(n.opts.Quarantine)
+		known := reporter.next(n.opts.Quarantine)
 		if len(known) == 0 {
 			return nil
 		}
@@ -135,20 +134,19 @@
 	}
 }
 
-// tellCrashes tells the other end of a link what changes, until ctx ends or the link
-// does. All that was not told yet is told first.
-func (n *Node) tellCrashes(ctx context.Context, c *websocket.Conn, teller *crashTeller) {
-	book := n.opts.Quarantine
-	if book == nil {
+// sendCrashes sends changes, those not sent yet first, until ctx or the link ends.
+func (n *Node) sendCrashes(ctx context.Context, c *websocket.Conn, reporter *crashReporter) {
+	registry := n.opts.Quarantine
+	if registry == nil {
 		return
 	}
 	for {
-		changed := book.Changed()
-		if news := teller.next(book); len(news) > 0 {
-			if writeFrame(ctx, c, &frame{Crashes: news}) != nil {
-				return // the link is over
+		changed := registry.Changed()
+		if pending := reporter.next(registry); len(pending) > 0 {
+			if writeFrame(ctx, c, &frame{Crashes: pending}) != nil {
+				return // the link has ended
 			}
-			if !wait.For(ctx, crashPause) {
+			if !wait.For(ctx, minCrashInterval) {
 				return
 			}
 			continue
--- a/relay/delta.go
+++ b/relay/delta.go
@@ -8,22 +8,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A new version of a configuration differs from the last one in a few places. Followers
-// get just these: a version of 1,400 routes came to 12 to 40 KB compressed, for each of
-// seven followers, and twenty versions a second to more than the link of a small VM
-// carries.
+// Versions of a configuration differ in few places, so followers get a delta from the last
+// version that was sent to them.
 
-// errDelta says that a difference does not fit what it was made for.
-var errDelta = errors.New("relay: difference does not fit")
+// errDeltaMismatch is returned for a delta that does not match its base.
+var errDeltaMismatch = errors.New("relay: delta does not match its base")
 
-// delta makes one text out of another.
+// delta describes how to make one text from a base.
 type delta struct {
 	Parts []deltaPart `cbor:"1,keyasint"`
 	Sum   uint64      `cbor:"2,keyasint"` // hash of the result
 }
 
-// deltaPart is a part of the result: so many bytes of the base from some place on, or
-// these.
+// deltaPart is a part of the result: Len bytes of the base at offset From, followed by
+// Bytes.
 type deltaPart struct {
 	_     struct{} `cbor:",toarray"`
 	From  uint32
@@ -31,12 +29,12 @@
 	Bytes []byte
 }
 
-// pieceEnd ends the pieces into which a text is cut to find what was there before: in
-// the platform's JSON an entry of a list is one piece. Any text may be cut so.
+// pieceEnd ends the pieces in which matches are searched. In the platform's JSON an entry
+// of a list is one piece. The choice affects only the size of a delta.
 const pieceEnd = '}'
 
-// pieces calls f with each piece of a text and where it begins.
-func pieces(text []byte, f func(at int, piece []byte)) {
+// eachPiece calls f with each piece of a text and its offset.
+func eachPiece(text []byte, f func(at int, piece []byte)) {
 	for at := 0; at < len(text); {
 		n := bytes.IndexByte(text[at:], pieceEnd) + 1
 		if n == 0 {
@@ -47,27 +45,27 @@
 	}
 }
 
-// newDelta returns what makes next out of base.
+// newDelta returns the delta from base to next.
 func newDelta(base, next []byte) *delta {
 	known := map[uint64]int{}
-	pieces(base, func(at int, piece []byte) {
+	eachPiece(base, func(at int, piece []byte) {
 		sum := xxhash.Sum64(piece)
-		if _, there := known[sum]; !there {
+		if _, ok := known[sum]; !ok {
 			known[sum] = at
 		}
 	})
 	d := &delta{Sum: xxhash.Sum64(next)}
-	pieces(next, func(_ int, piece []byte) {
+	eachPiece(next, func(_ int, piece []byte) {
 		if l := d.last(); l.Len > 0 && bytes.HasPrefix(base[l.From+l.Len:], piece) {
 			l.Len += uint32(len(piece))
 			return
 		}
-		at, there := known[xxhash.Sum64(piece)]
-		if there && bytes.HasPrefix(base[at:], piece) {
+		at, ok := known[xxhash.Sum64(piece)]
+		if ok && bytes.HasPrefix(base[at:], piece) {
 			d.Parts = append(d.Parts, deltaPart{From: uint32(at), Len: uint32(len(piece))})
 			return
 		}
-		d.adds(piece)
+		d.appendBytes(piece)
 	})
 	return d
 }
@@ -79,7 +77,7 @@
 	return &d.Parts[len(d.Parts)-1]
 }
 
-func (d *delta) adds(piece []byte) {
+func (d *delta) appendBytes(piece []byte) {
 	if l := d.last(); len(l.Bytes) > 0 {
 		l.Bytes = append(l.Bytes, piece...)
 		return
@@ -87,7 +85,7 @@
 	d.Parts = append(d.Parts, deltaPart{Bytes: bytes.Clone(piece)})
 }
 
-// size returns about how many bytes a difference takes on a link.
+// size returns the approximate encoded size in bytes.
 func (d *delta) size() int {
 	n := 0
 	for i := range d.Parts {
@@ -96,21 +94,21 @@
 	return n
 }
 
-// apply returns what the difference makes out of base.
+// apply returns the text made from base.
 func (d *delta) apply(base []byte) ([]byte, error) {
 	var out []byte
 	for _, p := range d.Parts {
 		if uint64(p.From)+uint64(p.Len) > uint64(len(base)) {
-			return nil, fmt.Errorf("%w: it copies beyond the end", errDelta)
+			return nil, fmt.Errorf("%w: copy range exceeds the base", errDeltaMismatch)
 		}
 		out = append(out, base[p.From:p.From+p.Len]...)
 		out = append(out, p.Bytes...)
 		if len(out) > maxFrameBytes {
-			return nil, fmt.Errorf("%w: the result is too long", errDelta)
+			return nil, fmt.Errorf("%w: result exceeds the maximum frame size", errDeltaMismatch)
 		}
 	}
 	if xxhash.Sum64(out) != d.Sum {
-		return nil, fmt.Errorf("%w: the result is another text", errDelta)
+		return nil, fmt.Errorf("%w: checksum differs", errDeltaMismatch)
 	}
 	return out, nil
 }
--- a/relay/delta_test.go
+++ b/relay/delta_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestDeltaMakesTheNextText(t *testing.T) {
+func TestDeltaRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.Custom(func(t *rapid.T) []byte {
 			parts := rapid.SliceOfN(rapid.SampledFrom([]string{"{a}", "{b}", "{cc}", "x", "}", "{long entry of a list},"}), 0, 30).Draw(t, "parts")
@@ -25,7 +25,7 @@
 		require.NoError(t, err)
 		require.True(t, bytes.Equal(next, got))
 		if got, err := d.apply(other); err == nil {
-			require.True(t, bytes.Equal(next, got), "made for another base it fails, or makes the same")
+			require.True(t, bytes.Equal(next, got), "applied to another base it fails or has the same result")
 		}
 	})
 }
@@ -37,9 +37,9 @@
 	require.Less(t, newDelta(base, next).size(), 24_000/100)
 }
 
-func TestDeltaThatDoesNotFitIsRefused(t *testing.T) {
+func TestInvalidDeltaIsRejected(t *testing.T) {
 	_, err := (&delta{Parts: []deltaPart{{From: 4_000_000_000, Len: 4_000_000_000}}}).apply([]byte("base"))
-	require.ErrorIs(t, err, errDelta)
+	require.ErrorIs(t, err, errDeltaMismatch)
 	_, err = (&delta{Parts: []deltaPart{{From: 0, Len: 4}}}).apply([]byte("base"))
-	require.ErrorIs(t, err, errDelta)
+	require.ErrorIs(t, err, errDeltaMismatch)
 }
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -27,15 +27,16 @@
 	eraSeed      = flag.Uint64("era-seed", 0, "the first of their seeds")
 )
 
-// eraObject is an object of an eraStore: a version of the configuration or the record of a
-// backend server.
+// eraObject is an object of an eraStore: a configuration or the record of a backend
+// server.
 type eraObject struct {
 	Revision uint64
 	Version  uint64
 	Draining bool
 }
 
-// eraStore is a store in memory that comes back from copies. It implements inventory.Feed.
+// eraStore is an in-memory store that can be restored from snapshots. It implements
+// inventory.Feed.
 type eraStore struct {
 	mu      sync.Mutex
 	era     uint64
@@ -51,18 +52,18 @@
 	return &eraStore{era: 1, servers: map[string]eraObject{}, gone: map[string]uint64{}, changed: make(chan struct{})}
 }
 
-func (s *eraStore) wake() {
+func (s *eraStore) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// edit changes the store under its lock.
+// edit applies a change with the lock held.
 func (s *eraStore) edit(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rev++
 	f()
-	s.wake()
+	s.notify()
 }
 
 func (s *eraStore) putConfig(version uint64) {
@@ -75,15 +76,15 @@
 
 func (s *eraStore) remove(id string) {
 	s.edit(func() {
-		if _, there := s.servers[id]; there {
+		if _, ok := s.servers[id]; ok {
 			delete(s.servers, id)
 			s.gone[id] = s.rev
 		}
 	})
 }
 
-// copied returns the state now, as what brings it back.
-func (s *eraStore) copied() (restore func()) {
+// snapshot returns a function that restores the current state.
+func (s *eraStore) snapshot() (restore func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rev, config, servers, gone := s.rev, s.config, maps.Clone(s.servers), maps.Clone(s.gone)
@@ -92,7 +93,7 @@
 		defer s.mu.Unlock()
 		s.era++
 		s.rev, s.config, s.servers, s.gone = rev, config, maps.Clone(servers), maps.Clone(gone)
-		s.wake()
+		s.notify()
 	}
 }
 
@@ -116,29 +117,30 @@
 	return &site.BackendServer{ID: id, Incarnation: site.Incarnation{Name: id}, Service: "s", Address: id, Draining: o.Draining}, err
 }
 
-// read makes a call: take gathers what lies after a revision; a watch waits for that.
-func (s *eraStore) read(ctx context.Context, since store.Position, wait time.Duration, take func(after uint64) int) (store.Position, error) {
+// read makes a call: collect gathers the changes after a revision and returns their
+// number. A watch waits for changes up to wait.
+func (s *eraStore) read(ctx context.Context, since store.Position, wait time.Duration, collect func(after uint64) int) (store.Position, error) {
 	time.Sleep(4 * time.Millisecond)
 	timeout := time.After(wait)
 	s.mu.Lock()
 	s.calls++
 	s.mu.Unlock()
-	for over := wait == 0; ; {
+	for timedOut := wait == 0; ; {
 		s.mu.Lock()
 		if since != 0 && since.Era() != s.era {
 			s.mu.Unlock()
 			return 0, store.ErrRestored
 		}
-		at, n, changed := store.At(s.era, s.rev), take(since.Revision()), s.changed
+		at, n, changed := store.At(s.era, s.rev), collect(since.Revision()), s.changed
 		s.mu.Unlock()
-		if n > 0 || over {
+		if n > 0 || timedOut {
 			return at, nil
 		}
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
 		case <-timeout:
-			over = true
+			timedOut = true
 		case <-changed:
 		}
 	}
@@ -191,7 +193,7 @@
 	return r, err
 }
 
-// eraFeed is a daemon's way to the store, which may be cut.
+// eraFeed is the connection of one daemon to the store; it can be cut.
 type eraFeed struct {
 	*eraStore
 	cut atomic.Bool
@@ -219,26 +221,26 @@
 	return f.eraStore.ServerChanges(ctx, since, wait)
 }
 
-// eraFleet is a fleet whose sources follow the store and whose other daemons get their
-// states, two milliseconds a step later.
+// eraFleet is a fleet whose sources follow the store. The other daemons receive states
+// from another daemon, 2 ms a step.
 type eraFleet struct {
 	t       *testing.T
 	store   *eraStore
-	seed    uint64 // of its history
+	seed    uint64 // of the generated history
 	hasLeft func(id string) bool
 	feeds   []*eraFeed
 	sources int
 	all     []*inventory.Inventory
-	follow  []context.CancelFunc // of those that are no source
+	follow  []context.CancelFunc // of daemons that are not sources
 	known   []eraKnown
 }
 
-// eraKnown is what a daemon knew at most: it may not unlearn that.
+// eraKnown is the most recent state that a daemon had, which it must not revert.
 type eraKnown struct {
 	version  uint64
 	draining map[string]bool
 	left     map[string]bool
-	there    map[string]bool
+	present  map[string]bool
 }
 
 func newEraFleet(t *testing.T, ctx context.Context, daemons, sources int) *eraFleet {
@@ -252,21 +254,21 @@
 		f.feeds = append(f.feeds, feed)
 		inv := inventory.New(feed, log.NewNopLogger())
 		f.all = append(f.all, inv)
-		f.known[i] = eraKnown{draining: map[string]bool{}, left: map[string]bool{}, there: map[string]bool{}}
+		f.known[i] = eraKnown{draining: map[string]bool{}, left: map[string]bool{}, present: map[string]bool{}}
 		if i < sources {
-			go inv.Follow(ctx, quickPause, quickPauseMost)
+			go inv.Follow(ctx, minRetryDelay, maxRetryDelay)
 			continue
 		}
 		above := i % sources
-		if n := i / sources; n > fanOut {
-			above = (n-1)/fanOut*sources + i%sources
+		if n := i / sources; n > defaultFanOut {
+			above = (n-1)/defaultFanOut*sources + i%sources
 		}
 		f.attach(ctx, i, above)
 	}
 	return f
 }
 
-// attach has a daemon follow another one, from its full state on.
+// attach makes a daemon follow another one, starting with the full state.
 func (f *eraFleet) attach(ctx context.Context, i, above int) {
 	if f.follow[i] != nil {
 		f.follow[i]()
@@ -290,70 +292,72 @@
 	}()
 }
 
-// check looks at every daemon: nothing that it knew is unlearnt. One that registered and
-// has not left may be unknown for a moment to a daemon whose source has not heard of it.
+// check asserts that no daemon reverted its state. A server that registered and has not
+// left may be missing at a daemon whose source has not received it yet.
 func (f *eraFleet) check() {
 	for i, inv := range f.all {
 		v, k := inv.View(), &f.known[i]
 		if v.Config == nil {
 			continue
 		}
-		require.GreaterOrEqual(f.t, v.Config.Version, k.version, "seed %d, daemon %d: the configuration reverts", f.seed, i)
+		require.GreaterOrEqual(f.t, v.Config.Version, k.version, "seed %d, daemon %d: configuration reverted", f.seed, i)
 		k.version = v.Config.Version
-		for id := range k.there {
+		for id := range k.present {
 			if v.Servers[id] == nil {
-				delete(k.there, id)
+				delete(k.present, id)
 				k.left[id] = f.hasLeft(id)
 			}
 		}
 		for id, s := range v.Servers {
-			require.False(f.t, k.left[id], "seed %d, daemon %d: %s is back", f.seed, i, id)
-			require.False(f.t, k.draining[id] && !s.Draining, "seed %d, daemon %d: %s drains no more", f.seed, i, id)
-			k.there[id], k.draining[id] = true, s.Draining
+			require.False(f.t, k.left[id], "seed %d, daemon %d: removed server %s is back", f.seed, i, id)
+			require.False(f.t, k.draining[id] && !s.Draining, "seed %d, daemon %d: server %s no longer drains", f.seed, i, id)
+			k.present[id], k.draining[id] = true, s.Draining
 		}
 	}
 }
 
-// untrue returns what a daemon knows otherwise than the store has it, "" for nothing.
-func (f *eraFleet) untrue() string {
+// mismatch describes the first difference between the state of a daemon and the store, ""
+// if there is none.
+func (f *eraFleet) mismatch() string {
 	f.store.mu.Lock()
 	defer f.store.mu.Unlock()
 	for i, inv := range f.all {
 		v := inv.View()
 		if v.Config == nil || v.Config.Version != f.store.config.Version {
-			return fmt.Sprintf("daemon %d: configuration", i)
+			return fmt.Sprintf("daemon %d: configuration differs", i)
 		}
 		for id := range v.Servers {
-			if _, there := f.store.servers[id]; !there {
-				return fmt.Sprintf("daemon %d: %s has left", i, id)
+			if _, ok := f.store.servers[id]; !ok {
+				return fmt.Sprintf("daemon %d: server %s was removed", i, id)
 			}
 		}
 		for id, o := range f.store.servers {
 			if v.Servers[id] == nil || v.Servers[id].Draining != o.Draining {
-				return fmt.Sprintf("daemon %d: %s, %+v", i, id, o)
+				return fmt.Sprintf("daemon %d: server %s, want %+v", i, id, o)
 			}
 		}
 	}
 	return ""
 }
 
-// awaitTruth waits until every daemon knows what the store has, and returns for how long.
-func (f *eraFleet) awaitTruth(most time.Duration) time.Duration {
+// awaitConverged waits until the state of every daemon equals the store, and returns how
+// long that took.
+func (f *eraFleet) awaitConverged(timeout time.Duration) time.Duration {
 	began := time.Now()
-	for untrue := f.untrue(); untrue != ""; untrue = f.untrue() {
-		require.Less(f.t, time.Since(began), most, "seed %d, not all daemons know what the store has: %s", f.seed, untrue)
+	for diff := f.mismatch(); diff != ""; diff = f.mismatch() {
+		require.Less(f.t, time.Since(began), timeout, "seed %d, state differs from the store: %s", f.seed, diff)
 		f.check()
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-// writer is the operator and the backend servers: what they wrote they write again after
-// the store has come back from a copy.
+// writer acts as the operator and the backend servers. After a restore it writes its
+// current state again.
 type writer struct {
 	store   *eraStore
 	version uint64
-	servers map[string]bool // whether it drains
+	servers map[string]bool // value: draining
 	left    map[string]bool
 	next    int
 }
@@ -395,7 +399,7 @@
 	}
 }
 
-func (w *writer) writeAgain() {
+func (w *writer) rewrite() {
 	w.store.putConfig(w.version)
 	for id, draining := range w.servers {
 		w.store.putServer(id, draining)
@@ -405,20 +409,19 @@
 	}
 }
 
-// In generated histories of changes, of daemons that change their source, of sources that
-// are cut off from the store and of a store that comes back from copies, no daemon unlearns
-// anything: no configuration reverts, nothing that has left is back, and what drains stays
-// so. At last all know what the store has.
-func TestNothingIsUnlearntThroughRestores(t *testing.T) {
+// In generated histories of changes, switched sources, sources cut off from the store and
+// restores from copies, no daemon reverts its state: no older configuration, no removed
+// server, no drain undone. All daemons converge to the store.
+func TestRestoresDoNotRevertState(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		for n := range *eraHistories {
 			seed := *eraSeed + uint64(n)
-			playEras(t, seed, rand.New(rand.NewPCG(seed, 31)))
+			runEraHistory(t, seed, rand.New(rand.NewPCG(seed, 31)))
 		}
 	})
 }
 
-func playEras(t *testing.T, seed uint64, rng *rand.Rand) {
+func runEraHistory(t *testing.T, seed uint64, rng *rand.Rand) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
@@ -429,17 +432,17 @@
 	f.seed = seed
 	w := newWriter(f.store)
 	f.hasLeft = func(id string) bool { return w.left[id] }
-	f.awaitTruth(3 * time.Second)
-	copies, restored := []func(){f.store.copied()}, time.Now().Add(-time.Hour)
+	f.awaitConverged(3 * time.Second)
+	copies, restored := []func(){f.store.snapshot()}, time.Now().Add(-time.Hour)
 	for range 60 {
 		time.Sleep(time.Duration(20+rng.IntN(400)) * time.Millisecond)
 		f.check()
 		switch rng.IntN(9) {
 		case 8:
-			// One that has not heard from the store for longer is left by its followers.
+			// A source that is cut off for longer is left by its followers.
 			feed := f.feeds[rng.IntN(f.sources)]
 			feed.cut.Store(true)
-			time.AfterFunc(time.Duration(rng.Int64N(int64(leastUnheard))), func() { feed.cut.Store(false) })
+			time.AfterFunc(time.Duration(rng.Int64N(int64(minContactTimeout))), func() { feed.cut.Store(false) })
 		case 0:
 			f.attach(ctx, f.sources+rng.IntN(len(f.all)-f.sources), rng.IntN(f.sources))
 		case 1:
@@ -452,19 +455,19 @@
 				time.Sleep(20 * time.Millisecond)
 				f.check()
 			}
-			w.writeAgain()
+			w.rewrite()
 			copies = nil
 		default:
 			w.change(rng)
 		}
-		copies = append(copies, f.store.copied())
+		copies = append(copies, f.store.snapshot())
 	}
-	f.awaitTruth(8 * time.Second)
+	f.awaitConverged(8 * time.Second)
 }
 
-// After a return of the store all daemons of a fleet of 3, 73 and 300 know what is written
-// next within the bound on configurations, and only its sources call the store for it.
-func TestNewEraIsKnownToAFleet(t *testing.T) {
+// After a restore all daemons of a fleet receive the next change within the bound on
+// configurations, and only the sources call the store for it.
+func TestNewEraReachesFleet(t *testing.T) {
 	for daemons, sources := range map[int]int{3: 1, 73: 3, 300: 5} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
@@ -476,24 +479,24 @@
 				f := newEraFleet(t, ctx, daemons, sources)
 				w := newWriter(f.store)
 				f.hasLeft = func(id string) bool { return w.left[id] }
-				f.awaitTruth(3 * time.Second)
-				restore := f.store.copied()
+				f.awaitConverged(3 * time.Second)
+				restore := f.store.snapshot()
 				for range 20 {
 					w.change(rand.New(rand.NewPCG(1, 2)))
 					time.Sleep(100 * time.Millisecond)
 				}
-				f.awaitTruth(3 * time.Second)
+				f.awaitConverged(3 * time.Second)
 				before := f.store.calls
 				restore()
 				time.Sleep(500 * time.Millisecond)
 				f.check()
-				w.writeAgain()
+				w.rewrite()
 				w.version++
 				f.store.putConfig(w.version)
-				took := f.awaitTruth(2 * time.Second)
+				took := f.awaitConverged(2 * time.Second)
 				calls := f.store.calls - before
-				t.Logf("%d daemons: all know after %s, %d calls", daemons, took, calls)
-				require.LessOrEqual(t, calls, 12*sources, "sources alone call the store")
+				t.Logf("%d daemons: all up to date after %s, %d calls", daemons, took, calls)
+				require.LessOrEqual(t, calls, 12*sources, "only sources call the store")
 			})
 		})
 	}
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -11,86 +11,86 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// exchangeFactor is how much less often than within a domain the sources of the
-// domains tell each other their loads: bytes between domains are paid for.
+// exchangeFactor is the ratio of the interval of load exchanges between domains to that
+// within a domain. Traffic between domains is billed.
 const exchangeFactor = 2
 
-// exchangeEvery is how often a source tells those of the other domains its suspects and
-// asks what they found out of slow backend servers; loads are asked for less often. A
-// message takes some fifty bytes while nothing is slow.
-const exchangeEvery = 500 * time.Millisecond
+// exchangeInterval is how often the sources of domains exchange suspects, conditions and
+// crashes. Loads are exchanged less often.
+const exchangeInterval = 500 * time.Millisecond
 
-// exchangeLoads asks the sources of the other domains for their loads and for slow
-// backend servers while this daemon is a source, and takes what its followers need.
+// exchangeLoads exchanges loads, suspects, conditions and crashes with the sources of the
+// other domains while this daemon follows the store.
 func (n *Node) exchangeLoads(ctx context.Context) {
-	links := map[string]*loadLink{}
+	links := map[string]*domainLink{}
 	defer func() {
 		for domain, l := range links {
 			_ = l.conn.CloseNow()
-			n.forgetDomain(domain)
+			n.dropDomain(domain)
 		}
 	}()
 	loadsAt := boottime.Now()
-	for wait.For(ctx, exchangeEvery) {
-		withLoads := boottime.Since(loadsAt) >= exchangeFactor*loadsPeriod(len(n.inv.State().Servers))
+	for wait.For(ctx, exchangeInterval) {
+		withLoads := boottime.Since(loadsAt) >= exchangeFactor*loadsInterval(len(n.inv.State().Servers))
 		for domain, m := range n.otherSources() {
-			n.askDomain(ctx, links, domain, m, withLoads)
+			n.exchangeWith(ctx, links, domain, m, withLoads)
 		}
 		if withLoads {
 			loadsAt = boottime.Now()
-			n.takeOthers(loadsAt)
+			n.updateOthers(loadsAt)
 		}
 	}
 }
 
-// loadLink is a link to the source of another domain, which passes on no state.
-type loadLink struct {
-	conn    *websocket.Conn
-	heard   listener
-	crashes crashTeller
+// domainLink is a link to the source of another domain. It carries no state.
+type domainLink struct {
+	conn     *websocket.Conn
+	received loadReceiver
+	crashes  crashReporter
 }
 
-// askDomain makes one exchange with the source of another domain. What it found out of
-// slow backend servers does not count any more when it cannot be asked.
-func (n *Node) askDomain(ctx context.Context, links map[string]*loadLink, domain string, m Member, withLoads bool) {
+// exchangeWith makes one exchange with the source of another domain. If that fails, the
+// conditions received from it are dropped.
+func (n *Node) exchangeWith(ctx context.Context, links map[string]*domainLink, domain string, m Member, withLoads bool) {
 	ctx, cancel := n.opts.Stalls.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	l := links[domain]
 	if l == nil {
 		c, err := n.dial(ctx, m, true)
 		if err != nil {
-			return // tried again at the next exchange; its last loads run out
+			return // retried at the next exchange; its last loads expire
 		}
-		l = &loadLink{conn: c, heard: listener{refused: n.book.RefuseLoads}}
+		l = &domainLink{conn: c, received: loadReceiver{refused: n.book.RefuseLoads}}
 		links[domain] = l
-		n.conditions.link(domain, true)
+		n.conditions.setLinked(domain, true)
 	}
 	c := l.conn
-	p := &ping{Number: 1, Sender: n.opts.Name, Domain: n.opts.Domain, HasLoads: withLoads, LoadsOnly: true, Suspects: n.conditions.collect(domain)}
+	p := &ping{Number: 1, Sender: n.opts.Name, Domain: n.opts.Domain, HasLoads: withLoads, LoadsOnly: true, Suspects: n.conditions.drainOutbox(domain)}
 	p.Crashes = l.crashes.next(n.opts.Quarantine)
 	answer, err := exchange(ctx, c, p)
 	if err != nil {
 		_ = c.CloseNow()
 		delete(links, domain)
-		n.forgetDomain(domain)
+		n.dropDomain(domain)
 		return
 	}
 	if withLoads {
-		n.otherDomains.put(domain, told{at: boottime.Now(), domain: domain, loads: answer.told(&l.heard, n.serverNames())})
+		n.domainLoads.put(domain, loadReport{at: boottime.Now(), domain: domain, loads: answer.report(&l.received, n.serverNames())})
 	}
-	n.hearCrashes(answer.Crashes)
+	n.applyCrashes(answer.Crashes)
 	if answer.HasConditions {
-		n.hearConditions(domain, answer.Conditions)
+		n.applyConditions(domain, answer.Conditions)
 	}
 }
 
-// forgetDomain says that the source of another domain cannot be asked any more.
-func (n *Node) forgetDomain(domain string) {
-	n.conditions.link(domain, false)
-	n.hearConditions(domain, nil)
+// dropDomain drops the conditions and the outbox of a domain whose source cannot be
+// reached.
+func (n *Node) dropDomain(domain string) {
+	n.conditions.setLinked(domain, false)
+	n.applyConditions(domain, nil)
 }
 
-// exchange sends a ping and returns the answer.
+// exchange sends a ping and returns its pong.
 func exchange(ctx context.Context, c *websocket.Conn, p *ping) (*pong, error) {
 	if err := writeFrame(ctx, c, &frame{Ping: p}); err != nil {
 		return nil, err
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -12,111 +12,110 @@
 	"github.com/snowspoke/snowspoke/internal/wait"
 )
 
-// Run keeps the inventory up to date until ctx ends: over a source if there is a
-// sound one, else from the store itself.
+// Run keeps the inventory up to date until ctx ends: from a source if there is a healthy
+// one, otherwise from the store.
 func (n *Node) Run(ctx context.Context) {
-	found := n.awaitFirstSource(ctx)
+	found := n.awaitInitialSource(ctx)
 	for ctx.Err() == nil {
-		if !found || !n.followSource(ctx) && !n.lookForSource(ctx) {
+		if !found || !n.followSource(ctx) && !n.searchSource(ctx) {
 			n.followStore(ctx)
 		}
-		found = true // by followStore, or there was one
+		found = true // followStore returns once a source is found
 	}
 }
 
-// lookForSource looks for a sound source before a daemon that is not among the first of
-// its domain follows the store itself: for as long as one before it is there, which looks
-// for the store as well, and a configuration could still be in force in time; longer while
-// the sources of other domains have lost the store too. It returns whether one was found.
-func (n *Node) lookForSource(ctx context.Context) bool {
+// searchSource searches for a healthy source before a daemon that is not among the first
+// of its domain follows the store itself. It searches while an earlier daemon of its
+// domain is reachable but has lost the store, and no longer than a configuration could
+// still be in force in time. If daemons of several domains have lost the store, it
+// searches for up to maxOutageSearch. It returns whether a source was found.
+func (n *Node) searchSource(ctx context.Context) bool {
 	began := time.Now()
-	bound := n.opts.ConfigWithin - unheardFor(n.opts.ConfigWithin) - leaveTakes
-	pause := lookPause
-	for len(n.candidates()) >= ownSources && time.Since(began) < bound {
-		if !wait.For(ctx, min(pause/2+rand.N(pause), bound-time.Since(began))) {
+	bound := n.opts.ConfigWithin - contactTimeout(n.opts.ConfigWithin) - maxSwitchDelay
+	interval := searchInterval
+	for len(n.candidates()) >= sourcesPerDomain && time.Since(began) < bound {
+		if !wait.For(ctx, min(interval/2+rand.N(interval), bound-time.Since(began))) {
 			return false
 		}
-		found, lost := n.look(ctx)
+		found, lost := n.probeAll(ctx)
 		switch {
 		case found:
 			return true
 		case !lost[n.opts.Domain]:
 			return false
 		case len(lost) > 1:
-			bound, pause = outageMost, outagePause
+			bound, interval = maxOutageSearch, outageSearchInterval
 		}
 	}
 	return false
 }
 
-// look asks all candidates once: found says that one is a sound source, lost in which
-// failure domains one is there that has lost the store, or is about to read it.
-func (n *Node) look(ctx context.Context) (found bool, lost map[string]bool) {
+// probeAll probes all candidates once. found reports whether one is a healthy source; lost
+// holds the failure domains in which a daemon has lost the store or is about to read it.
+func (n *Node) probeAll(ctx context.Context) (found bool, lost map[string]bool) {
 	lost = map[string]bool{}
 	for _, m := range n.candidates() {
 		err := n.probe(ctx, m)
-		if errors.Is(err, errFound) {
+		if errors.Is(err, errHealthy) {
 			return true, lost
 		}
-		if errors.Is(err, errLost) || errors.Is(err, errEarly) {
+		if errors.Is(err, errStoreLost) || errors.Is(err, errStarting) {
 			lost[m.Domain] = true
 		}
 	}
 	return false, lost
 }
 
-// awaitFirstSource gives the sources of this domain time to start: a full state
-// from another one is large, and bytes between domains are paid for. The first
-// daemon of a domain does not wait: it is its source. When the second did not wait
-// either, it followed the store, others followed it, and all of them were left when
-// it found the first: 129 links made anew in the 14 s before a calm day of 295 daemons.
-// It does not wait for long: with a first daemon that was gone for good, a domain that
-// was started anew knew no configuration for 2.7 s, and 314 callers were refused. It
-// returns whether a source was found.
-func (n *Node) awaitFirstSource(ctx context.Context) bool {
+// awaitInitialSource waits at the start for a source of this domain, since a full state
+// from another domain is large and traffic between domains is billed. The first daemon of
+// a domain does not wait. The second waits for a shorter time: if it did not wait, others
+// would follow it and be cut off when it finds the first; if it waited longer, a domain
+// whose first daemon is gone would have no configuration for longer. It returns whether a
+// source was found.
+func (n *Node) awaitInitialSource(ctx context.Context) bool {
 	began := time.Now()
-	most := patience
-	if len(n.candidates()) < ownSources {
-		most = secondPatience
+	timeout := startWait
+	if len(n.candidates()) < sourcesPerDomain {
+		timeout = secondStartWait
 	}
-	for ctx.Err() == nil && len(n.candidates()) > 0 && time.Since(began) < most {
-		switch n.firstSource(ctx) {
-		case errFound:
+	for ctx.Err() == nil && len(n.candidates()) > 0 && time.Since(began) < timeout {
+		switch n.probeOwnDomain(ctx) {
+		case errHealthy:
 			return true
-		case errEarly:
-			most = longPatience
+		case errStarting:
+			timeout = maxStartWait
 		}
-		wait.For(ctx, patiencePause)
+		wait.For(ctx, startPollInterval)
 	}
 	return false
 }
 
-// firstSource returns errFound if a source of this domain is sound and errEarly
-// if one is about to be: the later ones are not asked then, or all daemons would
+// probeOwnDomain returns errHealthy if a source of this domain is healthy, and errStarting
+// if one is about to be. It stops at the first such source; otherwise all daemons would
 // follow the first.
-func (n *Node) firstSource(ctx context.Context) error {
+func (n *Node) probeOwnDomain(ctx context.Context) error {
 	for _, m := range n.candidates() {
 		if m.Domain != n.opts.Domain {
 			break
 		}
 		err := n.probe(ctx, m)
-		if errors.Is(err, errFound) {
-			return errFound
+		if errors.Is(err, errHealthy) {
+			return errHealthy
 		}
-		if errors.Is(err, errEarly) {
-			return errEarly
+		if errors.Is(err, errStarting) {
+			return errStarting
 		}
 	}
 	return nil
 }
 
-// followSource follows the first source that can be reached until it fails. It
-// returns whether one was followed.
+// followSource follows the first reachable source until the link fails. It returns whether
+// one was followed.
 func (n *Node) followSource(ctx context.Context) bool {
 	better := []Member{}
 	for _, m := range n.candidates() {
 		sctx, cancel := context.WithCancel(ctx)
-		go n.lookForBetter(sctx, better, cancel)
+		go n.awaitBetterSource(sctx, better, cancel)
 		followed, err := n.session(sctx, m, nil)
 		cancel()
 		if ctx.Err() != nil {
@@ -131,16 +130,16 @@
 	return false
 }
 
-// lookForBetter ends the following of a source when a better one is sound again.
-func (n *Node) lookForBetter(ctx context.Context, better []Member, leave func()) {
+// awaitBetterSource calls leave once a better source is healthy.
+func (n *Node) awaitBetterSource(ctx context.Context, better []Member, leave func()) {
 	if len(better) == 0 {
 		return
 	}
-	n.awaitAny(ctx, func() []Member { return better })
+	n.awaitHealthy(ctx, func() []Member { return better })
 	leave()
 }
 
-// followStore follows the store itself until a source is found.
+// followStore follows the store until a source is found.
 func (n *Node) followStore(ctx context.Context) {
 	sctx, cancel := context.WithCancel(ctx)
 	n.mu.Lock()
@@ -148,27 +147,27 @@
 	n.mu.Unlock()
 	n.beforeStore.Do(func() { n.prepare(sctx) })
 	var wg sync.WaitGroup
-	first, longest := quickPause, quickPauseMost
-	if len(n.candidates()) >= ownSources {
-		first, longest = laterPause, laterPauseMost
+	first, longest := minRetryDelay, maxRetryDelay
+	if len(n.candidates()) >= sourcesPerDomain {
+		first, longest = minLaterRetryDelay, maxLaterRetryDelay
 	}
 	wg.Go(func() { n.inv.Follow(sctx, first, longest) })
 	wg.Go(func() { n.exchangeLoads(sctx) })
 	if n.opts.Asker != nil {
-		wg.Go(func() { n.watchConditions(sctx) })
+		wg.Go(func() { n.pollConditions(sctx) })
 	}
 	n.readingSince.Store(time.Now().UnixNano())
 	n.reading.Store(true)
 	_ = level.Info(n.logger).Log("msg", "following the store", "domain", n.opts.Domain)
-	n.awaitAny(ctx, n.candidates)
+	n.awaitHealthy(ctx, n.candidates)
 	n.reading.Store(false)
 	cancel()
 	wg.Wait()
 }
 
-// awaitAny returns when one of the daemons is a sound source, or ctx ends.
-func (n *Node) awaitAny(ctx context.Context, candidates func() []Member) {
-	t := time.NewTicker(tryAgain)
+// awaitHealthy returns when one of the candidates is a healthy source, or when ctx ends.
+func (n *Node) awaitHealthy(ctx context.Context, candidates func() []Member) {
+	t := time.NewTicker(sourceCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -177,16 +176,16 @@
 		case <-t.C:
 		}
 		for _, m := range candidates() {
-			if errors.Is(n.probe(ctx, m), errFound) {
+			if errors.Is(n.probe(ctx, m), errHealthy) {
 				return
 			}
 		}
 	}
 }
 
-// probe returns errFound for a sound source, errEarly for one that is about to be
-// one, and what is wrong with any other daemon.
+// probe returns errHealthy for a healthy source, errStarting for one that is about to be
+// one, and otherwise why the daemon is not a source.
 func (n *Node) probe(ctx context.Context, m Member) error {
-	_, err := n.session(ctx, m, errFound)
+	_, err := n.session(ctx, m, errHealthy)
 	return err
 }
--- a/relay/loads.go
+++ b/relay/loads.go
@@ -10,32 +10,32 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// Loads are told every loadsEvery, and less often the more backend servers there
-// are: loadsPerItem for each bounds what a link carries to less than 2 KB a second.
+// Loads are sent every minLoadsInterval, or every loadsIntervalPerServer per backend
+// server if that is longer, which bounds the rate on a link to less than 2 KB/s.
 const (
-	loadsEvery   = 800 * time.Millisecond
-	loadsPerItem = 10 * time.Millisecond
-	// loadTTLPeriods is how many periods the loads that a daemon told count.
-	loadTTLPeriods = 3
+	minLoadsInterval       = 800 * time.Millisecond
+	loadsIntervalPerServer = 10 * time.Millisecond
+	// loadTTLIntervals is the number of intervals for which reported loads are valid.
+	loadTTLIntervals = 3
 )
 
-// loadsPeriod returns the time between two exchanges of loads.
-func loadsPeriod(servers int) time.Duration {
-	return max(loadsEvery, time.Duration(servers)*loadsPerItem)
+// loadsInterval returns the time between two exchanges of loads.
+func loadsInterval(servers int) time.Duration {
+	return max(minLoadsInterval, time.Duration(servers)*loadsIntervalPerServer)
 }
 
-func loadTTL(servers int) time.Duration { return loadTTLPeriods * loadsPeriod(servers) }
+func loadTTL(servers int) time.Duration { return loadTTLIntervals * loadsInterval(servers) }
 
 // LoadItem is the load that daemons cause on a backend server.
 type LoadItem struct {
 	Server  string
-	Running int     // requests that pass it
-	Heads   int     // requests that it runs as the first
-	KV      float64 // tokens x layers that they hold
+	Running int     // requests that pass through it
+	Heads   int     // requests of which it is the first hop
+	KV      float64 // tokens x layers held by them
 }
 
-// packedLoad is a LoadItem on a link, where loads are most of what is sent: the
-// backend server by a hash of its ID, tokens rounded, no names of fields.
+// packedLoad is a LoadItem on a link, without field names and with rounded tokens. Server
+// is a serverHash.
 type packedLoad struct {
 	_       struct{} `cbor:",toarray"`
 	Server  uint32
@@ -44,101 +44,98 @@
 	KV      uint64
 }
 
-// serverHash names a backend server in a packedLoad. Two of 600 share one in one
-// of 24,000 sites; they would be taken to be as busy as both.
+// serverHash identifies a backend server on a link. Servers whose hashes collide are
+// assigned the sum of their loads.
 func serverHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 func pack(l LoadItem) packedLoad {
 	return packedLoad{Server: serverHash(l.Server), Running: l.Running, Heads: l.Heads, KV: uint64(max(0, l.KV) + 0.5)}
 }
 
-// Bounds of what counts as a change of a load: the choice of a path works on
-// loads that are seconds old, and one request more or less is within that.
+// Minimum changes of a load that are sent. Path selection works on loads that are seconds
+// old, and a difference of one request is within their error.
 const (
-	changeShare = 8    // an eighth
-	changeKV    = 8000 // tokens x layers, about one request on one backend server
+	changeDivisor = 8    // minimum change as a fraction: 1/8
+	minChangeKV   = 8000 // tokens x layers, about one request on one backend server
 )
 
-// changed reports whether a load differs enough from what was told to be told
-// again.
-func (l packedLoad) changed(told packedLoad) bool {
-	far := func(a, b, least int) bool { return max(a-b, b-a) > max(least, b/changeShare) }
-	return far(l.Running, told.Running, 1) || far(l.Heads, told.Heads, 1) || far(int(l.KV), int(told.KV), changeKV)
+// changed reports whether a load differs enough from the one sent to be sent again.
+func (l packedLoad) changed(sent packedLoad) bool {
+	differs := func(a, b, minDiff int) bool { return max(a-b, b-a) > max(minDiff, b/changeDivisor) }
+	return differs(l.Running, sent.Running, 1) || differs(l.Heads, sent.Heads, 1) || differs(int(l.KV), int(sent.KV), minChangeKV)
 }
 
-// teller keeps what was told on one link, so that only changes are sent.
-type teller struct{ told map[uint32]packedLoad }
+// loadReporter records the loads sent on one link, so that only changes are sent.
+type loadReporter struct{ sent map[uint32]packedLoad }
 
-// changes returns the loads that have changed since they were told; those that
-// ended are told as zero.
-func (t *teller) changes(loads []LoadItem) []packedLoad {
-	if t.told == nil {
-		t.told = map[uint32]packedLoad{}
+// changes returns the loads that changed since they were sent. Loads that ended are sent
+// as zero.
+func (r *loadReporter) changes(loads []LoadItem) []packedLoad {
+	if r.sent == nil {
+		r.sent = map[uint32]packedLoad{}
 	}
 	var out []packedLoad
 	now := make(map[uint32]bool, len(loads))
 	for _, l := range loads {
 		p := pack(l)
 		now[p.Server] = true
-		if before, known := t.told[p.Server]; known && !p.changed(before) {
+		if before, known := r.sent[p.Server]; known && !p.changed(before) {
 			continue
 		}
-		t.told[p.Server] = p
+		r.sent[p.Server] = p
 		out = append(out, p)
 	}
-	for server := range t.told {
+	for server := range r.sent {
 		if !now[server] {
-			delete(t.told, server)
+			delete(r.sent, server)
 			out = append(out, packedLoad{Server: server})
 		}
 	}
 	return out
 }
 
-// Bounds of what a load can be, far beyond any backend server: what lies outside was
-// torn on its way or made by a fault.
+// Bounds of a valid load, far beyond any backend server. Values outside are corrupt.
 const (
-	mostRunning = 1 << 20 // requests
-	mostKV      = 1 << 40 // tokens x layers
+	maxRunning = 1 << 20 // requests
+	maxKV      = 1 << 40 // tokens x layers
 )
 
-// possible reports whether a backend server can have such a load.
-func (l packedLoad) possible() bool {
-	return l.Heads >= 0 && l.Heads <= l.Running && l.Running <= mostRunning && l.KV <= mostKV
+// valid reports whether a backend server can have such a load.
+func (l packedLoad) valid() bool {
+	return l.Heads >= 0 && l.Heads <= l.Running && l.Running <= maxRunning && l.KV <= maxKV
 }
 
-// listener adds up the changes that come over one link.
-type listener struct {
+// loadReceiver accumulates the changes received over one link.
+type loadReceiver struct {
 	loads map[uint32]packedLoad
-	// refused is told how many loads were dropped because no backend server can have
-	// them, nil for nobody.
+	// refused is called with the number of loads dropped as invalid; may be nil.
 	refused func(n int)
 }
 
-// take takes changes and returns all loads with their names; those of backend
-// servers that are not known here are left out. Impossible ones are dropped: what was
-// told of the backend server before stays.
-func (l *listener) take(changes []packedLoad, ids map[uint32]string) []LoadItem {
-	if l.loads == nil {
-		l.loads = map[uint32]packedLoad{}
+// apply applies changes and returns all loads by server ID. Loads of backend servers that
+// are not in ids are kept but not returned. Invalid changes are dropped, so the previous
+// load stays.
+func (r *loadReceiver) apply(changes []packedLoad, ids map[uint32]string) []LoadItem {
+	if r.loads == nil {
+		r.loads = map[uint32]packedLoad{}
 	}
-	impossible := 0
+	invalid := 0
 	for _, c := range changes {
-		if !c.possible() {
-			impossible++
+		if !c.valid() {
+			invalid++
 			continue
 		}
 		if c.Running == 0 && c.Heads == 0 && c.KV == 0 {
-			delete(l.loads, c.Server)
+			delete(r.loads, c.Server)
 			continue
 		}
-		l.loads[c.Server] = c
+		r.loads[c.Server] = c
 	}
-	if impossible > 0 && l.refused != nil {
-		l.refused(impossible)
+	if invalid > 0 && r.refused != nil {
+		r.refused(invalid)
 	}
-	out := make([]LoadItem, 0, len(l.loads))
-	for _, p := range l.loads {
+	out := make([]LoadItem, 0, len(r.loads))
+	for _, p := range r.loads {
 		if id, known := ids[p.Server]; known {
 			out = append(out, LoadItem{Server: id, Running: p.Running, Heads: p.Heads, KV: float64(p.KV)})
 		}
@@ -146,76 +143,76 @@
 	return out
 }
 
-// names finds backend servers by their hash.
-type names struct {
+// serverIndex maps hashes to IDs of backend servers.
+type serverIndex struct {
 	mu    sync.Mutex
-	state *inventory.State // of which ids were made
+	state *inventory.State // that ids was built from
 	ids   map[uint32]string
 }
 
-// of returns the IDs of a state's backend servers by hash.
-func (n *names) of(state *inventory.State) map[uint32]string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.state != state {
-		n.state, n.ids = state, make(map[uint32]string, len(state.Servers))
+// forState returns the IDs of the backend servers in a state by hash.
+func (i *serverIndex) forState(state *inventory.State) map[uint32]string {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	if i.state != state {
+		i.state, i.ids = state, make(map[uint32]string, len(state.Servers))
 		for name, e := range state.Servers {
 			id := cmp.Or(e.Server, name)
-			n.ids[serverHash(id)] = id
+			i.ids[serverHash(id)] = id
 		}
 	}
-	return n.ids
+	return i.ids
 }
 
-// ledger adds up the loads of the daemons that follow this one. It is safe for
+// loadTable holds the last load report of each follower or domain. It is safe for
 // concurrent use.
-type ledger struct {
-	mu    sync.Mutex
-	byOne map[string]told
+type loadTable struct {
+	mu      sync.Mutex
+	reports map[string]loadReport
 }
 
-// told are the loads that a daemon told with those of its followers, or a source
-// of another domain.
-type told struct {
+// loadReport holds the loads that a daemon reported for itself and its followers, or that
+// the source of another domain reported.
+type loadReport struct {
 	at     time.Time
 	domain string
 	loads  Loads
 }
 
-// Loads are those of several daemons together.
+// Loads are the summed loads of several daemons.
 type Loads struct {
 	Items   []LoadItem
-	Daemons int           // whose loads these are
-	Age     time.Duration // since each daemon had its own, on average over them
+	Daemons int           // number of daemons included
+	Age     time.Duration // mean age over the daemons
 }
 
 // loadSum adds up loads.
 type loadSum struct {
 	items   map[string]LoadItem
 	daemons int
-	ages    time.Duration // of all daemons together
+	ages    time.Duration // summed over the daemons
 }
 
 func newLoadSum() *loadSum { return &loadSum{items: map[string]LoadItem{}} }
 
-// add takes loads that were told so long ago.
+// add adds loads that were received ago before now.
 func (s *loadSum) add(l Loads, ago time.Duration) {
 	s.daemons += l.Daemons
 	s.ages += time.Duration(l.Daemons) * (l.Age + ago)
 	for _, i := range l.Items {
-		of := s.items[i.Server]
-		of.Server = i.Server
-		of.Running += i.Running
-		of.Heads += i.Heads
-		of.KV += i.KV
-		s.items[i.Server] = of
+		total := s.items[i.Server]
+		total.Server = i.Server
+		total.Running += i.Running
+		total.Heads += i.Heads
+		total.KV += i.KV
+		s.items[i.Server] = total
 	}
 }
 
-// addOwn takes the loads of this daemon.
+// addOwn adds the loads of this daemon.
 func (s *loadSum) addOwn(items []LoadItem) { s.add(Loads{Items: items, Daemons: 1}, 0) }
 
-// loads returns the sum; backend servers without requests are left out.
+// loads returns the sum. Backend servers without requests are omitted.
 func (s *loadSum) loads() Loads {
 	out := Loads{Items: make([]LoadItem, 0, len(s.items)), Daemons: s.daemons}
 	for _, i := range s.items {
@@ -229,38 +226,38 @@
 	return out
 }
 
-func newLedger() *ledger { return &ledger{byOne: map[string]told{}} }
+func newLoadTable() *loadTable { return &loadTable{reports: map[string]loadReport{}} }
 
-// put takes what a daemon told.
-func (l *ledger) put(daemon string, t told) {
+// put stores the report of a daemon or domain.
+func (l *loadTable) put(daemon string, r loadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.byOne[daemon] = t
+	l.reports[daemon] = r
 }
 
-// drop forgets what a daemon told at that time, whose link has ended: it follows
-// another one now. What it told later, over a new link, stays.
-func (l *ledger) drop(daemon string, at time.Time) {
+// drop removes the report that a daemon made at that time, after its link has ended. A
+// later report over a new link stays.
+func (l *loadTable) drop(daemon string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.byOne[daemon].at.Equal(at) {
-		delete(l.byOne, daemon)
+	if l.reports[daemon].at.Equal(at) {
+		delete(l.reports, daemon)
 	}
 }
 
-// addTo adds up the loads told by all but one daemon, with its followers. keep says
-// whose domains count.
-func (l *ledger) addTo(sum *loadSum, except string, keep func(domain string) bool, ttl time.Duration, now time.Time) {
+// addTo adds the reports that are not older than ttl, except that of one daemon and those
+// from domains that keep rejects. It removes expired reports.
+func (l *loadTable) addTo(sum *loadSum, except string, keep func(domain string) bool, ttl time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for name, t := range l.byOne {
-		ago := now.Sub(t.at)
+	for name, r := range l.reports {
+		ago := now.Sub(r.at)
 		if ago > ttl {
-			delete(l.byOne, name)
+			delete(l.reports, name)
 			continue
 		}
-		if name != except && keep(t.domain) {
-			sum.add(t.loads, ago)
+		if name != except && keep(r.domain) {
+			sum.add(r.loads, ago)
 		}
 	}
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -17,30 +17,30 @@
 	return &inventory.State{ConfigVersion: version, Config: []byte(fmt.Sprint(version)), Servers: servers}
 }
 
-func e(revision uint64) inventory.Entry {
+func entry(revision uint64) inventory.Entry {
 	return inventory.Entry{Raw: []byte("record"), At: store.Position(revision)}
 }
 
-func TestOnlyWhatChangedIsPassedOn(t *testing.T) {
-	a := state(7, map[string]inventory.Entry{"x": e(1), "y": e(2)})
+func TestDiffContainsOnlyChanges(t *testing.T) {
+	a := state(7, map[string]inventory.Entry{"x": entry(1), "y": entry(2)})
 	full := diff(nil, a)
 	require.True(t, full.Full)
 	require.Len(t, full.Servers, 2)
 	require.Equal(t, "7", string(full.Config))
-	require.Nil(t, diff(a, state(7, map[string]inventory.Entry{"x": e(1), "y": e(2)})))
-	u := diff(a, state(8, map[string]inventory.Entry{"x": e(3)}))
+	require.Nil(t, diff(a, state(7, map[string]inventory.Entry{"x": entry(1), "y": entry(2)})))
+	u := diff(a, state(8, map[string]inventory.Entry{"x": entry(3)}))
 	require.False(t, u.Full)
 	require.Equal(t, []string{"y"}, u.Gone)
 	require.Len(t, u.Servers, 1)
 	require.Equal(t, "8", string(u.Config))
-	lapsed := e(1)
+	lapsed := entry(1)
 	lapsed.Lapsed = true
-	require.Len(t, diff(a, state(7, map[string]inventory.Entry{"x": lapsed, "y": e(2)})).Servers, 1)
+	require.Len(t, diff(a, state(7, map[string]inventory.Entry{"x": lapsed, "y": entry(2)})).Servers, 1)
 }
 
-func TestFramesAreMadeOnceForAllFollowers(t *testing.T) {
-	var f frames
-	a, b := state(7, map[string]inventory.Entry{"x": e(1)}), state(8, nil)
+func TestFramesAreEncodedOnce(t *testing.T) {
+	var f frameCache
+	a, b := state(7, map[string]inventory.Entry{"x": entry(1)}), state(8, nil)
 	first, err := f.between(a, b)
 	require.NoError(t, err)
 	again, err := f.between(a, b)
@@ -56,12 +56,12 @@
 	data, err := encodeUpdate(u)
 	require.NoError(t, err)
 	require.Less(t, len(data), 30_000, "180 KB of records")
-	out, err := (&frame{Packed: unwrap(t, data)}).unpack()
+	out, err := (&frame{Packed: packedData(t, data)}).decompress()
 	require.NoError(t, err)
 	require.Equal(t, u, out.Update)
 }
 
-func unwrap(t *testing.T, data []byte) []byte {
+func packedData(t *testing.T, data []byte) []byte {
 	t.Helper()
 	f, err := decodeFrame(data)
 	require.NoError(t, err)
@@ -69,12 +69,12 @@
 	return f.Packed
 }
 
-func TestLoadsAreAddedUpWithoutTheAskersOwn(t *testing.T) {
-	l := newLedger()
+func TestLoadSumExcludesSender(t *testing.T) {
+	l := newLoadTable()
 	now := time.Unix(1000, 0)
-	l.put("a", told{at: now, domain: "d1", loads: Loads{Items: []LoadItem{{Server: "s", Running: 2, Heads: 1, KV: 10}}, Daemons: 1}})
-	l.put("b", told{at: now, domain: "d1", loads: Loads{Items: []LoadItem{{Server: "s", Running: 3, KV: 20}}, Daemons: 1, Age: time.Second}})
-	l.put("c", told{at: now, domain: "d2", loads: Loads{Items: []LoadItem{{Server: "s", Running: 100}}, Daemons: 1}})
+	l.put("a", loadReport{at: now, domain: "d1", loads: Loads{Items: []LoadItem{{Server: "s", Running: 2, Heads: 1, KV: 10}}, Daemons: 1}})
+	l.put("b", loadReport{at: now, domain: "d1", loads: Loads{Items: []LoadItem{{Server: "s", Running: 3, KV: 20}}, Daemons: 1, Age: time.Second}})
+	l.put("c", loadReport{at: now, domain: "d2", loads: Loads{Items: []LoadItem{{Server: "s", Running: 100}}, Daemons: 1}})
 	total := func(except string, keep func(string) bool, now time.Time) Loads {
 		sum := newLoadSum()
 		l.addTo(sum, except, keep, time.Second, now)
@@ -83,71 +83,70 @@
 	got := total("a", func(d string) bool { return d == "d1" }, now.Add(500*time.Millisecond))
 	require.Equal(t, []LoadItem{{Server: "s", Running: 3, KV: 20}}, got.Items)
 	require.Equal(t, 1, got.Daemons)
-	require.Equal(t, 1500*time.Millisecond, got.Age, "it was a second old when it was told")
-	require.Equal(t, time.Second, total("", func(d string) bool { return d == "d1" }, now.Add(500*time.Millisecond)).Age, "on average")
-	require.Zero(t, total("", allDomains, now.Add(2*time.Second)).Daemons, "what was told long ago does not count")
+	require.Equal(t, 1500*time.Millisecond, got.Age, "reported age plus time since the report")
+	require.Equal(t, time.Second, total("", func(d string) bool { return d == "d1" }, now.Add(500*time.Millisecond)).Age, "mean over the daemons")
+	require.Zero(t, total("", allDomains, now.Add(2*time.Second)).Daemons, "expired reports do not count")
 }
 
-func TestLoadsCostABoundedRate(t *testing.T) {
-	require.Equal(t, loadsEvery, loadsPeriod(40))
+func TestLoadsRateIsBounded(t *testing.T) {
+	require.Equal(t, minLoadsInterval, loadsInterval(40))
 	loads := make([]LoadItem, 600)
 	for i := range loads {
 		loads[i] = LoadItem{Server: fmt.Sprintf("i-%010x", i), Running: 190, Heads: 20, KV: 3e6}
 	}
-	data, err := cbor.Marshal(&frame{Pong: &pong{Number: 1000, Loads: new(teller).changes(loads), Daemons: 380}})
+	data, err := cbor.Marshal(&frame{Pong: &pong{Number: 1000, Loads: new(loadReporter).changes(loads), Daemons: 380}})
 	require.NoError(t, err)
-	rate := float64(len(data)) / loadsPeriod(600).Seconds()
-	require.Less(t, rate, 1700.0, "bytes a second on a link with 600 backend servers, all of them loaded")
+	rate := float64(len(data)) / loadsInterval(600).Seconds()
+	require.Less(t, rate, 1700.0, "bytes per second on a link with 600 loaded backend servers")
 }
 
-func TestPackedLoadsNameTheirBackendServers(t *testing.T) {
-	var n names
-	var l listener
-	known := state(1, map[string]inventory.Entry{"x": e(1), "y": e(2)})
+func TestPackedLoadsResolveServerNames(t *testing.T) {
+	var n serverIndex
+	var l loadReceiver
+	known := state(1, map[string]inventory.Entry{"x": entry(1), "y": entry(2)})
 	in := []LoadItem{{Server: "x", Running: 3, Heads: 1, KV: 1000}, {Server: "gone", Running: 9}}
-	require.Equal(t, in[:1], l.take(new(teller).changes(in), n.of(known)))
-	require.Equal(t, in[1:], l.take([]packedLoad{pack(LoadItem{Server: "x"})}, n.of(state(2, map[string]inventory.Entry{"gone": e(3)}))),
-		"kept until it is known")
+	require.Equal(t, in[:1], l.apply(new(loadReporter).changes(in), n.forState(known)))
+	require.Equal(t, in[1:], l.apply([]packedLoad{pack(LoadItem{Server: "x"})}, n.forState(state(2, map[string]inventory.Entry{"gone": entry(3)}))),
+		"kept until the server is known")
 }
 
-// Loads that no backend server can have are dropped and counted, and what was told of
-// it before stays.
-func TestImpossibleLoadsAreDropped(t *testing.T) {
+// Loads out of range are dropped and counted, and the previous load of the server stays.
+func TestInvalidLoadsAreDropped(t *testing.T) {
 	refused := 0
-	l := listener{refused: func(n int) { refused += n }}
+	l := loadReceiver{refused: func(n int) { refused += n }}
 	ids := map[uint32]string{serverHash("x"): "x"}
 	in := []LoadItem{{Server: "x", Running: 3, Heads: 1, KV: 1000}}
-	require.Equal(t, in, l.take([]packedLoad{pack(in[0])}, ids))
+	require.Equal(t, in, l.apply([]packedLoad{pack(in[0])}, ids))
 	for _, bad := range []packedLoad{
 		{Running: -1},
 		{Running: 2, Heads: -1},
 		{Running: 2, Heads: 3},
-		{Running: mostRunning + 1},
-		{Running: 2, KV: mostKV + 1},
+		{Running: maxRunning + 1},
+		{Running: 2, KV: maxKV + 1},
 	} {
 		bad.Server = serverHash("x")
-		require.Equal(t, in, l.take([]packedLoad{bad}, ids), "%+v", bad)
+		require.Equal(t, in, l.apply([]packedLoad{bad}, ids), "%+v", bad)
 	}
 	require.Equal(t, 5, refused)
 }
 
-// What a listener knows stays close to the loads, and few of them are told.
+// The loads held by the receiver stay close to the real ones, although few are sent.
 func TestOnlyChangedLoadsAreTold(t *testing.T) {
 	const servers, rounds = 600, 50
 	entries := map[string]inventory.Entry{}
 	for i := range servers {
-		entries[fmt.Sprint("s", i)] = e(1)
+		entries[fmt.Sprint("s", i)] = entry(1)
 	}
-	var n names
-	ids := n.of(state(1, entries))
+	var n serverIndex
+	ids := n.forState(state(1, entries))
 	rng := rand.New(rand.NewPCG(1, 2))
 	loads := make([]LoadItem, servers)
-	var out teller
-	var in listener
-	told := 0
+	var out loadReporter
+	var in loadReceiver
+	sent := 0
 	for round := range rounds {
 		for i := range loads {
-			// About 800 requests on each, as the others of the whole site cause them.
+			// About 800 requests on each server, caused by the other daemons of the site.
 			running := 800 + int(30*rng.NormFloat64())
 			if i == round {
 				running = 0
@@ -156,22 +155,22 @@
 		}
 		present := loads
 		if round == rounds-1 {
-			present = loads[:servers-1] // the last one ended
+			present = loads[:servers-1] // the load on the last server has ended
 		}
 		changes := out.changes(present)
 		if round > 0 {
-			told += len(changes)
+			sent += len(changes)
 		}
 		known := map[string]LoadItem{}
-		for _, l := range in.take(changes, ids) {
+		for _, l := range in.apply(changes, ids) {
 			known[l.Server] = l
 		}
 		for _, l := range present {
-			require.InDelta(t, l.Running, known[l.Server].Running, 1+float64(known[l.Server].Running)/changeShare, l.Server)
+			require.InDelta(t, l.Running, known[l.Server].Running, 1+float64(known[l.Server].Running)/changeDivisor, l.Server)
 		}
 		require.Len(t, known, len(present)-zeros(present))
 	}
-	require.Less(t, told, rounds*servers/20, "of all loads in all rounds")
+	require.Less(t, sent, rounds*servers/20, "of all loads in all rounds")
 }
 
 func zeros(loads []LoadItem) (n int) {
@@ -183,8 +182,8 @@
 	return n
 }
 
-// BenchmarkConfigUpdate gives what a source spends to encode a configuration of 300 KB
-// of which one route has changed, and how long the frame is.
+// BenchmarkConfigUpdate measures the encoding of a 300 KB configuration with one changed
+// route, and reports the frame size.
 func BenchmarkConfigUpdate(b *testing.B) {
 	raw := func(version int) []byte {
 		out := fmt.Appendf(nil, `{"version":%d,"routes":[`, version)
--- a/relay/session.go
+++ b/relay/session.go
@@ -15,9 +15,9 @@
 	"github.com/snowspoke/snowspoke/stall"
 )
 
-// session follows a source until the link fails or its knowledge is not fresh.
-// followed says that it was fresh at first. With a probe error it returns that
-// as soon as the source has shown to be fresh.
+// session follows a source until the link fails or the source is stale. followed reports
+// whether the source was fresh at first. If probe is not nil, it is returned as soon as
+// the source has proved fresh.
 func (n *Node) session(ctx context.Context, m Member, probe error) (followed bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -28,17 +28,17 @@
 	defer func() { _ = c.CloseNow() }()
 	s := &session{
 		node: n, conn: c, sent: map[uint64]time.Time{}, probe: probe, cancel: cancel,
-		heard: listener{refused: n.book.RefuseLoads},
+		received: loadReceiver{refused: n.book.RefuseLoads},
 	}
-	s.silent = n.opts.Stalls.AfterFunc(silentFor, func() { cancel(errSilent) })
+	s.silent = n.opts.Stalls.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
 	defer s.silent.Stop()
 	if probe == nil {
-		defer n.forgetUpstream()
-		defer n.hearConditions(sourceLoads, nil)
+		defer n.clearUpstream()
+		defer n.applyConditions(sourceKey, nil)
 	}
 	go s.pings(ctx)
 	if probe == nil {
-		go n.tellCrashes(ctx, c, new(crashTeller))
+		go n.sendCrashes(ctx, c, new(crashReporter))
 	}
 	err = s.read(ctx)
 	if cause := context.Cause(ctx); cause != nil {
@@ -47,8 +47,8 @@
 	return s.followed, err
 }
 
-// NewDialer returns the client that opens links over connections of connect, nil for
-// the usual ones.
+// NewDialer returns the client that opens links, over connections from connect, or from
+// net.Dialer if it is nil.
 func NewDialer(connect func(ctx context.Context, network, address string) (net.Conn, error), stalls *stall.Monitor) *http.Client {
 	if connect == nil {
 		connect = new(net.Dialer).DialContext
@@ -57,7 +57,7 @@
 		ctx, cancel := stalls.WithTimeout(ctx, connectTimeout)
 		defer cancel()
 		return connect(ctx, network, address)
-	}, IdleConnTimeout: tryAgain}
+	}, IdleConnTimeout: sourceCheckInterval}
 	return &http.Client{Transport: t}
 }
 
@@ -73,10 +73,10 @@
 	})
 	if err != nil {
 		if resp != nil && resp.StatusCode == http.StatusTooEarly {
-			return nil, errEarly
+			return nil, errStarting
 		}
 		if resp != nil && resp.StatusCode == http.StatusServiceUnavailable {
-			return nil, errLost
+			return nil, errStoreLost
 		}
 		if resp != nil {
 			return nil, fmt.Errorf("relay: %s: status %d", m.Name, resp.StatusCode)
@@ -87,34 +87,35 @@
 	return c, nil
 }
 
-// sourceLoads names what the source told among the loads from above.
-const sourceLoads = "source"
+// sourceKey is the key of what was received from the source, among loads and conditions.
+const sourceKey = "source"
 
-// session is one link to a source.
+// session is a link to a source. followed, complete, received and config are used by the
+// reading goroutine alone.
 type session struct {
 	node   *Node
 	conn   *websocket.Conn
 	silent *stall.Timer
-	probe  error
+	probe  error // nil unless this is a probe
 	cancel context.CancelCauseFunc
 
-	followed bool // it has shown to be fresh; used by the reader alone
-	complete bool // the full state has come; used by the reader alone
+	followed bool // the source has proved fresh
+	complete bool // the full state was received
 
-	heard  listener // loads that the source told; used by the reader alone
-	config []byte   // the last one that came over the link; used by the reader alone
+	received loadReceiver // loads from the source
+	config   []byte       // last configuration received over the link
 
-	pinging sync.Mutex // held while a ping is made and sent: changes keep their order
-	told    teller     // loads told to the source
+	pingMu   sync.Mutex   // held while a ping is built and sent, so that changes of loads stay in order
+	reporter loadReporter // loads sent to the source; guarded by pingMu
 
-	mu     sync.Mutex
-	number uint64
-	loads  time.Time            // when loads were last told
-	sent   map[uint64]time.Time // of pings without an answer
+	mu          sync.Mutex
+	lastNumber  uint64 // of pings
+	loadsSentAt time.Time
+	sent        map[uint64]time.Time // send time of unanswered pings, by number
 }
 
 func (s *session) pings(ctx context.Context) {
-	t := time.NewTicker(pingEvery)
+	t := time.NewTicker(pingInterval)
 	defer t.Stop()
 	for {
 		if err := s.ping(ctx); err != nil {
@@ -129,29 +130,29 @@
 	}
 }
 
-// ping asks how fresh the source is. The pinging and the reading goroutine call
-// it.
+// ping queries how fresh the source is. It is called by the pinging and the reading
+// goroutine.
 func (s *session) ping(ctx context.Context) error {
-	s.pinging.Lock()
-	defer s.pinging.Unlock()
+	s.pingMu.Lock()
+	defer s.pingMu.Unlock()
 	now := boottime.Now()
 	p := &ping{Sender: s.node.opts.Name, Domain: s.node.opts.Domain}
 	if s.probe == nil {
-		s.node.gatherSuspects()
+		s.node.collectSuspects()
 		p.Suspects = s.node.conditions.takeSuspects()
 	}
 	s.mu.Lock()
-	s.number++
-	p.Number = s.number
+	s.lastNumber++
+	p.Number = s.lastNumber
 	s.sent[p.Number] = now
-	p.HasLoads = now.Sub(s.loads) >= loadsPeriod(len(s.node.inv.State().Servers))
+	p.HasLoads = now.Sub(s.loadsSentAt) >= loadsInterval(len(s.node.inv.State().Servers))
 	if p.HasLoads {
-		s.loads = now
+		s.loadsSentAt = now
 	}
 	s.mu.Unlock()
 	if p.HasLoads {
-		loads := s.node.loadsBelow(now)
-		p.Loads, p.Daemons, p.LoadsAge = s.told.changes(loads.Items), loads.Daemons, loads.Age
+		loads := s.node.subtreeLoads(now)
+		p.Loads, p.Daemons, p.LoadsAge = s.reporter.changes(loads.Items), loads.Daemons, loads.Age
 	}
 	return writeFrame(ctx, s.conn, &frame{Ping: p})
 }
@@ -165,19 +166,19 @@
 		switch {
 		case f.Update != nil && s.probe == nil:
 			u := f.Update
-			if err := s.takeConfig(u); err != nil {
+			if err := s.resolveConfig(u); err != nil {
 				return err
 			}
 			s.node.inv.Apply(toUpdate(u))
 			if u.Full {
-				if err := s.takeFullState(ctx); err != nil {
+				if err := s.onFullState(ctx); err != nil {
 					return err
 				}
 			}
 		case f.Conditions != nil && s.probe == nil:
-			s.node.hearConditions(sourceLoads, f.Conditions.Known)
+			s.node.applyConditions(sourceKey, f.Conditions.Known)
 		case f.Crashes != nil:
-			s.node.hearCrashes(f.Crashes)
+			s.node.applyCrashes(f.Crashes)
 		case f.Pong != nil:
 			if err := s.pong(ctx, f.Pong); err != nil {
 				return err
@@ -186,13 +187,14 @@
 	}
 }
 
-// takeConfig keeps the configuration of an update for the next difference, and makes it
-// out of one. A source sends differences from what it sent last over the link.
-func (s *session) takeConfig(u *update) error {
+// resolveConfig makes the configuration of an update from its delta, if it has one, and
+// keeps it as the base of the next. A source sends deltas against the configuration that
+// it last sent over the link.
+func (s *session) resolveConfig(u *update) error {
 	if u.Change != nil {
 		config, err := u.Change.apply(s.config)
 		if err != nil {
-			return err // the link is made anew, with the full state
+			return err // a new link starts with the full state
 		}
 		u.Config = config
 	}
@@ -202,23 +204,23 @@
 	return nil
 }
 
-// takeFullState asks again at once: the pings so far were answered for a configuration
-// not yet known here. Loads are asked for with it. Those that came first were of
-// backend servers not yet known and were left out, so that this daemon, and those that
-// followed it, took all backend servers to be idle for up to a period of loads.
-func (s *session) takeFullState(ctx context.Context) error {
+// onFullState pings at once, since earlier pings were answered before the configuration
+// was known here. The ping also requests loads: those received before the list of backend
+// servers could not be resolved, and the servers would count as idle for up to an
+// interval.
+func (s *session) onFullState(ctx context.Context) error {
 	s.complete = true
 	s.mu.Lock()
-	s.loads = time.Time{}
+	s.loadsSentAt = time.Time{}
 	s.mu.Unlock()
 	return s.ping(ctx)
 }
 
-// pong takes an answer. What the source knew is as fresh as it says, counted
-// from when it was asked. Loads are taken first: once noteUpstream has made this
-// daemon a source, its followers are told them.
+// pong handles the answer to a ping. The reported freshness counts from when the ping was
+// sent. Loads are applied before setUpstream makes this daemon a source, so that its
+// followers receive them.
 func (s *session) pong(ctx context.Context, p *pong) error {
-	s.silent.Reset(silentFor)
+	s.silent.Reset(silenceTimeout)
 	s.mu.Lock()
 	sent, ok := s.sent[p.Number]
 	delete(s.sent, p.Number)
@@ -226,7 +228,7 @@
 	if !ok {
 		return nil
 	}
-	if p.Heard > unheardFor(s.node.opts.ConfigWithin) {
+	if p.SinceContact > contactTimeout(s.node.opts.ConfigWithin) {
 		return errStale
 	}
 	if s.probe != nil {
@@ -236,11 +238,11 @@
 	s.node.inv.Vouch(p.Version, sent.Add(-p.Age))
 	now := boottime.Now()
 	if p.Daemons > 0 {
-		s.node.above.put(sourceLoads, told{at: now, loads: p.told(&s.heard, s.node.serverNames())})
-		s.node.takeOthers(now)
+		s.node.sourceLoads.put(sourceKey, loadReport{at: now, loads: p.report(&s.received, s.node.serverNames())})
+		s.node.updateOthers(now)
 	}
 	if s.complete {
-		s.node.noteUpstream(ctx, p.Heard, now)
+		s.node.setUpstream(ctx, p.SinceContact, now)
 	}
 	return nil
 }
--- a/relay/source.go
+++ b/relay/source.go
@@ -13,39 +13,39 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// Inventory is what is passed on, and where what is received goes.
+// Inventory holds the state that is passed on to followers and receives that of the
+// source.
 type Inventory interface {
-	// State is immutable; two calls without a change between give the same.
+	// State returns an immutable state; without a change two calls return the same pointer.
 	State() *inventory.State
 	Changed() <-chan struct{}
 	Age(now time.Time) time.Duration
-	// Heard returns when the store last answered this daemon itself, the zero time
-	// when it is lost.
+	// Heard returns when the store last answered this daemon itself, the zero time if the
+	// store is lost.
 	Heard() time.Time
 	Apply(u inventory.Update)
 	Vouch(version uint64, fresh time.Time)
-	// Follow follows the store itself until ctx ends, with pauses between first and
-	// longest after failed calls.
+	// Follow follows the store until ctx ends. Retry delays after failed calls are between
+	// first and longest.
 	Follow(ctx context.Context, first, longest time.Duration)
 }
 
-// LoadBook tells this daemon's own loads and takes those of the others.
+// LoadBook provides the loads of this daemon and receives those of the others.
 type LoadBook interface {
 	OwnLoads() []LoadItem
-	// TakeOthers takes the loads that the other daemons cause together.
+	// TakeOthers sets the summed loads of the other daemons.
 	TakeOthers(others Loads)
-	// RefuseLoads is told how many loads were dropped as impossible.
+	// RefuseLoads counts loads that were dropped as invalid.
 	RefuseLoads(n int)
-	// TakeSuspects returns the backend servers that this daemon suspects to be slow
-	// since the last call.
+	// TakeSuspects returns the backend servers newly suspected to be slow since the last
+	// call.
 	TakeSuspects() []string
-	// TakeConditions takes all that are known to be slow or crowded. The map must not be
-	// changed.
+	// TakeConditions sets all backend servers that are known to be slow or saturated. The
+	// map must not be changed.
 	TakeConditions(known map[string]Condition)
 }
 
-// ServeHTTP serves one follower until the link ends: changes as they come, and
-// an answer to each ping.
+// ServeHTTP serves one follower until the link ends: it sends changes and answers pings.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	sameDomain := query.Get(domainParam) == n.opts.Domain
@@ -57,7 +57,7 @@
 	case !sameDomain && !n.reading.Load():
 		http.Error(w, "no source of this domain", http.StatusMisdirectedRequest)
 		return
-	case !n.sound(now):
+	case !n.healthy(now):
 		http.Error(w, "the store is lost", http.StatusServiceUnavailable)
 		return
 	}
@@ -78,18 +78,17 @@
 		defer cancel()
 		n.answerPings(ctx, c)
 	}()
-	// What is known of crashing requests goes first: the follower sends requests on once
-	// it has the state.
-	var crashes crashTeller
-	if n.tellKnownCrashes(ctx, c, &crashes) != nil {
+	// Known crashes are sent first: the follower forwards requests once it has the state.
+	var crashes crashReporter
+	if n.sendKnownCrashes(ctx, c, &crashes) != nil {
 		return // the follower is gone
 	}
-	go n.tellCrashes(ctx, c, &crashes)
+	go n.sendCrashes(ctx, c, &crashes)
 	go n.pushConditions(ctx, c)
 	n.pushChanges(ctx, c)
 }
 
-// pushChanges sends the full state and then what changes.
+// pushChanges sends the full state, then changes.
 func (n *Node) pushChanges(ctx context.Context, c *websocket.Conn) {
 	var sent *inventory.State
 	for {
@@ -102,7 +101,7 @@
 		}
 		if data != nil {
 			if writeData(ctx, c, data) != nil {
-				return // the follower notices and comes back
+				return // the follower reconnects
 			}
 			sent = now
 		}
@@ -114,29 +113,28 @@
 	}
 }
 
-// frames keeps the last frames that carry a change, encoded: most followers need
-// the same one.
-type frames struct {
-	mu   sync.Mutex
-	kept []keptFrame
+// frameCache caches the last encoded updates, since most followers need the same one.
+type frameCache struct {
+	mu      sync.Mutex
+	entries []cachedFrame
 }
 
-type keptFrame struct {
+type cachedFrame struct {
 	from, to *inventory.State
 	data     []byte
 }
 
-// framesKept is how many frames are kept: the full state and the last change.
-const framesKept = 3
+// maxCachedFrames bounds the cached frames: the full state and the last changes.
+const maxCachedFrames = 3
 
-// between returns the encoded change from one state to another, nil for none;
-// from nil is the full state.
-func (f *frames) between(from, to *inventory.State) ([]byte, error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, k := range f.kept {
-		if k.from == from && k.to == to {
-			return k.data, nil
+// between returns the encoded update from one state to another, nil if nothing changed.
+// From nil it is the full state.
+func (c *frameCache) between(from, to *inventory.State) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, e := range c.entries {
+		if e.from == from && e.to == to {
+			return e.data, nil
 		}
 	}
 	u := diff(from, to)
@@ -147,15 +145,15 @@
 	if err != nil {
 		return nil, err
 	}
-	f.kept = append(f.kept, keptFrame{from, to, data})
-	if len(f.kept) > framesKept {
-		f.kept = f.kept[1:]
+	c.entries = append(c.entries, cachedFrame{from, to, data})
+	if len(c.entries) > maxCachedFrames {
+		c.entries = c.entries[1:]
 	}
 	return data, nil
 }
 
-// diff returns what changed between two states, nil for nothing. From nil it is
-// the full state.
+// diff returns the update from one state to another, nil if nothing changed. From nil it
+// is the full state.
 func diff(old, now *inventory.State) *update {
 	u := &update{Full: old == nil, Restored: now.Restored, Servers: map[string]inventory.Entry{}}
 	if old == nil {
@@ -170,7 +168,7 @@
 		}
 	}
 	for id := range old.Servers {
-		if _, there := now.Servers[id]; !there {
+		if _, ok := now.Servers[id]; !ok {
 			u.Gone = append(u.Gone, id)
 		}
 	}
@@ -180,14 +178,15 @@
 	return u
 }
 
-// deltaFrom is the part of a configuration that a difference must spare to be sent.
-const deltaFrom = 0.5
+// maxDeltaRatio is the size of a delta, relative to the full configuration, below which it
+// is sent instead.
+const maxDeltaRatio = 0.5
 
-// setConfig sets the configuration, as the difference from the last one that was sent
-// if that is much shorter.
+// setConfig sets the configuration, as a delta from the last one sent if that is much
+// shorter.
 func (u *update) setConfig(last, now []byte) {
 	if len(last) > 0 {
-		if d := newDelta(last, now); float64(d.size()) < deltaFrom*float64(len(now)) {
+		if d := newDelta(last, now); float64(d.size()) < maxDeltaRatio*float64(len(now)) {
 			u.Change = d
 			return
 		}
@@ -197,18 +196,18 @@
 
 // answerPings answers a follower until the link ends.
 func (n *Node) answerPings(ctx context.Context, c *websocket.Conn) {
-	follower, toldAt := "", time.Time{}
-	fromFollower := listener{refused: n.book.RefuseLoads}
-	var toFollower teller
-	var conditionsTold uint64
-	var crashes crashTeller
-	defer func() { n.ledger.drop(follower, toldAt) }()
+	follower, reportedAt := "", time.Time{}
+	fromFollower := loadReceiver{refused: n.book.RefuseLoads}
+	var toFollower loadReporter
+	var conditionsVersion uint64
+	var crashes crashReporter
+	defer func() { n.followerLoads.drop(follower, reportedAt) }()
 	for {
 		f, err := readFrame(ctx, c)
 		if err != nil {
-			return // the link is over
+			return // the link has ended
 		}
-		n.hearCrashes(f.Crashes)
+		n.applyCrashes(f.Crashes)
 		if f.Ping == nil {
 			continue
 		}
@@ -216,92 +215,91 @@
 		p := f.Ping
 		sameDomain := p.Domain == n.opts.Domain
 		if p.HasLoads && !p.LoadsOnly {
-			follower, toldAt = p.Sender, now
-			n.ledger.put(follower, told{at: now, domain: p.Domain, loads: p.told(&fromFollower, n.serverNames())})
+			follower, reportedAt = p.Sender, now
+			n.followerLoads.put(follower, loadReport{at: now, domain: p.Domain, loads: p.report(&fromFollower, n.serverNames())})
 		}
-		heard, ok := n.heard(now)
-		if !ok || heard >= unheardFor(n.opts.ConfigWithin) {
-			return // the follower leaves at once
+		sinceContact, ok := n.sinceContact(now)
+		if !ok || sinceContact >= contactTimeout(n.opts.ConfigWithin) {
+			return // closes the link, so that the follower leaves at once
 		}
-		answer := &pong{Number: p.Number, Age: n.inv.Age(now), Heard: heard, Version: n.inv.State().ConfigVersion}
+		answer := &pong{Number: p.Number, Age: n.inv.Age(now), SinceContact: sinceContact, Version: n.inv.State().ConfigVersion}
 		if p.HasLoads {
 			loads := n.loadsFor(p.Sender, sameDomain, now)
 			answer.Loads, answer.Daemons, answer.LoadsAge = toFollower.changes(loads.Items), loads.Daemons, loads.Age
 		}
 		n.conditions.suspect(p.Suspects)
 		if !sameDomain {
-			conditionsTold = n.tellConditions(answer, conditionsTold)
+			conditionsVersion = n.addConditions(answer, conditionsVersion)
 		}
 		if p.LoadsOnly {
-			n.hearCrashes(p.Crashes)
+			n.applyCrashes(p.Crashes)
 			answer.Crashes = crashes.next(n.opts.Quarantine)
 		}
-		if p.WantsConfig {
+		if p.RequestsConfig {
 			answer.Config = n.inv.State().Config
 		}
 		if err := writeFrame(ctx, c, &frame{Pong: answer}); err != nil {
-			return // the link is over
+			return // the link has ended
 		}
 	}
 }
 
-// tellConditions adds to an answer for the source of another domain what this daemon
-// found out itself of slow and crowded backend servers, if that has changed since the
-// version told. It returns the version told now.
-func (n *Node) tellConditions(answer *pong, told uint64) uint64 {
-	known, version := n.conditions.all(func(from string) bool { return from == own })
-	if version == told {
-		return told
+// addConditions adds this daemon's own findings on slow and saturated backend servers to
+// an answer for the source of another domain, if the version differs from the one sent
+// last. It returns the version sent now.
+func (n *Node) addConditions(answer *pong, sent uint64) uint64 {
+	known, version := n.conditions.merged(func(from string) bool { return from == localKey })
+	if version == sent {
+		return sent
 	}
 	answer.HasConditions, answer.Conditions = true, packConditions(known)
 	return version
 }
 
-// loadsFor adds up the loads for another daemon: for one of this domain all but
-// its own and those of its followers, for the source of another domain those of
-// this domain alone.
+// loadsFor returns the loads for another daemon. A daemon of this domain gets all but its
+// own and those of its followers; the source of another domain gets those of this domain.
 func (n *Node) loadsFor(sender string, sameDomain bool, now time.Time) Loads {
 	keep := func(domain string) bool { return sameDomain || domain == n.opts.Domain }
 	ttl, sum := n.ttl(), newLoadSum()
-	n.ledger.addTo(sum, sender, keep, ttl, now)
+	n.followerLoads.addTo(sum, sender, keep, ttl, now)
 	sum.addOwn(n.book.OwnLoads())
 	if sameDomain {
-		n.beyond().addTo(sum, "", allDomains, ttl, now)
+		n.outsideLoads().addTo(sum, "", allDomains, ttl, now)
 	}
 	return sum.loads()
 }
 
 func allDomains(string) bool { return true }
 
-// beyond returns the loads of the daemons that are not below this one: those of
-// the other domains, or what the source told.
-func (n *Node) beyond() *ledger {
+// outsideLoads returns the loads of the daemons that are not below this one: those of the
+// other domains, or those received from the source.
+func (n *Node) outsideLoads() *loadTable {
 	if n.reading.Load() {
-		return n.otherDomains
+		return n.domainLoads
 	}
-	return n.above
+	return n.sourceLoads
 }
 
-// loadsBelow adds up the loads of this daemon and its followers.
-func (n *Node) loadsBelow(now time.Time) Loads {
+// subtreeLoads returns the loads of this daemon and its followers.
+func (n *Node) subtreeLoads(now time.Time) Loads {
 	sum := newLoadSum()
-	n.ledger.addTo(sum, "", n.ownDomain, n.ttl(), now)
+	n.followerLoads.addTo(sum, "", n.ownDomain, n.ttl(), now)
 	sum.addOwn(n.book.OwnLoads())
 	return sum.loads()
 }
 
-// takeOthers tells the load book of all daemons but this one.
-func (n *Node) takeOthers(now time.Time) {
+// updateOthers passes the loads of all other daemons to the load book.
+func (n *Node) updateOthers(now time.Time) {
 	ttl, sum := n.ttl(), newLoadSum()
-	n.ledger.addTo(sum, "", n.ownDomain, ttl, now)
-	n.beyond().addTo(sum, "", allDomains, ttl, now)
+	n.followerLoads.addTo(sum, "", n.ownDomain, ttl, now)
+	n.outsideLoads().addTo(sum, "", allDomains, ttl, now)
 	n.book.TakeOthers(sum.loads())
 }
 
 // serverNames returns the IDs of the backend servers by their hash.
-func (n *Node) serverNames() map[uint32]string { return n.names.of(n.inv.State()) }
+func (n *Node) serverNames() map[uint32]string { return n.servers.forState(n.inv.State()) }
 
 func (n *Node) ownDomain(domain string) bool { return domain == n.opts.Domain }
 
-// ttl is how long loads that were told count.
+// ttl returns how long reported loads are valid.
 func (n *Node) ttl() time.Duration { return loadTTL(len(n.inv.State().Servers)) }
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -16,18 +16,18 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// daemonName names the i-th daemon so that names sort as numbers do.
+// daemonName returns the name of the i-th daemon; names sort in order of i.
 func daemonName(i int) string { return fmt.Sprintf("d-%03d", i) }
 
-type everybody []Member
+type memberList []Member
 
-func (e everybody) All() []Member { return e }
+func (e memberList) All() []Member { return e }
 
-// The daemons of a domain form a tree: each has one above it that comes before
-// it, none has more followers than it may, and all paths are short.
-func TestDaemonsFormATreeOfBoundedFanOut(t *testing.T) {
-	const daemons = 1 + fanOut + fanOut*fanOut
-	var all everybody
+// Each daemon of a domain follows one whose name sorts before its own, no daemon has more
+// than defaultFanOut followers, and the tree is at most two levels deep.
+func TestTreeFanOutIsBounded(t *testing.T) {
+	const daemons = 1 + defaultFanOut + defaultFanOut*defaultFanOut
+	var all memberList
 	for i := range daemons {
 		all = append(all, Member{Name: daemonName(i), Domain: "d"})
 	}
@@ -41,54 +41,54 @@
 			continue
 		}
 		for _, m := range c {
-			require.Less(t, m.Name, daemonName(i), "no circles")
+			require.Less(t, m.Name, daemonName(i), "no cycles")
 		}
 		followers[c[0].Name]++
 		depth[daemonName(i)] = depth[c[0].Name] + 1
 		require.LessOrEqual(t, depth[daemonName(i)], 2)
-		if i >= ownSources {
+		if i >= sourcesPerDomain {
 			require.Contains(t, c, all[0])
 			require.Contains(t, c, all[1])
 		}
 	}
 	for name, f := range followers {
-		require.LessOrEqual(t, f, fanOut, name)
+		require.LessOrEqual(t, f, defaultFanOut, name)
 	}
 }
 
-// copySource is the platform's store in these tests: a version that daemons follow.
-type copySource struct {
-	mu      sync.Mutex
-	version uint64
-	away    bool
+// fakeStore is the platform's store: a version that daemons follow.
+type fakeStore struct {
+	mu          sync.Mutex
+	version     uint64
+	unavailable bool
 }
 
-// copied is a daemon's inventory: a version, with how fresh it is.
-type copied struct {
-	store *copySource
+// fakeInventory is the inventory and load book of a daemon: a version and its freshness.
+type fakeInventory struct {
+	store *fakeStore
 
-	mu      sync.Mutex
-	state   *inventory.State
-	heard   time.Time
-	fresh   time.Time
-	changed chan struct{}
-	own     []LoadItem
-	others  []LoadItem
-	daemons int
-	age     time.Duration
-	applied int // full states
-	refused int // loads
-	cut     bool
+	mu          sync.Mutex
+	state       *inventory.State
+	lastContact time.Time
+	fresh       time.Time
+	changed     chan struct{}
+	own         []LoadItem
+	others      []LoadItem
+	daemons     int
+	age         time.Duration
+	applied     int // full states received
+	refused     int // loads dropped as invalid
+	cut         bool
 
 	suspects   []string
 	conditions map[string]Condition
 }
 
-func newCopied(s *copySource) *copied {
-	return &copied{store: s, state: &inventory.State{}, changed: make(chan struct{})}
+func newFakeInventory(s *fakeStore) *fakeInventory {
+	return &fakeInventory{store: s, state: &inventory.State{}, changed: make(chan struct{})}
 }
 
-func (c *copied) set(version uint64) {
+func (c *fakeInventory) set(version uint64) {
 	if version <= c.state.ConfigVersion {
 		return
 	}
@@ -99,31 +99,31 @@
 	c.changed = make(chan struct{})
 }
 
-func (c *copied) State() *inventory.State {
+func (c *fakeInventory) State() *inventory.State {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state
 }
 
-func (c *copied) Changed() <-chan struct{} {
+func (c *fakeInventory) Changed() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.changed
 }
 
-func (c *copied) Age(now time.Time) time.Duration {
+func (c *fakeInventory) Age(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Sub(c.fresh)
 }
 
-func (c *copied) Heard() time.Time {
+func (c *fakeInventory) Heard() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.heard
+	return c.lastContact
 }
 
-func (c *copied) Apply(u inventory.Update) {
+func (c *fakeInventory) Apply(u inventory.Update) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if u.Full {
@@ -135,7 +135,7 @@
 	}
 }
 
-func (c *copied) Vouch(version uint64, fresh time.Time) {
+func (c *fakeInventory) Vouch(version uint64, fresh time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state.ConfigVersion >= version && fresh.After(c.fresh) {
@@ -143,41 +143,41 @@
 	}
 }
 
-func (c *copied) Follow(ctx context.Context, _, _ time.Duration) {
+func (c *fakeInventory) Follow(ctx context.Context, _, _ time.Duration) {
 	for ctx.Err() == nil {
 		c.store.mu.Lock()
-		version, away := c.store.version, c.store.away
+		version, unavailable := c.store.version, c.store.unavailable
 		c.store.mu.Unlock()
 		c.mu.Lock()
-		if !away && !c.cut {
+		if !unavailable && !c.cut {
 			c.set(version)
-			c.heard, c.fresh = time.Now(), time.Now()
+			c.lastContact, c.fresh = time.Now(), time.Now()
 		}
 		c.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// cutOff takes the store away from this daemon alone.
-func (c *copied) cutOff() {
+// cutOff makes the store unavailable to this daemon alone.
+func (c *fakeInventory) cutOff() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cut = true
 }
 
-func (c *copied) OwnLoads() []LoadItem {
+func (c *fakeInventory) OwnLoads() []LoadItem {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.own
 }
 
-func (c *copied) TakeOthers(others Loads) {
+func (c *fakeInventory) TakeOthers(others Loads) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.others, c.daemons, c.age = others.Items, others.Daemons, others.Age
 }
 
-func (c *copied) TakeSuspects() []string {
+func (c *fakeInventory) TakeSuspects() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.suspects
@@ -185,47 +185,47 @@
 	return out
 }
 
-func (c *copied) TakeConditions(known map[string]Condition) {
+func (c *fakeInventory) TakeConditions(known map[string]Condition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conditions = known
 }
 
-func (c *copied) RefuseLoads(n int) {
+func (c *fakeInventory) RefuseLoads(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.refused += n
 }
 
-// chain runs daemons of which each follows the one before it.
+// chain runs daemons that by default each follow the previous one.
 type chain struct {
-	store  *copySource
-	nodes  []*Node
-	copies []*copied
-	stop   []func()
+	store       *fakeStore
+	nodes       []*Node
+	inventories []*fakeInventory
+	stop        []func()
 }
 
 func newChain(t *testing.T, n int) *chain {
-	return newChainOf(t, n, &copySource{version: 1}, Options{FanOut: 1})
+	return newChainOf(t, n, &fakeStore{version: 1}, Options{FanOut: 1})
 }
 
-// newChainOf starts n daemons of one domain; o is what they have in common.
-// gone are daemons whose records are still there.
-func newChainOf(t *testing.T, n int, s *copySource, o Options, gone ...Member) *chain {
+// newChainOf starts n daemons of one domain with common options. gone are daemons that are
+// down but still have records.
+func newChainOf(t *testing.T, n int, s *fakeStore, o Options, gone ...Member) *chain {
 	c := &chain{store: s}
-	all := everybody(gone)
+	all := memberList(gone)
 	servers := make([]*httptest.Server, n)
 	for i := range n {
 		servers[i] = httptest.NewUnstartedServer(nil)
 		all = append(all, Member{Name: daemonName(i), Domain: "d", Address: servers[i].Listener.Addr().String()})
 	}
 	for i := range n {
-		inv := newCopied(c.store)
+		inv := newFakeInventory(c.store)
 		inv.own = []LoadItem{{Server: "s", Running: 1 << i}}
 		o := o
 		o.Name, o.Domain = daemonName(i), "d"
 		node := New(o, inv, inv, all, log.NewNopLogger())
-		c.nodes, c.copies, c.stop = append(c.nodes, node), append(c.copies, inv), append(c.stop, start(t, node, servers[i]))
+		c.nodes, c.inventories, c.stop = append(c.nodes, node), append(c.inventories, inv), append(c.stop, start(t, node, servers[i]))
 	}
 	return c
 }
@@ -256,8 +256,8 @@
 	c.store.version = version
 }
 
-// readers names the daemons that follow the store itself.
-func (c *chain) readers() string {
+// storeFollowers returns the names of the daemons that follow the store.
+func (c *chain) storeFollowers() string {
 	var out []string
 	for i, n := range c.nodes {
 		if n.Reading() {
@@ -267,24 +267,24 @@
 	return strings.Join(out, " ")
 }
 
-func (c *chain) allHave(version uint64, but int) bool {
-	for i, inv := range c.copies {
-		if i != but && inv.State().ConfigVersion != version {
+func (c *chain) allHave(version uint64, except int) bool {
+	for i, inv := range c.inventories {
+		if i != except && inv.State().ConfigVersion != version {
 			return false
 		}
 	}
 	return true
 }
 
-// Changes and loads travel through daemons that follow others, and only the
-// first daemon reads the store.
-func TestStateAndLoadsTravelDownAChain(t *testing.T) {
+// Changes and loads propagate along a chain of daemons, and only the first daemon follows
+// the store.
+func TestStateAndLoadsPropagateDownChain(t *testing.T) {
 	t.Parallel()
 	c := newChain(t, 4)
-	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.readers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	c.publish(2)
 	require.Eventually(t, func() bool { return c.allHave(2, -1) }, time.Second, 5*time.Millisecond)
-	for i, inv := range c.copies {
+	for i, inv := range c.inventories {
 		want := 1 + 2 + 4 + 8 - 1<<i
 		require.Eventually(t, func() bool {
 			inv.mu.Lock()
@@ -292,17 +292,17 @@
 			return len(inv.others) == 1 && inv.others[0].Running == want && inv.daemons == 3
 		}, 10*time.Second, 20*time.Millisecond, daemonName(i))
 	}
-	for i, inv := range c.copies[1:] {
+	for i, inv := range c.inventories[1:] {
 		require.Equal(t, 1, inv.applied, "%s got one full state", daemonName(i+1))
 		require.Less(t, inv.Age(time.Now()), 3*time.Second)
 	}
 }
 
-// The loads of the others are told with their age, which grows with each step.
-func TestAgeOfLoadsIsTold(t *testing.T) {
+// Loads are sent with their age, which grows with each step.
+func TestLoadsCarryTheirAge(t *testing.T) {
 	t.Parallel()
 	c := newChain(t, 3)
-	last := c.copies[2]
+	last := c.inventories[2]
 	require.Eventually(t, func() bool {
 		last.mu.Lock()
 		defer last.mu.Unlock()
@@ -310,25 +310,25 @@
 	}, 10*time.Second, 20*time.Millisecond)
 	last.mu.Lock()
 	defer last.mu.Unlock()
-	require.Less(t, last.age, 2*loadTTL(1), "each of two steps drops older ones")
+	require.Less(t, last.age, 2*loadTTL(1), "each of two steps drops expired loads")
 }
 
-// Only the first daemon of a domain reads the store at a start, also before it has
-// answers: the second waits for it, and so nobody follows the second and is left.
+// At a start only the first daemon of a domain follows the store, even before the store
+// answers. The second waits for it.
 func TestSecondDaemonWaitsForTheFirst(t *testing.T) {
 	t.Parallel()
-	c := newChainOf(t, 3, &copySource{version: 1, away: true}, Options{FanOut: 1})
+	c := newChainOf(t, 3, &fakeStore{version: 1, unavailable: true}, Options{FanOut: 1})
 	time.AfterFunc(500*time.Millisecond, func() {
 		c.store.mu.Lock()
 		defer c.store.mu.Unlock()
-		c.store.away = false
+		c.store.unavailable = false
 	})
 	require.Never(t, func() bool { return c.nodes[1].Reading() || c.nodes[2].Reading() }, 2*time.Second, time.Millisecond)
 	require.True(t, c.allHave(1, -1))
 }
 
-// A domain that starts knows the configuration within a second also when its first VM
-// is gone for good but not yet its record: nothing answers there, not even by a reset.
+// A domain starts in time even if its first VM is gone, does not answer connections, but
+// still has a record.
 func TestDomainStartsWithoutItsFirstDaemon(t *testing.T) {
 	t.Parallel()
 	gone := Member{Name: "c-999", Domain: "d", Address: "10.255.255.1:1"}
@@ -340,77 +340,76 @@
 		return new(net.Dialer).DialContext(ctx, network, address)
 	}}
 	began := time.Now()
-	c := newChainOf(t, 10, &copySource{version: 1}, o, gone)
+	c := newChainOf(t, 10, &fakeStore{version: 1}, o, gone)
 	require.Eventually(t, func() bool { return c.allHave(1, -1) }, 6*time.Second, 10*time.Millisecond)
-	require.Less(t, time.Since(began), 1300*time.Millisecond, "callers are held for 0.9 s from the start")
-	require.Equal(t, daemonName(0), c.readers())
+	require.Less(t, time.Since(began), 1300*time.Millisecond, "callers wait 0.9 s from the start")
+	require.Equal(t, daemonName(0), c.storeFollowers())
 }
 
-// When a daemon in the middle is lost, those below it go on without it.
+// When a daemon in the middle of a chain is lost, the daemons below it still get changes
+// in time.
 func TestLossInTheMiddleOfAChain(t *testing.T) {
 	t.Parallel()
 	c := newChain(t, 4)
-	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.readers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	c.stop[2]()
 	c.publish(2)
 	began := time.Now()
 	require.Eventually(t, func() bool { return c.allHave(2, 2) }, 3*time.Second, 5*time.Millisecond)
-	require.Less(t, time.Since(began), 2*time.Second, "the bound on configurations")
+	require.Less(t, time.Since(began), 2*time.Second, "within the bound on configurations")
 }
 
-// A daemon that knows the configuration but not yet all backend servers is no
-// source: its followers would take those it lacks to be gone.
+// A daemon without a full list of backend servers is no source: its followers would treat
+// the missing ones as gone.
 func TestDaemonWithoutAFullListIsNoSource(t *testing.T) {
 	t.Parallel()
-	inv := newCopied(&copySource{})
+	inv := newFakeInventory(&fakeStore{})
 	inv.state = &inventory.State{ConfigVersion: 1}
-	inv.heard = time.Now()
-	n := New(Options{Name: daemonName(0), Domain: "d"}, inv, inv, everybody{}, log.NewNopLogger())
+	inv.lastContact = time.Now()
+	n := New(Options{Name: daemonName(0), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
 	n.reading.Store(true)
 	srv := httptest.NewServer(n)
 	t.Cleanup(srv.Close)
-	follower := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, everybody{}, log.NewNopLogger())
+	follower := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
 	first := Member{Name: daemonName(0), Domain: "d", Address: srv.Listener.Addr().String()}
-	require.ErrorIs(t, follower.probe(t.Context(), first), errEarly)
+	require.ErrorIs(t, follower.probe(t.Context(), first), errStarting)
 	inv.mu.Lock()
 	inv.state = &inventory.State{ConfigVersion: 1, Complete: true}
 	inv.mu.Unlock()
-	require.ErrorIs(t, follower.probe(t.Context(), first), errFound)
+	require.ErrorIs(t, follower.probe(t.Context(), first), errHealthy)
 }
 
-// A daemon that has all there is to know, but not yet its source's word on how
-// fresh that is, is about to be a source: who starts below it waits. One that lost
-// its source is none, and is passed over.
-func TestDaemonThatIsAboutToBeASourceIsWaitedFor(t *testing.T) {
+// A daemon with a full state but no freshness report from its source yet is starting, and
+// its followers wait for it. A daemon that lost its source is not.
+func TestStartingSourceIsAwaited(t *testing.T) {
 	t.Parallel()
-	inv := newCopied(&copySource{})
+	inv := newFakeInventory(&fakeStore{})
 	inv.state = &inventory.State{ConfigVersion: 1, Complete: true}
-	n := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, everybody{}, log.NewNopLogger())
+	n := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
 	srv := httptest.NewServer(n)
 	t.Cleanup(srv.Close)
 	above := Member{Name: daemonName(1), Domain: "d", Address: srv.Listener.Addr().String()}
-	follower := New(Options{Name: daemonName(2), Domain: "d"}, inv, inv, everybody{}, log.NewNopLogger())
-	require.ErrorIs(t, follower.probe(t.Context(), above), errEarly)
-	n.noteUpstream(t.Context(), 0, time.Now())
-	require.ErrorIs(t, follower.probe(t.Context(), above), errFound)
-	n.forgetUpstream()
+	follower := New(Options{Name: daemonName(2), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
+	require.ErrorIs(t, follower.probe(t.Context(), above), errStarting)
+	n.setUpstream(t.Context(), 0, time.Now())
+	require.ErrorIs(t, follower.probe(t.Context(), above), errHealthy)
+	n.clearUpstream()
 	err := follower.probe(t.Context(), above)
 	require.Error(t, err)
-	require.NotErrorIs(t, err, errEarly)
-	require.NotErrorIs(t, err, errFound)
+	require.NotErrorIs(t, err, errStarting)
+	require.NotErrorIs(t, err, errHealthy)
 }
 
-// When the first daemon hears nothing from the store any more, nobody below it
-// counts as a source.
+// When the first daemon of a chain loses the store, no daemon of the chain is healthy.
 func TestChainWithoutTheStoreIsNoSource(t *testing.T) {
 	t.Parallel()
 	c := newChain(t, 3)
-	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.readers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
+	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	c.store.mu.Lock()
-	c.store.away = true
+	c.store.unavailable = true
 	c.store.mu.Unlock()
 	require.Eventually(t, func() bool {
 		now := time.Now()
-		return !c.nodes[0].sound(now) && !c.nodes[1].sound(now) && !c.nodes[2].sound(now)
+		return !c.nodes[0].healthy(now) && !c.nodes[1].healthy(now) && !c.nodes[2].healthy(now)
 	}, 3*time.Second, 10*time.Millisecond)
 }
