--- a/relay/conditions.go
+++ b/relay/conditions.go
@@ -176,7 +176,7 @@
 func (n *Node) pushConditions(ctx context.Context, c *websocket.Conn) {
 	sent := uint64(0)
 	for {
-		changed := n.conditions.changes()
+		changes := n.conditions.changes()
 		known, version := n.conditions.merged(nil)
 		if version != sent {
 			if writeFrame(ctx, c, &frame{Conditions: &conditions{Known: packConditions(known)}}) != nil {
@@ -191,7 +191,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-changed:
+		case <-changes:
 		}
 	}
 }
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -75,7 +75,7 @@
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	allReport := func(want Condition) func() bool {
 		return func() bool {
-			for _, inv := range c.inventories {
+			for _, inv := range c.invs {
 				if inv.condition("s") != want {
 					return false
 				}
@@ -111,7 +111,7 @@
 	require.Zero(t, asker.calls, "no server is queried without a suspicion")
 	allReport := func(slowdown float64) func() bool {
 		return func() bool {
-			for _, inv := range c.inventories {
+			for _, inv := range c.invs {
 				if inv.slowdown("s") != slowdown {
 					return false
 				}
@@ -119,9 +119,9 @@
 			return true
 		}
 	}
-	c.inventories[3].mu.Lock()
-	c.inventories[3].suspects = []string{"s"}
-	c.inventories[3].mu.Unlock()
+	c.invs[3].mu.Lock()
+	c.invs[3].suspects = []string{"s"}
+	c.invs[3].mu.Unlock()
 	// Three pings up, a poll, and three steps down.
 	require.Eventually(t, allReport(12), 6*pingInterval+2*pollInterval, 10*time.Millisecond)
 	asker.set("s", Condition{Slowdown: 1})
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -48,7 +48,7 @@
 	c.store.setUnavailable(true)
 	time.AfterFunc(1600*time.Millisecond, func() { c.store.setUnavailable(false) })
 	require.Equal(t, 1, c.maxStoreFollowers(4*time.Second))
-	for i, inv := range c.inventories {
+	for i, inv := range c.invs {
 		require.LessOrEqual(t, inv.applied, 1, "%s got one full state", daemonName(i))
 	}
 }
@@ -94,14 +94,12 @@
 func TestLaterDaemonsFollowTheStoreInTime(t *testing.T) {
 	t.Parallel()
 	c := domainOf(t, 4, 4*time.Second)
-	for _, inv := range c.inventories[:sourcesPerDomain] {
+	for _, inv := range c.invs[:sourcesPerDomain] {
 		inv.cutOff()
 	}
 	c.publish(2)
 	began := time.Now()
-	require.Eventually(t, func() bool {
-		return c.inventories[2].State().ConfigVersion == 2 && c.inventories[3].State().ConfigVersion == 2
-	},
+	require.Eventually(t, func() bool { return c.invs[2].State().ConfigVersion == 2 && c.invs[3].State().ConfigVersion == 2 },
 		6*time.Second, 10*time.Millisecond)
 	require.Less(t, time.Since(began), 4*time.Second)
 }
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -199,10 +199,10 @@
 
 // chain runs daemons that by default each follow the previous one.
 type chain struct {
-	store       *fakeStore
-	nodes       []*Node
-	inventories []*fakeInventory
-	stop        []func()
+	store *fakeStore
+	nodes []*Node
+	invs  []*fakeInventory
+	stop  []func()
 }
 
 func newChain(t *testing.T, n int) *chain {
@@ -225,7 +225,7 @@
 		o := o
 		o.Name, o.Domain = daemonName(i), "d"
 		node := New(o, inv, inv, all, log.NewNopLogger())
-		c.nodes, c.inventories, c.stop = append(c.nodes, node), append(c.inventories, inv), append(c.stop, start(t, node, servers[i]))
+		c.nodes, c.invs, c.stop = append(c.nodes, node), append(c.invs, inv), append(c.stop, start(t, node, servers[i]))
 	}
 	return c
 }
@@ -268,7 +268,7 @@
 }
 
 func (c *chain) allHave(version uint64, except int) bool {
-	for i, inv := range c.inventories {
+	for i, inv := range c.invs {
 		if i != except && inv.State().ConfigVersion != version {
 			return false
 		}
@@ -284,7 +284,7 @@
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	c.publish(2)
 	require.Eventually(t, func() bool { return c.allHave(2, -1) }, time.Second, 5*time.Millisecond)
-	for i, inv := range c.inventories {
+	for i, inv := range c.invs {
 		want := 1 + 2 + 4 + 8 - 1<<i
 		require.Eventually(t, func() bool {
 			inv.mu.Lock()
@@ -292,7 +292,7 @@
 			return len(inv.others) == 1 && inv.others[0].Running == want && inv.daemons == 3
 		}, 10*time.Second, 20*time.Millisecond, daemonName(i))
 	}
-	for i, inv := range c.inventories[1:] {
+	for i, inv := range c.invs[1:] {
 		require.Equal(t, 1, inv.applied, "%s got one full state", daemonName(i+1))
 		require.Less(t, inv.Age(time.Now()), 3*time.Second)
 	}
@@ -302,7 +302,7 @@
 func TestLoadsCarryTheirAge(t *testing.T) {
 	t.Parallel()
 	c := newChain(t, 3)
-	last := c.inventories[2]
+	last := c.invs[2]
 	require.Eventually(t, func() bool {
 		last.mu.Lock()
 		defer last.mu.Unlock()
