--- a/relay/follow.go
+++ b/relay/follow.go
@@ -26,9 +26,9 @@
 
 // searchSource searches for a healthy source before a daemon that is not among the first
 // of its domain follows the store itself. It searches while an earlier daemon of its
-// domain is reachable but has lost the store, and no longer than a configuration could
-// still be in force in time. If daemons of several domains have lost the store, it
-// searches for up to maxOutageSearch. It returns whether a source was found.
+// domain is starting or has lost the store, and no longer than a configuration could still
+// be in force in time. While daemons of several domains do not have the store, it searches
+// for up to maxOutageSearch. It returns whether a source was found.
 func (n *Node) searchSource(ctx context.Context) bool {
 	began := time.Now()
 	bound := n.opts.ConfigWithin - contactTimeout(n.opts.ConfigWithin) - maxSwitchDelay
--- a/relay/loads.go
+++ b/relay/loads.go
@@ -44,8 +44,8 @@
 	KV      uint64
 }
 
-// serverHash identifies a backend server on a link. Servers whose hashes collide are
-// assigned the sum of their loads.
+// serverHash identifies a backend server on a link. Servers whose hashes collide share one
+// entry.
 func serverHash(id string) uint32 { return uint32(xxhash.Sum64String(id)) }
 
 func pack(l LoadItem) packedLoad {
