--- a/gateway/quarantine.go
+++ b/gateway/admin.go
@@ -12,29 +12,30 @@
 	"github.com/snowspoke/snowspoke/quarantine"
 )
 
-// QuarantinePath is where the metrics' address lists the requests that are held back. A
-// DELETE of one below it, from the VM itself, lifts that in the whole fleet.
+// QuarantinePath is the path at the metrics address that lists the quarantined requests.
+// A DELETE of a fingerprint below it, from the VM itself, lifts the quarantine in the
+// whole fleet.
 const QuarantinePath = "/quarantine"
 
-// HeldBack is a request that is held back, as operators see it.
+// HeldBack describes a quarantined request to operators.
 type HeldBack struct {
 	Fingerprint string    `json:"fingerprint"` // as in the decision log
-	Ends        int       `json:"ends"`        // backend servers that ended as they ran it
-	Score       int       `json:"score"`       // their weights together
+	Ends        int       `json:"ends"`        // backend servers that ended while they ran it
+	Score       int       `json:"score"`       // sum of their weights
 	LastEnd     time.Time `json:"lastEnd"`
 	Until       time.Time `json:"until"` // when it may be tried again
 }
 
-// operators serves what operators ask for at the metrics' address.
-func operators(metrics http.Handler, g *Gateway) http.Handler {
+// adminHandler serves the metrics and the quarantine endpoints.
+func adminHandler(metrics http.Handler, g *Gateway) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", metrics)
-	mux.HandleFunc("GET "+QuarantinePath, g.listHeldBack)
-	mux.HandleFunc("DELETE "+QuarantinePath+"/{fingerprint}", g.liftHeldBack)
+	mux.HandleFunc("GET "+QuarantinePath, g.listQuarantined)
+	mux.HandleFunc("DELETE "+QuarantinePath+"/{fingerprint}", g.liftQuarantine)
 	return mux
 }
 
-func (g *Gateway) listHeldBack(w http.ResponseWriter, _ *http.Request) {
+func (g *Gateway) listQuarantined(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	out := []HeldBack{}
 	for _, e := range g.quarantine.HeldBack(now) {
@@ -44,13 +45,13 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(out); err != nil {
-		_ = level.Warn(g.log).Log("msg", "list not sent", "err", err)
+		_ = level.Warn(g.log).Log("msg", "quarantine list not sent", "err", err)
 	}
 }
 
-func (g *Gateway) liftHeldBack(w http.ResponseWriter, r *http.Request) {
+func (g *Gateway) liftQuarantine(w http.ResponseWriter, r *http.Request) {
 	if !fromThisVM(r) {
-		http.Error(w, "only from the VM itself", http.StatusForbidden)
+		http.Error(w, "allowed from this VM only", http.StatusForbidden)
 		return
 	}
 	n, err := strconv.ParseUint(r.PathValue("fingerprint"), 16, 64)
@@ -58,16 +59,16 @@
 		http.Error(w, "a fingerprint is sixteen hexadecimal digits", http.StatusBadRequest)
 		return
 	}
-	print := quarantine.Fingerprint(n)
-	if !g.quarantine.Served(print, time.Now()) {
-		http.Error(w, "nothing is known against it", http.StatusNotFound)
+	fingerprint := quarantine.Fingerprint(n)
+	if !g.quarantine.Served(fingerprint, time.Now()) {
+		http.Error(w, "no entry for this fingerprint", http.StatusNotFound)
 		return
 	}
-	_ = level.Info(g.log).Log("msg", "decision", "kind", "quarantine", "fingerprint", print, "outcome", "lifted by an operator")
+	_ = level.Info(g.log).Log("msg", "decision", "kind", "quarantine", "fingerprint", fingerprint, "outcome", "lifted by an operator")
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// fromThisVM reports whether a request comes from the same machine.
+// fromThisVM reports whether a request comes from this VM.
 func fromThisVM(r *http.Request) bool {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -15,13 +15,13 @@
 	"github.com/snowspoke/snowspoke/platform/sitetrial"
 )
 
-// rawCaller is a caller's connection on which a test writes what it likes.
+// rawCaller is a caller's connection to which a test writes raw bytes.
 type rawCaller struct {
 	*net.TCPConn
 	r *bufio.Reader
 }
 
-func (r *running) dial(t *testing.T) *rawCaller {
+func (r *testDaemon) dial(t *testing.T) *rawCaller {
 	t.Helper()
 	c, err := net.Dial("tcp", r.CallersAddr())
 	require.NoError(t, err)
@@ -30,14 +30,14 @@
 	return &rawCaller{TCPConn: c.(*net.TCPConn), r: bufio.NewReader(c)}
 }
 
-// head returns a request up to its body.
+// head returns the request line and headers of a request.
 func head(method, path, id string, headers ...string) string {
-	own := ""
+	extra := ""
 	for _, h := range headers {
-		own += h + "\r\n"
+		extra += h + "\r\n"
 	}
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\nSnowspoke-Request-Id: %s\r\nSnowspoke-Deadline-Ms: 3000\r\n%s\r\n",
-		method, path, sitetrial.Host, sitetrial.Key, id, own)
+		method, path, sitetrial.Host, sitetrial.Key, id, extra)
 }
 
 func (c *rawCaller) answer(t *testing.T) (status int, id string) {
@@ -49,10 +49,9 @@
 	return resp.StatusCode, resp.Header.Get("Snowspoke-Request-Id")
 }
 
-// Requests that a caller sends without waiting are answered in their order,
-// each with its own answer.
+// Pipelined requests are answered in order, each with its own response.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	d, servers := plainWorld(t)
+	d, servers := newPlainEnv(t)
 	c := d.dial(t)
 	_, err := io.WriteString(c, head("GET", "/plain/a", "first")+head("GET", "/plain/b", "second")+head("GET", "/plain/c", "third"))
 	require.NoError(t, err)
@@ -64,15 +63,15 @@
 	require.Equal(t, 3, totalRuns(servers))
 }
 
-// A caller that closes its side for writing cannot be told from one that has
-// left: its work ends at once.
-func TestHalfClosedCallerCountsAsGone(t *testing.T) {
+// A caller that closes its side for writing cannot be distinguished from one that has
+// disconnected, so its request is canceled.
+func TestHalfClosedCallerIsDisconnected(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(1, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(1, 1)
 	heads[0].Events, heads[0].EveryGap = 1000, 5*time.Millisecond
-	d := w.daemon("daemon-1", nil).ready(t, 2)
+	d := env.daemon("daemon-1", nil).ready(t, 2)
 	c := d.dial(t)
 	_, err := io.WriteString(c, head("POST", "/stream/", "half", "Content-Length: 0"))
 	require.NoError(t, err)
@@ -84,8 +83,8 @@
 	require.NotContains(t, string(body), "\r\n0\r\n\r\n", "a stream that is cut must not look complete")
 }
 
-// A request whose length can be read in two ways is refused, and what follows it
-// is not taken for another request.
+// A request with an ambiguous length is refused, and the bytes after it are not taken for
+// another request.
 func TestSmuggledRequestsDoNotRun(t *testing.T) {
 	for name, framing := range map[string][]string{
 		"two lengths":     {"Content-Length: 4", "Content-Length: 60"},
@@ -94,7 +93,7 @@
 		"signed length":   {"Content-Length: +4"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, servers := plainWorld(t)
+			d, servers := newPlainEnv(t)
 			c := d.dial(t)
 			inner := head("GET", "/plain/inner", "inner")
 			_, err := io.WriteString(c, head("POST", "/plain/outer", "outer", framing...)+"body"+inner)
@@ -110,10 +109,10 @@
 	}
 }
 
-// With both a length and chunks the chunks count, and the connection ends, as
-// the protocol asks.
-func TestChunksGoBeforeALength(t *testing.T) {
-	d, servers := plainWorld(t)
+// With both Content-Length and chunked encoding the chunks count, and the connection
+// closes, as RFC 9112 requires.
+func TestChunkedEncodingOverridesContentLength(t *testing.T) {
+	d, servers := newPlainEnv(t)
 	c := d.dial(t)
 	inner := head("GET", "/plain/inner", "inner")
 	_, err := io.WriteString(c, head("POST", "/plain/outer", "outer", "Content-Length: 200", "Transfer-Encoding: chunked")+"0\r\n\r\n"+inner)
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -18,60 +18,49 @@
 	"github.com/snowspoke/snowspoke/quarantine"
 )
 
-// What users saw: drivers' alerts cut off or refused for a third of a day, and 17
-// backend servers that had ended, one or two every two seconds, each a moment after it
-// had come back. Order of events: a request that makes the process that runs it end was
-// sent, and sent on when that one ended, to three first hops in 574 ms; its caller came
-// back two seconds later with the same request under a new ID, at another daemon, which
-// sent it on as if nothing had happened; and so on. Cause: whether a request may be sent
-// was decided by each daemon for each attempt alone, by its ID; nobody remembered what
-// the same request had done to backend servers, and nobody told the others.
-//
-// Evidence: in the decision logs, sends that ended with their backend server while it
-// ran them (kind=ended, stage=head) with one fingerprint under many IDs at all daemons,
-// while those that only happened to be there had others each time.
+// crashing is the body of a request that crashes the backend servers that run it. Its
+// caller retries it under new IDs at all daemons, so it is recognized by its fingerprint.
 const crashing = "crashes what runs it"
 
-// Bounds of what such a request may do: after the third backend server that it has
-// ended, and once the daemons had time to tell each other, it reaches no more than
-// crashArrivals.
+// Once it has crashed three backend servers and the daemons had reportDelay to exchange
+// that, the request may reach no more than maxLateArrivals others.
 const (
-	crashTold     = time.Second
-	crashArrivals = 3
+	reportDelay     = time.Second
+	maxLateArrivals = 3
 )
 
-func TestRequestThatCrashesBackendServersIsHeldBack(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(20, 2)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(20, 2)
 	for _, h := range heads {
 		h.CrashOn(crashing)
 	}
-	daemons := make([]*running, 3)
+	daemons := make([]*testDaemon, 3)
 	for i := range daemons {
-		daemons[i] = w.daemon(fmt.Sprint("daemon-", i+1), nil).ready(t, 22)
+		daemons[i] = env.daemon(fmt.Sprint("daemon-", i+1), nil).ready(t, 22)
 	}
-	follows(t, daemons[0], daemons[2])
+	awaitFollowing(t, daemons[0], daemons[2])
 
-	innocent := callInnocents(t, daemons, 40)
-	for visit := range 16 {
-		a := daemons[visit%len(daemons)].call(t, call{method: "POST", path: "/stream/", body: crashing, id: fmt.Sprint("visit-", visit)})
+	unrelated := callUnrelated(t, daemons, 40)
+	for n := range 16 {
+		a := daemons[n%len(daemons)].call(t, call{method: "POST", path: "/stream/", body: crashing, id: fmt.Sprint("visit-", n)})
 		assert.NotEqual(t, http.StatusOK, a.Status)
 		time.Sleep(200 * time.Millisecond)
 	}
-	innocent.Wait()
+	unrelated.Wait()
 	arrivals := runsOf(heads, crashing)
-	require.GreaterOrEqual(t, len(arrivals), 2, "one backend server that ended says nothing")
+	require.GreaterOrEqual(t, len(arrivals), 2, "one crash is no evidence")
 	late := 0
 	for _, at := range arrivals[min(3, len(arrivals)):] {
-		if at.Sub(arrivals[2]) > crashTold {
+		if at.Sub(arrivals[2]) > reportDelay {
 			late++
 		}
 	}
 	t.Logf("%d arrivals, %d of them late", len(arrivals), late)
-	assert.LessOrEqual(t, late, crashArrivals, "arrivals once all could know, of %d", len(arrivals))
-	assert.LessOrEqual(t, len(arrivals), 3+crashArrivals, "backend servers that it has ended")
+	assert.LessOrEqual(t, late, maxLateArrivals, "late arrivals, of %d", len(arrivals))
+	assert.LessOrEqual(t, len(arrivals), 3+maxLateArrivals, "crashed backend servers")
 }
 
 // runsOf returns when a request with this body reached backend servers, in order.
@@ -88,17 +77,17 @@
 	return at
 }
 
-// callInnocents makes streams at all daemons beside others' requests. All of them are
-// to be whole: backend servers end under them, and they go on elsewhere.
-func callInnocents(t *testing.T, daemons []*running, streams int) *sync.WaitGroup {
+// callUnrelated starts streams at all daemons while other requests crash backend servers.
+// Each stream must be complete, as it resumes elsewhere when its backend server ends.
+func callUnrelated(t *testing.T, daemons []*testDaemon, streams int) *sync.WaitGroup {
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		for n := range streams {
 			wg.Go(func() {
 				a := daemons[n%len(daemons)].call(t, call{method: "POST", path: "/stream/", body: fmt.Sprint("innocent ", n), id: fmt.Sprint("innocent-", n)})
-				assert.Equal(t, http.StatusOK, a.Status, "innocent %d", n)
-				assert.NoError(t, a.Err, "innocent %d", n)
-				assert.Equal(t, events(1, 5), a.Body, "innocent %d", n)
+				assert.Equal(t, http.StatusOK, a.Status, "unrelated stream %d", n)
+				assert.NoError(t, a.Err, "unrelated stream %d", n)
+				assert.Equal(t, events(1, 5), a.Body, "unrelated stream %d", n)
 			})
 			time.Sleep(80 * time.Millisecond)
 		}
@@ -106,17 +95,17 @@
 	return &wg
 }
 
-// Operators see what is held back, and can lift it from the VM itself.
-func TestOperatorsListAndLiftWhatIsHeldBack(t *testing.T) {
+// Operators can list the quarantined requests, and lift a quarantine from the VM itself.
+func TestOperatorsListAndLiftQuarantine(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	w.servers("plain", "", "plain-1")
-	d := w.daemon("daemon-1", nil).ready(t, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	env.servers("plain", "", "plain-1")
+	d := env.daemon("daemon-1", nil).ready(t, 1)
 	for s := range quarantine.Server(2) {
 		d.quarantine.Ended(7, s, quarantine.Likely, time.Now())
 	}
-	srv := httptest.NewServer(operators(http.NotFoundHandler(), d.Gateway))
+	srv := httptest.NewServer(adminHandler(http.NotFoundHandler(), d.Gateway))
 	t.Cleanup(srv.Close)
 	list := func() (held []HeldBack) {
 		resp, err := http.Get(srv.URL + QuarantinePath)
--- a/gateway/world_test.go
+++ b/gateway/env_test.go
@@ -16,50 +16,51 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// world is a store, backend servers and daemons on loopback.
-type world struct {
+// testEnv runs a store, backend servers and daemons on loopback.
+type testEnv struct {
 	t       *testing.T
 	store   *standin.Store
 	version int
 	config  map[string]any
 }
 
-func newWorld(t *testing.T) *world {
+func newTestEnv(t *testing.T) *testEnv {
 	t.Helper()
-	w := &world{t: t, store: standin.NewStore(), version: 10}
-	t.Cleanup(w.store.Close)
-	w.config = sitetrial.Config(w.version, []map[string]any{
+	env := &testEnv{t: t, store: standin.NewStore(), version: 10}
+	t.Cleanup(env.store.Close)
+	env.config = sitetrial.Config(env.version, []map[string]any{
 		route("plain", "/plain/", "safe", 2), route("once", "/once/", "unsafe", 1), route("stream", "/stream/", "stream", 2),
 	})
-	return w
+	return env
 }
 
 func route(name, prefix, kind string, attempts int) map[string]any {
 	return sitetrial.Route(name, prefix, kind, attempts)
 }
 
-func (w *world) putConfig() {
-	w.version += 3
-	w.config["version"] = w.version
-	w.store.Set("config", "main", w.config)
+func (env *testEnv) putConfig() {
+	env.version += 3
+	env.config["version"] = env.version
+	env.store.Set("config", "main", env.config)
 }
 
-func (w *world) servers(service, kind string, ids ...string) []*standin.Server {
+func (env *testEnv) servers(service, kind string, ids ...string) []*standin.Server {
 	out := make([]*standin.Server, 0, len(ids))
 	for _, id := range ids {
 		s := standin.NewServer(id)
-		w.t.Cleanup(s.Kill)
-		w.store.Set("servers", id, s.Record(service, "domain-1", kind))
+		env.t.Cleanup(s.Kill)
+		env.store.Set("servers", id, s.Record(service, "domain-1", kind))
 		out = append(out, s)
 	}
 	return out
 }
 
-// pipeline starts cards that hold two layers each: heads first.
-func (w *world) pipeline(heads, tails int) (h, t []*standin.Server) {
+// pipeline starts backend servers that hold two layers each: heads the first two, tails
+// the last two.
+func (env *testEnv) pipeline(heads, tails int) (h, t []*standin.Server) {
 	for n := range heads + tails {
 		s := standin.NewServer(fmt.Sprintf("card-%d", n))
-		w.t.Cleanup(s.Kill)
+		env.t.Cleanup(s.Kill)
 		if n < heads {
 			s.Hold(0, 2)
 			h = append(h, s)
@@ -67,41 +68,41 @@
 			s.Hold(2, 4)
 			t = append(t, s)
 		}
-		w.store.Set("servers", s.ID, s.Record("model", "domain-1", "card"))
+		env.store.Set("servers", s.ID, s.Record("model", "domain-1", "card"))
 	}
 	return h, t
 }
 
 // running is a daemon under test.
-type running struct {
+type testDaemon struct {
 	*Gateway
 	stop context.CancelFunc
 	done chan error
 }
 
-// daemon starts a daemon; change may alter its settings.
-func (w *world) daemon(name string, change func(*site.Settings)) *running {
-	w.t.Helper()
+// daemon starts a daemon; change may modify its settings.
+func (env *testEnv) daemon(name string, change func(*site.Settings)) *testDaemon {
+	env.t.Helper()
 	set := site.Settings{
 		FirstStart: true,
 		Name:       name, IP: "127.0.0.1", FailureDomain: "domain-1", Callers: "127.0.0.1:0", Readiness: "127.0.0.1:0",
-		Store: w.store.Address(), Grace: 8 * time.Second, FailClosed: true, RevokeWithin: 5 * time.Second,
+		Store: env.store.Address(), Grace: 8 * time.Second, FailClosed: true, RevokeWithin: 5 * time.Second,
 		RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second,
 	}
 	if change != nil {
 		change(&set)
 	}
 	g, err := New(Options{Load: func() (site.Settings, error) { return set, nil }}, io.Discard)
-	require.NoError(w.t, err)
+	require.NoError(env.t, err)
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{Gateway: g, stop: stop, done: make(chan error, 1)}
+	r := &testDaemon{Gateway: g, stop: stop, done: make(chan error, 1)}
 	go func() { r.done <- g.Run(ctx) }()
-	w.t.Cleanup(g.Kill)
+	env.t.Cleanup(g.Kill)
 	return r
 }
 
-// ready waits until the daemon is ready and knows so many backend servers.
-func (r *running) ready(t *testing.T, servers int) *running {
+// ready waits until the daemon is ready and knows at least this many backend servers.
+func (r *testDaemon) ready(t *testing.T, servers int) *testDaemon {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		resp, err := http.Get("http://" + r.ReadinessAddr() + "/ready")
@@ -116,7 +117,7 @@
 
 type answer = sitetrial.Answer
 
-// call is a request with what most tests have alike left out.
+// call is a request; empty fields get default values.
 type call struct {
 	method, path, body, key, id string
 	header                      map[string]string
@@ -124,7 +125,7 @@
 	ctx                         context.Context
 }
 
-func (r *running) call(t *testing.T, c call) answer {
+func (r *testDaemon) call(t *testing.T, c call) answer {
 	t.Helper()
 	if c.ctx == nil {
 		c.ctx = t.Context()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway wires the daemon that runs on the users' platform: it follows
-// the store, forwards callers' requests, takes part in the placement duty, and
-// stops without cutting a request off.
+// Package gateway assembles the daemon that runs on the users' platform. It
+// follows the store, forwards callers' requests, competes for the placement
+// lease, and shuts down without interrupting requests.
 package gateway
 
 import (
@@ -35,65 +35,65 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Times of the daemon.
 const (
-	// dutyPeriod is the period of the lease of the placement duty: a lost holder is
-	// replaced within it.
-	dutyPeriod = 1600 * time.Millisecond
-	// headerTimeout bounds the reading of a request's head; callers keep within 3 s.
+	// leasePeriod is the period of the placement lease. A failed holder is replaced
+	// within it.
+	leasePeriod = 1600 * time.Millisecond
+	// headerTimeout bounds the reading of a request's headers. Callers send them
+	// within 3 s.
 	headerTimeout = 4 * time.Second
-	// keyMargin is taken off the bound on revoked keys, for clocks of different
-	// speed: the bound itself counts from when the caller sent the request.
-	keyMargin = 150 * time.Millisecond
+	// revocationMargin is subtracted from the bound on revoked keys to allow for
+	// clock drift. The bound counts from when the caller sent the request.
+	revocationMargin = 150 * time.Millisecond
 )
 
-// The objects that daemons keep in the store.
+// Kinds and names of the objects that daemons keep in the store.
 const (
-	kindLease   = "snowspoke-leases"
-	kindDaemon  = "snowspoke-daemons"
-	placingDuty = "placement"
+	kindLease      = "snowspoke-leases"
+	kindDaemon     = "snowspoke-daemons"
+	placementLease = "placement"
 )
 
 // Gateway is one daemon.
 type Gateway struct {
-	opts       Options
-	listeners  listeners
-	set        site.Settings // as the process started with
-	log        *forward.Log
-	store      *platform.Store
-	backends   *platform.Backends
-	inv        *inventory.Inventory
-	members    *members
-	relay      *relay.Node
-	permits    *permit.Node
-	forward    *forward.Forwarder
-	keeper     *lease.Keeper
-	placer     *placer.Placer
-	metrics    *metrics.Metrics
-	stalls     *stall.Monitor
-	quarantine *quarantine.Book
-	held       *heldKeeper
-	conns      *callerConns
-	callers    *http.Server
-	checks     *http.Server
-	links      *http.Server // to other daemons
-	figures    *http.Server
-	ingress    *platform.Ingress
-	stage      atomic.Int32 // a stage of the planned stop
-	killed     chan struct{}
-	killOnce   sync.Once
+	opts           Options
+	listeners      listeners
+	set            site.Settings // at the start of the process
+	log            *forward.Log
+	store          *platform.Store
+	backends       *platform.Backends
+	inv            *inventory.Inventory
+	members        *members
+	relay          *relay.Node
+	permits        *permit.Node
+	forward        *forward.Forwarder
+	leases         *lease.Keeper
+	placer         *placer.Placer
+	metrics        *metrics.Metrics
+	stalls         *stall.Monitor
+	quarantine     *quarantine.Book
+	quarantineSync *quarantineSyncer
+	conns          *callerConns
+	callers        *http.Server
+	readiness      *http.Server
+	links          *http.Server // for other daemons
+	admin          *http.Server // metrics and the quarantine list
+	ingress        *platform.Ingress
+	stage          atomic.Int32 // a stage value
+	killed         chan struct{}
+	killOnce       sync.Once
 }
 
-// Options are what a daemon is started with.
+// Options configure a daemon.
 type Options struct {
-	// Load reads the settings. It is called again when they may have changed.
+	// Load reads the settings. It is called again to detect changes.
 	Load func() (site.Settings, error)
-	// Reload asks for that, nil for never.
+	// Reload triggers a reload of the settings. It may be nil.
 	Reload      <-chan os.Signal
 	MetricsPort int // 0 for none
 }
 
-// New builds a daemon whose log goes to out.
+// New returns a daemon that logs to out. It opens the listening addresses.
 func New(o Options, out io.Writer) (*Gateway, error) {
 	set, err := o.Load()
 	if err != nil {
@@ -116,7 +116,7 @@
 	})
 	g.store.OnEra(func(era uint64) {
 		m.StoreEra(era)
-		g.held.wake()
+		g.quarantineSync.wake()
 		_ = level.Info(g.log).Log("msg", "era of the store", "era", era)
 	})
 	if err := g.listen(); err != nil {
@@ -127,39 +127,39 @@
 	stalls.OnWake(g.members.wake)
 	book := quarantine.NewBook(quarantine.DefaultPolicy)
 	g.quarantine = book
-	g.held = newHeldKeeper(book, g.store, g.heldTurn, g.log)
+	g.quarantineSync = newQuarantineSyncer(book, g.store, g.quarantineRole, g.log)
 	limits, sends := quota.NewLimits(), quota.NewSends()
 	pool := quota.NewPool(set.Name, limits, sends)
 	g.forward = forward.New(forward.Options{
 		FailureDomain: set.FailureDomain, RetryRatio: set.RetryRatio, RetrySlack: set.RetrySlack,
-		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, KeysFreshFor: keysFreshFor(set),
+		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, KeysFreshFor: keyFreshnessBound(set),
 	}, forward.Parts{Inventory: g.inv, Fleet: g.members, Backends: g.backends, Log: g.log, Observer: observer{m}, Quarantine: book, Stalls: stalls,
 		Limits: limits, Sends: sends, Permits: permits{g}})
 	g.backends.OnLimit(g.forward.HearLimit)
 	g.relay = relay.New(relay.Options{
-		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, Asker: g.forward, Quarantine: book, Stalls: stalls, BeforeStore: g.held.load,
+		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, Asker: g.forward, Quarantine: book, Stalls: stalls, BeforeStore: g.quarantineSync.load,
 		Restored: func() bool { return g.store.Era() > store.FirstEra },
 	}, g.inv, g.forward.Loads(), g.members, g.log)
 	g.permits = permit.New(permit.Options{
-		Name: set.Name, Members: g.members.permitted, Limits: limits, Pool: pool, Sends: sends, HearLimit: g.forward.HearLimitFrom,
+		Name: set.Name, Members: g.members.permitMembers, Limits: limits, Pool: pool, Sends: sends, HearLimit: g.forward.HearLimitFrom,
 		Client: relay.NewDialer(nil, stalls), Scheme: "http", Stalls: stalls, Logger: g.log,
 	})
 	g.links = &http.Server{Handler: g.linksHandler()}
-	g.keeper = lease.NewKeeper(kindLease, placingDuty, set.Name, dutyPeriod, leaseStore{g.store}, g.log)
-	g.placer = placer.New(g.keeper, g.inv, permittedOrders{g}, g.forward, observer{m}, g.log)
+	g.leases = lease.NewKeeper(kindLease, placementLease, set.Name, leasePeriod, leaseStore{g.store}, g.log)
+	g.placer = placer.New(g.leases, g.inv, permittedBackends{g}, g.forward, observer{m}, g.log)
 	g.conns = newCallerConns()
 	g.ingress = platform.NewIngress(g.forward)
 	g.callers = &http.Server{
-		Handler: g.refuseLate(g.ingress), ReadHeaderTimeout: headerTimeout, ConnState: g.conns.note,
-		// What the server itself has to say, a handler that panicked above all.
+		Handler: g.refuseWhenStopping(g.ingress), ReadHeaderTimeout: headerTimeout, ConnState: g.conns.trackState,
+		// Errors of the server itself, such as a handler that panicked.
 		ErrorLog: stdlog.New(log.NewStdlibAdapter(level.Error(g.log)), "", 0),
 	}
-	g.checks = &http.Server{Handler: http.HandlerFunc(g.ready)}
-	g.figures = &http.Server{Handler: operators(m.Handler(), g)}
+	g.readiness = &http.Server{Handler: http.HandlerFunc(g.ready)}
+	g.admin = &http.Server{Handler: adminHandler(m.Handler(), g)}
 	return g, nil
 }
 
-// linksHandler serves the links of other daemons.
+// linksHandler returns the handler for connections from other daemons.
 func (g *Gateway) linksHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(relay.Path, g.relay)
@@ -167,15 +167,16 @@
 	return mux
 }
 
-func keysFreshFor(set site.Settings) time.Duration {
+func keyFreshnessBound(set site.Settings) time.Duration {
 	if !set.FailClosed {
 		return 0
 	}
-	return max(set.RevokeWithin-keyMargin, set.RevokeWithin/2)
+	return max(set.RevokeWithin-revocationMargin, set.RevokeWithin/2)
 }
 
-// leaseStore reads leases by the cheap reads that may be old: whoever acts on an
-// old one loses the conditional write. It implements lease.Store.
+// leaseStore reads leases with cheap stale reads. This is safe since the
+// conditional write of a lease fails if the read was out of date. It implements
+// lease.Store.
 type leaseStore struct{ *platform.Store }
 
 // Get implements lease.Store.
@@ -183,8 +184,8 @@
 	return s.GetStale(ctx, kind, name)
 }
 
-// ready answers the balancer: a daemon is ready when it knows the configuration
-// and the backend servers and is not stopping.
+// ready answers the load balancer's readiness check. A daemon is ready when it has
+// the configuration and the backend servers and is not stopping.
 func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
 	if stage(g.stage.Load()) != serving || !g.inv.Complete() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -193,32 +194,33 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Run serves until ctx ends, then stops.
+// Run serves until ctx ends, then stops gracefully. It returns early on Kill or
+// when a listener for callers or readiness checks fails.
 func (g *Gateway) Run(ctx context.Context) error {
 	_ = level.Info(g.log).Log("msg", "started", "vm", g.set.Name, "domain", g.set.FailureDomain, "callers", g.set.Callers, "store", g.set.Store)
 	restore := invariant.SetReporter(g.reportViolation)
 	defer restore()
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
-	duty, stopDuty := context.WithCancel(work)
-	defer stopDuty()
+	roles, stopRoles := context.WithCancel(work)
+	defer stopRoles()
 	var wg sync.WaitGroup
 	wg.Go(func() { g.log.Run(work.Done()) })
 	wg.Go(func() { g.stalls.Run(work) })
 	wg.Go(func() { g.follow(work) })
 	wg.Go(func() { g.permits.Run(work) })
 	wg.Go(func() { g.backends.Run(work) })
-	wg.Go(func() { g.members.Run(duty) })
+	wg.Go(func() { g.members.Run(roles) })
 	wg.Go(func() { g.conns.Run(work, g.idleTimeout) })
-	wg.Go(func() { g.candidate(duty) })
-	wg.Go(func() { g.placer.Run(duty) })
-	wg.Go(func() { g.held.run(duty) })
+	wg.Go(func() { g.runCandidate(roles) })
+	wg.Go(func() { g.placer.Run(roles) })
+	wg.Go(func() { g.quarantineSync.run(roles) })
 	failed := make(chan error, 3)
 	wg.Go(func() { failed <- g.callers.Serve(g.conns.listen(g.listeners.callers)) })
-	wg.Go(func() { failed <- g.checks.Serve(g.listeners.checks) })
-	wg.Go(func() { g.serveExtra(g.links, g.listeners.links, "links to other daemons") })
-	if g.listeners.figures != nil {
-		wg.Go(func() { g.serveExtra(g.figures, g.listeners.figures, "metrics") })
+	wg.Go(func() { failed <- g.readiness.Serve(g.listeners.readiness) })
+	wg.Go(func() { g.serveOptional(g.links, g.listeners.links, "links to other daemons") })
+	if g.listeners.admin != nil {
+		wg.Go(func() { g.serveOptional(g.admin, g.listeners.admin, "metrics") })
 	}
 	wg.Go(func() { g.followSettings(work) })
 	var err error
@@ -226,14 +228,14 @@
 	case err = <-failed:
 	case <-g.killed:
 	case <-ctx.Done():
-		g.stop(stopDuty)
+		g.stop(stopRoles)
 	}
 	stopWork()
 	_ = g.callers.Close()
-	_ = g.checks.Close()
+	_ = g.readiness.Close()
 	_ = g.links.Close()
-	_ = g.figures.Close()
-	waitAtMost(&wg, endsWithin)
+	_ = g.admin.Close()
+	waitTimeout(&wg, shutdownTimeout)
 	_ = level.Info(g.log).Log("msg", "stopped", "err", err)
 	g.log.Flush()
 	_ = g.metrics.Close()
@@ -244,11 +246,12 @@
 	_ = level.Error(g.log).Log("msg", "invariant violated", "promise", string(p), "detail", detail)
 }
 
-// endsWithin is how long the parts of a daemon may take to end: the grace of a
-// planned stop is nearly over then, and the store may be away.
-const endsWithin = 200 * time.Millisecond
+// shutdownTimeout bounds the wait for the daemon's goroutines. The grace of a
+// planned stop is nearly over by then, and the store may be unreachable.
+const shutdownTimeout = 200 * time.Millisecond
 
-func waitAtMost(wg *sync.WaitGroup, d time.Duration) {
+// waitTimeout waits for wg, for d at most.
+func waitTimeout(wg *sync.WaitGroup, d time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		wg.Wait()
@@ -260,18 +263,19 @@
 	}
 }
 
-// Kill ends the daemon at once, as a crash does: nothing is finished or handed
-// over.
+// Kill ends the daemon at once, as a crash does, without finishing requests or
+// releasing the lease.
 func (g *Gateway) Kill() { g.killOnce.Do(func() { close(g.killed) }) }
 
-// serveExtra runs a server without which the daemon serves callers all the same.
-func (g *Gateway) serveExtra(s *http.Server, l net.Listener, what string) {
+// serveOptional runs a server whose failure does not stop the daemon.
+func (g *Gateway) serveOptional(s *http.Server, l net.Listener, what string) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) {
-		_ = level.Warn(g.log).Log("msg", "not served any more", "what", what, "address", l.Addr().String(), "err", err)
+		_ = level.Warn(g.log).Log("msg", "server failed", "what", what, "address", l.Addr().String(), "err", err)
 	}
 }
 
-// follow keeps the inventory up to date, over other daemons once they are known.
+// follow keeps the inventory up to date through the relay, once the other daemons
+// were listed.
 func (g *Gateway) follow(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -281,9 +285,9 @@
 	g.relay.Run(ctx)
 }
 
-// heldTurn says whether this daemon keeps what is held back, and how many failure domains
-// come before its own.
-func (g *Gateway) heldTurn() (rank int, writes bool) {
+// quarantineRole reports whether this daemon writes the quarantine record, and the
+// number of failure domains that sort before its own.
+func (g *Gateway) quarantineRole() (rank int, writes bool) {
 	before := map[string]bool{}
 	for _, m := range g.members.All() {
 		if m.Domain < g.set.FailureDomain {
@@ -293,30 +297,30 @@
 	return len(before), g.relay.Leading()
 }
 
-// candidatePoll is the pause between two looks at whether this daemon is a
-// candidate for the duty.
-const candidatePoll = 500 * time.Millisecond
+// candidateInterval is the time between two checks of whether this daemon is a
+// candidate for the placement lease.
+const candidateInterval = 500 * time.Millisecond
 
-// candidate tries for the placement duty while this daemon leads its domain: the
-// duty needs the store, and few candidates cost few calls.
-func (g *Gateway) candidate(ctx context.Context) {
+// runCandidate competes for the placement lease while this daemon leads its failure
+// domain. Placement needs the store, and few candidates keep the number of calls low.
+func (g *Gateway) runCandidate(ctx context.Context) {
 	for ctx.Err() == nil {
 		if g.relay.Leading() {
-			kctx, cancel := context.WithCancel(ctx)
+			leaseCtx, cancel := context.WithCancel(ctx)
 			go func() {
-				for kctx.Err() == nil && g.relay.Leading() {
-					wait.For(kctx, candidatePoll)
+				for leaseCtx.Err() == nil && g.relay.Leading() {
+					wait.For(leaseCtx, candidateInterval)
 				}
 				cancel()
 			}()
-			g.keeper.Run(kctx)
+			g.leases.Run(leaseCtx)
 			cancel()
 		}
-		wait.For(ctx, candidatePoll)
+		wait.For(ctx, candidateInterval)
 	}
 }
 
-// idleTimeout is how long a caller's connection may rest.
+// idleTimeout returns how long a caller's connection may be idle, 0 for no limit.
 func (g *Gateway) idleTimeout() time.Duration {
 	if c := g.inv.View().Config; c != nil {
 		return c.Limits.IdleTimeout
@@ -324,8 +328,8 @@
 	return 0
 }
 
-// observer counts requests in the daemon's metrics. It implements
-// forward.Observer and placer.Observer.
+// observer records events in the daemon's metrics. It implements forward.Observer
+// and placer.Observer.
 type observer struct{ m *metrics.Metrics }
 
 // Finished implements forward.Observer.
--- /dev/null
+++ b/gateway/invalid_records_test.go
@@ -0,0 +1,99 @@
+package gateway
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/snowspoke/snowspoke/platform/standin"
+)
+
+// An invalid record is not used, also when it replaces a valid one. Other records are not
+// affected.
+func TestInvalidRecordsAreNotUsed(t *testing.T) {
+	t.Parallel()
+	invalidate := map[string]func(record map[string]any){
+		"unknown state":                func(r map[string]any) { r["state"] = "resting" },
+		"missing state":                func(r map[string]any) { delete(r, "state") },
+		"address of another type":      func(r map[string]any) { r["address"] = 7 },
+		"address without a port":       func(r map[string]any) { r["address"] = "10.0.0.1" },
+		"slots of another type":        func(r map[string]any) { r["slots"] = "many" },
+		"start that is not an integer": func(r map[string]any) { r["born"] = 1.5 },
+		"reversed layers":              func(r map[string]any) { r["layers"] = map[string]any{"from": 9, "targetVersion": 3} },
+		"list instead of a record":     nil,
+	}
+	env := newTestEnv(t)
+	env.putConfig()
+	good := env.servers("plain", "", "plain-good")[0]
+	var all []*standin.Server
+	for i := range len(invalidate) {
+		all = append(all, env.servers("plain", "", fmt.Sprint("plain-", i))...)
+	}
+	d := env.daemon("daemon-1", nil).ready(t, 1+len(invalidate))
+	i := 0
+	for what, change := range invalidate {
+		record := any([]int{1})
+		if change != nil {
+			r := all[i].Record("plain", "domain-1", "")
+			change(r)
+			record = r
+		}
+		env.store.Set("servers", all[i].ID, record)
+		require.Eventually(t, func() bool { return d.inv.View().Servers[all[i].ID] == nil }, 2*time.Second, 5*time.Millisecond, what)
+		i++
+	}
+	require.Len(t, d.inv.View().Servers, 1)
+	require.Equal(t, http.StatusOK, d.call(t, call{method: "GET", path: "/plain/"}).Status)
+	require.Len(t, good.Runs(), 1)
+	env.store.Set("servers", all[0].ID, all[0].Record("plain", "domain-1", ""))
+	require.Eventually(t, func() bool { return len(d.inv.View().Servers) == 2 }, 2*time.Second, 5*time.Millisecond, "a valid one is used again")
+}
+
+// An entry that cannot be decoded does not affect others in its list or watch, also at the
+// start of a daemon.
+func TestUnreadableEntryDoesNotAffectOthers(t *testing.T) {
+	t.Parallel()
+	for _, raw := range []string{
+		`{"metadata":{"name":7,"revision":"x"},"spec":{}}`, `"bytes"`, `null`, `[]`, `{}`, `{"metadata":{"name":"odd","revision":9},"spec":"\x00"}`,
+		`{"metadata":{"name":"odd"},"spec":tru}`, "{\"metadata\":{\"name\":\"odd\"},\"spec\":\"\xff\x01\"}",
+	} {
+		env := newTestEnv(t)
+		env.putConfig()
+		env.servers("plain", "", "plain-1", "plain-2")
+		env.store.SetForeign("servers", raw)
+		env.store.SetForeign("snowspoke-daemons", raw)
+		d := env.daemon("daemon-1", nil).ready(t, 2)
+		env.servers("plain", "", "plain-3")
+		require.Eventually(t, func() bool { return len(d.inv.View().Servers) == 3 }, 2*time.Second, 5*time.Millisecond, "%s", raw)
+		env.store.SetForeign("servers", raw)
+		env.servers("plain", "", "plain-4")
+		require.Eventually(t, func() bool { return len(d.inv.View().Servers) == 4 }, 2*time.Second, 5*time.Millisecond, "%s", raw)
+		require.Positive(t, d.members.Daemons(), "%s", raw)
+	}
+}
+
+// A backend server that restarts under its ID is a new incarnation: a cooldown of the
+// earlier one does not apply to it.
+func TestRestartedBackendServerHasNoCooldown(t *testing.T) {
+	t.Parallel()
+	env := newTestEnv(t)
+	env.putConfig()
+	old := env.servers("plain", "", "plain-1")[0]
+	old.SetBorn(1_790_000_000_000)
+	env.store.Set("servers", old.ID, old.Record("plain", "domain-1", ""))
+	d := env.daemon("daemon-1", nil).ready(t, 1)
+	old.Kill()
+	require.NotEqual(t, http.StatusOK, d.call(t, call{method: "GET", path: "/plain/"}).Status)
+	again := standin.NewServer(old.ID)
+	t.Cleanup(again.Kill)
+	again.SetBorn(1_790_000_001_000)
+	env.store.Set("servers", again.ID, again.Record("plain", "domain-1", ""))
+	began := time.Now()
+	require.Eventually(t, func() bool {
+		return d.call(t, call{method: "GET", path: "/plain/"}).Status == http.StatusOK
+	}, 8*time.Second, 20*time.Millisecond)
+	require.Less(t, time.Since(began), time.Second, "no cooldown of the earlier incarnation")
+}
--- a/gateway/listen.go
+++ b/gateway/listen.go
@@ -6,15 +6,15 @@
 	"strconv"
 )
 
-// listeners are the open addresses of a daemon.
+// listeners holds the listening sockets of a daemon.
 type listeners struct {
-	callers net.Listener
-	checks  net.Listener
-	links   net.Listener // to other daemons
-	figures net.Listener // metrics, nil for none
+	callers   net.Listener
+	readiness net.Listener
+	links     net.Listener // for other daemons
+	admin     net.Listener // metrics and the quarantine list, nil for none
 }
 
-// listen opens the addresses, so that a daemon that cannot serve does not start.
+// listen opens all listening sockets, so that New fails if an address is not available.
 func (g *Gateway) listen() error {
 	var err error
 	open := func(what, address string) net.Listener {
@@ -28,16 +28,16 @@
 		return l
 	}
 	g.listeners.callers = open("callers", g.set.Callers)
-	g.listeners.checks = open("readiness checks", g.set.Readiness)
+	g.listeners.readiness = open("readiness checks", g.set.Readiness)
 	g.listeners.links = open("other daemons", net.JoinHostPort(g.set.IP, strconv.Itoa(g.set.PeerPort)))
 	if g.opts.MetricsPort > 0 {
-		g.listeners.figures = open("metrics", net.JoinHostPort(g.set.IP, strconv.Itoa(g.opts.MetricsPort)))
+		g.listeners.admin = open("metrics", net.JoinHostPort(g.set.IP, strconv.Itoa(g.opts.MetricsPort)))
 	}
 	return err
 }
 
-// CallersAddr returns the address that callers reach.
+// CallersAddr returns the address for callers.
 func (g *Gateway) CallersAddr() string { return g.listeners.callers.Addr().String() }
 
-// ReadinessAddr returns the address of the balancer's check.
-func (g *Gateway) ReadinessAddr() string { return g.listeners.checks.Addr().String() }
+// ReadinessAddr returns the address for the load balancer's readiness check.
+func (g *Gateway) ReadinessAddr() string { return g.listeners.readiness.Addr().String() }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -18,87 +18,87 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Periods of membership. Each call to the store is paid for; daemons are found
-// by their records, and one that cannot be reached is passed over, so records
-// may be old.
+// Periods of membership. Calls to the store are expensive. Records may be out of
+// date, since a daemon that cannot be reached is skipped.
 const (
-	heartbeat   = 30 * time.Second
-	listPeriod  = 8 * time.Second
-	leaveWithin = time.Second
-	// beatPerDaemon and listPerDaemon make the periods longer where there are many
-	// daemons, so that all of them together write five records a second and read ten
-	// lists that may be old. A list is 100 bytes a daemon: at 380 of them each reads
-	// 1 KB a second.
-	beatPerDaemon = 200 * time.Millisecond
-	listPerDaemon = 100 * time.Millisecond
-	// joinPause and joinWithin bound how long a daemon of a fleet that starts for the
-	// first time waits until a list that may be old shows its own record, and so all
-	// that were written before it. VMs start within 0.3 s of each other. After that it
-	// reads a fresh list, which costs ten times as much.
-	joinPause  = 400 * time.Millisecond
-	joinWithin = 2 * time.Second
-	// listAgain is the period of lists while none has been answered, and unlistedMost how
-	// long a daemon waits for one before it goes on alone. One that knows no other takes
-	// itself for the first: 295 that were started while the store was away all looked for
-	// it, tried for the duty and read every list, with 10,500 calls in three seconds.
-	listAgain    = 500 * time.Millisecond
-	unlistedMost = 10 * time.Second
+	minHeartbeatInterval = 30 * time.Second
+	minListInterval      = 8 * time.Second
+	leaveTimeout         = time.Second
+	// heartbeatPerDaemon and listPerDaemon lengthen the periods in large fleets, so
+	// that all daemons together write at most five records and read at most ten stale
+	// lists a second.
+	heartbeatPerDaemon = 200 * time.Millisecond
+	listPerDaemon      = 100 * time.Millisecond
+	// joinInterval and joinTimeout bound how long a daemon of a fleet that starts for
+	// the first time waits for a stale list that has its own record, and so all records
+	// written before it. After that it reads a fresh list, which is more expensive.
+	joinInterval = 400 * time.Millisecond
+	joinTimeout  = 2 * time.Second
+	// listRetryInterval is the period of lists until one succeeds. After
+	// firstListTimeout a daemon goes on alone. A daemon that knows no other acts as the
+	// first of its failure domain, so a short timeout would let every daemon that starts
+	// during an outage follow the store itself.
+	listRetryInterval = 500 * time.Millisecond
+	firstListTimeout  = 10 * time.Second
 )
 
-// beatEvery returns the period of a daemon's own record in a fleet of so many.
-func beatEvery(daemons int) time.Duration {
-	return max(heartbeat, time.Duration(daemons)*beatPerDaemon)
+// heartbeatInterval returns the period at which a daemon writes its record, by the
+// number of daemons.
+func heartbeatInterval(daemons int) time.Duration {
+	return max(minHeartbeatInterval, time.Duration(daemons)*heartbeatPerDaemon)
 }
 
-// listEvery returns the period of the lists of a daemon in a fleet of so many.
-func listEvery(daemons int) time.Duration {
-	return max(listPeriod, time.Duration(daemons)*listPerDaemon)
+// listInterval returns the period at which a daemon lists the others, by the number
+// of daemons.
+func listInterval(daemons int) time.Duration {
+	return max(minListInterval, time.Duration(daemons)*listPerDaemon)
 }
 
-// memberTTL returns how long a record counts that does not change.
-func memberTTL(daemons int) time.Duration { return 5 * beatEvery(daemons) / 2 }
+// memberTTL returns how long an unchanged record counts as alive.
+func memberTTL(daemons int) time.Duration { return 5 * heartbeatInterval(daemons) / 2 }
 
-// memberStore is what membership needs of the store.
+// memberStore is the part of the store that membership uses.
 type memberStore interface {
 	Get(ctx context.Context, kind, name string) (store.Object, error)
 	Put(ctx context.Context, kind, name string, spec []byte, ifVersion store.Position) (store.Position, error)
 	Delete(ctx context.Context, kind, name string, ifVersion store.Position) (store.Position, error)
-	// List may be seconds old unless it is to be fresh.
+	// List may return a list that is seconds old unless fresh is set.
 	List(ctx context.Context, kind string, fresh bool) ([]store.Object, error)
 }
 
 // memberSpec is a daemon's record.
 type memberSpec struct {
-	Domain  string `cbor:"1,keyasint"`
-	Address string `cbor:"2,keyasint"` // of its links to other daemons
-	Beat    uint64 `cbor:"3,keyasint"`
+	Domain    string `cbor:"1,keyasint"`
+	Address   string `cbor:"2,keyasint"` // of its links to other daemons
+	Heartbeat uint64 `cbor:"3,keyasint"`
 }
 
-// members finds the other daemons: each writes a record, and one that has not
-// changed for a while is dead. It implements forward.Fleet and relay.Members.
+// members tracks the daemons of the fleet. Each daemon writes a record to the store
+// periodically, and one whose record stays unchanged for memberTTL counts as dead. It
+// implements forward.Fleet and relay.Members.
 type members struct {
-	self    relay.Member
-	store   memberStore
-	logger  log.Logger
-	version store.Position // of the own record
-	beats   uint64
-	alive   atomic.Int64
-	found   chan struct{} // closed after the first list
-	woken   chan struct{} // the VM was suspended: who is there must be read again
+	self       relay.Member
+	store      memberStore
+	logger     log.Logger
+	version    store.Position // of the own record
+	heartbeats uint64
+	alive      atomic.Int64
+	found      chan struct{} // closed after the first list
+	woken      chan struct{} // the VM was suspended: the daemons must be listed again
 
-	firstStart bool // of the whole system: nobody has left a record
+	firstStart bool // of the whole system: no earlier records exist
 
-	mu    sync.Mutex
-	seen  map[string]seenMember
-	all   []relay.Member
-	era   uint64    // of the store, as the last list told
-	until time.Time // until then those that a new era's lists lack are kept
+	mu        sync.Mutex
+	seen      map[string]seenMember
+	all       []relay.Member
+	era       uint64    // of the store, from the last list
+	keepUntil time.Time // until then members missing from lists of a new era are kept
 }
 
-// seenMember is a daemon as its record was last seen.
+// seenMember is the last known record of a daemon.
 type seenMember struct {
-	spec memberSpec
-	at   time.Time // when it was first seen so
+	spec      memberSpec
+	firstSeen time.Time // when this record was first seen
 }
 
 func newMembers(self relay.Member, firstStart bool, s memberStore, logger log.Logger) *members {
@@ -128,101 +128,100 @@
 	return m.all
 }
 
-// Found is closed when the daemons were listed for the first time, or could not be for
-// unlistedMost.
+// Found returns a channel that is closed after the first list of the daemons, or when
+// none has succeeded within firstListTimeout.
 func (m *members) Found() <-chan struct{} { return m.found }
 
-// Run keeps the own record and the list until ctx ends, then takes the record
-// away.
+// Run keeps the daemon's own record and the list of daemons up to date until ctx ends,
+// then deletes the record.
 func (m *members) Run(ctx context.Context) {
 	m.join(ctx)
 	m.awaitList(ctx)
 	close(m.found)
 	if m.version == 0 {
-		m.beat(ctx)
+		m.heartbeat(ctx)
 	}
-	beat, list := time.NewTimer(beatEvery(m.Daemons())), time.NewTimer(m.untilList())
-	defer beat.Stop()
+	heartbeat, list := time.NewTimer(heartbeatInterval(m.Daemons())), time.NewTimer(m.untilNextList())
+	defer heartbeat.Stop()
 	defer list.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			m.leave()
 			return
-		case <-beat.C:
-			m.beat(ctx)
-			beat.Reset(beatEvery(m.Daemons()))
+		case <-heartbeat.C:
+			m.heartbeat(ctx)
+			heartbeat.Reset(heartbeatInterval(m.Daemons()))
 		case <-m.woken:
 			list.Reset(0)
 		case <-list.C:
 			m.list(ctx, false)
 			if m.version == 0 {
-				m.beat(ctx)
+				m.heartbeat(ctx)
 			}
-			list.Reset(m.untilList())
+			list.Reset(m.untilNextList())
 		}
 	}
 }
 
-// wake has the daemons listed at once: others may have come and gone while the VM was
-// suspended.
+// wake triggers a list of the daemons. Others may have joined and left while the VM
+// was suspended.
 func (m *members) wake(time.Duration) {
 	select {
 	case m.woken <- struct{}{}:
-	default: // it is about to
+	default: // already pending
 	}
 }
 
-// untilList returns the time until the next list.
-func (m *members) untilList() time.Duration {
+// untilNextList returns the time until the next list.
+func (m *members) untilNextList() time.Duration {
 	if m.Daemons() == 0 {
-		return listAgain
+		return listRetryInterval
 	}
-	return listEvery(m.Daemons())
+	return listInterval(m.Daemons())
 }
 
-// join makes this daemon known and finds the others. Where the system ran before,
-// their records are there, and maybe that of an earlier process of this VM, which is
-// taken over as it is: when all of 295 daemons were killed, each wrote its record
-// again in three calls and read a fresh list.
+// join announces this daemon and finds the others. If the system ran before, it only
+// lists the records, and adopts one that an earlier process of this VM has left.
 func (m *members) join(ctx context.Context) {
 	if !m.firstStart {
 		m.list(ctx, false)
 		return
 	}
-	m.beat(ctx)
-	for until := time.Now().Add(joinWithin); time.Now().Before(until); {
-		if !wait.For(ctx, joinPause) {
+	m.heartbeat(ctx)
+	for until := time.Now().Add(joinTimeout); time.Now().Before(until); {
+		if !wait.For(ctx, joinInterval) {
 			return
 		}
 		m.list(ctx, false)
-		if m.knows(m.self.Name) {
+		if m.hasSeen(m.self.Name) {
 			return
 		}
 	}
 	m.list(ctx, true)
 }
 
-// awaitList lists the daemons until that is answered.
+// awaitList lists the daemons until a list succeeds or firstListTimeout is over.
 func (m *members) awaitList(ctx context.Context) {
-	for until := time.Now().Add(unlistedMost); m.Daemons() == 0 && time.Now().Before(until); {
-		if !wait.For(ctx, listAgain) {
+	for until := time.Now().Add(firstListTimeout); m.Daemons() == 0 && time.Now().Before(until); {
+		if !wait.For(ctx, listRetryInterval) {
 			return
 		}
 		m.list(ctx, false)
 	}
 }
 
-func (m *members) knows(name string) bool {
+// hasSeen reports whether the last list had a daemon.
+func (m *members) hasSeen(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, known := m.seen[name]
 	return known
 }
 
-// beat writes the own record. After a lost answer or a restart its version is
-// read again.
-func (m *members) beat(ctx context.Context) {
+// heartbeat writes the daemon's own record. After a lost answer or a restart it reads
+// the version of the record again.
+func (m *members) heartbeat(ctx context.Context) {
 	err := m.write(ctx)
 	if err == nil {
 		return
@@ -239,13 +238,13 @@
 		err = m.write(ctx)
 	}
 	if err != nil {
-		_ = level.Warn(m.logger).Log("msg", "own record not written", "err", err)
+		_ = level.Warn(m.logger).Log("msg", "membership record not written", "err", err)
 	}
 }
 
 func (m *members) write(ctx context.Context) error {
-	m.beats++
-	spec, err := cbor.Marshal(memberSpec{Domain: m.self.Domain, Address: m.self.Address, Beat: m.beats})
+	m.heartbeats++
+	spec, err := cbor.Marshal(memberSpec{Domain: m.self.Domain, Address: m.self.Address, Heartbeat: m.heartbeats})
 	if err != nil {
 		return err
 	}
@@ -256,11 +255,11 @@
 	return err
 }
 
-// list reads who is there.
+// list reads the records of all daemons. On an error the last list stays.
 func (m *members) list(ctx context.Context, fresh bool) {
 	objects, err := m.store.List(ctx, kindDaemon, fresh)
 	if err != nil {
-		_ = level.Warn(m.logger).Log("msg", "daemons not listed, the last list stays", "err", err)
+		_ = level.Warn(m.logger).Log("msg", "listing daemons failed, keeping the last list", "err", err)
 		return
 	}
 	m.mu.Lock()
@@ -275,22 +274,22 @@
 	for _, o := range objects {
 		var spec memberSpec
 		if err := cbor.Unmarshal(o.Spec, &spec); err != nil {
-			_ = level.Error(m.logger).Log("msg", "record of daemon ignored", "name", o.Name, "err", err)
+			_ = level.Error(m.logger).Log("msg", "invalid daemon record ignored", "name", o.Name, "err", err)
 			continue
 		}
 		s, known := m.seen[o.Name]
 		if !known || s.spec != spec {
-			s = seenMember{spec: spec, at: now}
+			s = seenMember{spec: spec, firstSeen: now}
 		}
 		seen[o.Name] = s
 		m.adopt(o, spec)
 	}
-	if now.Before(m.until) {
+	if now.Before(m.keepUntil) {
 		m.keepMissing(seen)
 	}
 	for _, name := range slices.Sorted(maps.Keys(seen)) {
 		s := seen[name]
-		if now.Sub(s.at) < ttl {
+		if now.Sub(s.firstSeen) < ttl {
 			all = append(all, relay.Member{Name: name, Domain: s.spec.Domain, Address: s.spec.Address})
 		}
 	}
@@ -298,10 +297,9 @@
 	m.alive.Store(int64(max(1, len(all))))
 }
 
-// noteEra takes the era of a list, and reports whether it is the present one. In a store
-// that came back from an older copy the records of daemons that have just started are
-// missing until they write them again, which each does at its own next list. Until then
-// the others go on with those that they know.
+// noteEra records the era of a list and reports whether it is the current one. A store
+// that was restored from an older copy lacks the records of daemons that started later
+// until they write them again, each at its next list. Until then known members are kept.
 func (m *members) noteEra(objects []store.Object, now time.Time) (present bool) {
 	era := uint64(0)
 	for _, o := range objects {
@@ -311,9 +309,9 @@
 		return false
 	}
 	if len(m.seen) > 0 && era > m.era {
-		m.until = now.Add(2 * listEvery(len(m.seen)))
+		m.keepUntil = now.Add(2 * listInterval(len(m.seen)))
 		if m.version.Era() < era {
-			m.version = 0 // unless the list has the record, which is taken over then
+			m.version = 0 // unless the list has the record, which is adopted then
 		}
 		_ = level.Warn(m.logger).Log("msg", "decision", "kind", "daemons restored", "era_before", m.era, "era", era, "listed", len(objects), "known", len(m.seen))
 	}
@@ -321,7 +319,7 @@
 	return true
 }
 
-// keepMissing adds the daemons that were known and are not among those seen.
+// keepMissing adds the known daemons that seen lacks.
 func (m *members) keepMissing(seen map[string]seenMember) {
 	for name, s := range m.seen {
 		if _, listed := seen[name]; !listed {
@@ -330,18 +328,18 @@
 	}
 }
 
-// adopt takes over the own record if it lies in the store just so: an earlier process has
-// left it, or the store came back with it.
+// adopt takes over the daemon's own record if the store holds it with the same domain
+// and address: an earlier process has left it, or a restored store has it.
 func (m *members) adopt(o store.Object, spec memberSpec) {
 	if m.version == 0 && o.Name == m.self.Name && spec.Domain == m.self.Domain && spec.Address == m.self.Address {
-		m.version, m.beats = o.Version, max(m.beats, spec.Beat)
+		m.version, m.heartbeats = o.Version, max(m.heartbeats, spec.Heartbeat)
 	}
 }
 
 func (m *members) leave() {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if _, err := m.store.Delete(ctx, kindDaemon, m.self.Name, m.version); err != nil {
-		_ = level.Warn(m.logger).Log("msg", "own record not deleted", "err", err)
+		_ = level.Warn(m.logger).Log("msg", "membership record not deleted", "err", err)
 	}
 }
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -18,25 +18,25 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// oldStore is a store whose cheap lists are a while old. It implements memberStore.
-type oldStore struct {
+// staleStore is a store whose stale lists are older by lag. It implements memberStore.
+type staleStore struct {
 	lag     time.Duration
 	version store.Position
 	objects []store.Object
 	times   []time.Time // when each was written
 
-	away atomic.Bool // nothing is answered
+	unavailable atomic.Bool // all calls fail
 
-	writes, freshLists, oldLists, gets int
+	writes, freshLists, staleLists, gets int
 }
 
-func (s *oldStore) Get(context.Context, string, string) (store.Object, error) {
+func (s *staleStore) Get(context.Context, string, string) (store.Object, error) {
 	s.gets++
 	return store.Object{}, store.ErrNotFound
 }
 
-func (s *oldStore) Put(_ context.Context, kind, name string, spec []byte, ifVersion store.Position) (store.Position, error) {
-	if s.away.Load() {
+func (s *staleStore) Put(_ context.Context, kind, name string, spec []byte, ifVersion store.Position) (store.Position, error) {
+	if s.unavailable.Load() {
 		return 0, store.ErrUnavailable
 	}
 	s.writes++
@@ -48,25 +48,25 @@
 	return s.version, nil
 }
 
-func (s *oldStore) add(kind, name string, spec []byte) {
+func (s *staleStore) add(kind, name string, spec []byte) {
 	s.version++
 	s.objects = append(s.objects, store.Object{Kind: kind, Name: name, Version: s.version, Spec: spec})
 	s.times = append(s.times, time.Now())
 }
 
-func (s *oldStore) Delete(context.Context, string, string, store.Position) (store.Position, error) {
+func (s *staleStore) Delete(context.Context, string, string, store.Position) (store.Position, error) {
 	return 0, nil
 }
 
-func (s *oldStore) List(_ context.Context, _ string, fresh bool) ([]store.Object, error) {
-	if s.away.Load() {
+func (s *staleStore) List(_ context.Context, _ string, fresh bool) ([]store.Object, error) {
+	if s.unavailable.Load() {
 		return nil, store.ErrUnavailable
 	}
 	if fresh {
 		s.freshLists++
 		return s.objects, nil
 	}
-	s.oldLists++
+	s.staleLists++
 	var out []store.Object
 	for i, o := range s.objects {
 		if time.Since(s.times[i]) >= s.lag {
@@ -80,32 +80,32 @@
 
 func recordOf(t *testing.T, m relay.Member) []byte {
 	t.Helper()
-	spec, err := cbor.Marshal(memberSpec{Domain: m.Domain, Address: m.Address, Beat: 3})
+	spec, err := cbor.Marshal(memberSpec{Domain: m.Domain, Address: m.Address, Heartbeat: 3})
 	require.NoError(t, err)
 	return spec
 }
 
-// A daemon that was killed and started again finds the record that its predecessor
-// left and takes it over: no write, and one list that may be old.
-func TestRestartedDaemonTakesItsRecordOver(t *testing.T) {
+// A restarted daemon adopts the record of its predecessor without a write, after a single
+// stale list.
+func TestRestartedDaemonAdoptsItsRecord(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		s := &oldStore{}
+		s := &staleStore{}
 		s.add(kindDaemon, thisDaemon.Name, recordOf(t, thisDaemon))
 		m := newMembers(thisDaemon, false, s, log.NewNopLogger())
 		m.join(t.Context())
 		require.Zero(t, s.writes+s.freshLists+s.gets)
-		require.Equal(t, 1, s.oldLists)
+		require.Equal(t, 1, s.staleLists)
 		require.Len(t, m.All(), 1)
-		m.beat(t.Context())
+		m.heartbeat(t.Context())
 		require.Equal(t, 1, s.writes, "the version of the record is known")
 		require.Zero(t, s.gets)
 	})
 }
 
-// One that comes back at another address writes its record.
+// A daemon that restarts at another address writes its record.
 func TestRestartedDaemonAtAnotherAddressWritesItsRecord(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		s := &oldStore{}
+		s := &staleStore{}
 		s.add(kindDaemon, "vm-0", recordOf(t, relay.Member{Name: "vm-0", Domain: "a", Address: "10.0.0.9:7400"}))
 		m := newMembers(thisDaemon, false, s, log.NewNopLogger())
 		ctx, stop := context.WithCancel(t.Context())
@@ -118,25 +118,25 @@
 	})
 }
 
-// At the first start a list that may be old shows those that wrote their records
-// before this daemon did, once it shows its own.
+// At the first start a stale list is complete up to the daemon's own record once it has
+// that record.
 func TestFirstStartWaitsForItsOwnRecord(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		s := &oldStore{lag: time.Second}
+		s := &staleStore{lag: time.Second}
 		s.add(kindDaemon, "vm-0", recordOf(t, relay.Member{Name: "vm-0", Domain: "a", Address: "10.0.0.9:7400"}))
 		m := newMembers(thisDaemon, true, s, log.NewNopLogger())
 		began := time.Now()
 		m.join(t.Context())
 		require.Len(t, m.All(), 2)
 		require.Zero(t, s.freshLists)
-		require.Less(t, time.Since(began), joinWithin)
+		require.Less(t, time.Since(began), joinTimeout)
 	})
 }
 
-// Where such lists are older still, one fresh list is read.
-func TestFirstStartReadsAFreshListInTheEnd(t *testing.T) {
+// If stale lists never show the own record, one fresh list is read.
+func TestFirstStartFallsBackToAFreshList(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		s := &oldStore{lag: time.Minute}
+		s := &staleStore{lag: time.Minute}
 		m := newMembers(thisDaemon, true, s, log.NewNopLogger())
 		m.join(t.Context())
 		require.Len(t, m.All(), 1)
@@ -144,12 +144,12 @@
 	})
 }
 
-// A daemon that is started while the store is away knows the others soon after it is
-// back, and is known to them.
-func TestDaemonThatStartsWithoutTheStoreFindsTheOthersSoon(t *testing.T) {
+// A daemon that is started during an outage of the store lists the others and writes its
+// record soon after the outage.
+func TestDaemonStartedDuringOutageFindsOthersAfterIt(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		s := &oldStore{}
-		s.away.Store(true)
+		s := &staleStore{}
+		s.unavailable.Store(true)
 		s.add(kindDaemon, "vm-0", recordOf(t, relay.Member{Name: "vm-0", Domain: "a", Address: "10.0.0.9:7400"}))
 		m := newMembers(thisDaemon, false, s, log.NewNopLogger())
 		ctx, stop := context.WithCancel(t.Context())
@@ -159,7 +159,7 @@
 		require.Empty(t, m.All())
 		require.Zero(t, s.writes)
 		require.False(t, isClosed(m.Found()), "it does not go on alone")
-		s.away.Store(false)
+		s.unavailable.Store(false)
 		time.Sleep(3 * time.Second / 2)
 		synctest.Wait()
 		require.NotEmpty(t, m.All())
@@ -179,15 +179,15 @@
 	}
 }
 
-// One that never gets a list goes on alone in the end.
-func TestDaemonWithoutAListGoesOnAlone(t *testing.T) {
+// A daemon that gets no list within firstListTimeout goes on alone.
+func TestDaemonContinuesAloneWithoutAList(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		s := &oldStore{}
-		s.away.Store(true)
+		s := &staleStore{}
+		s.unavailable.Store(true)
 		m := newMembers(thisDaemon, false, s, log.NewNopLogger())
 		ctx, stop := context.WithCancel(t.Context())
 		go m.Run(ctx)
-		time.Sleep(unlistedMost + listAgain)
+		time.Sleep(firstListTimeout + listRetryInterval)
 		synctest.Wait()
 		require.True(t, isClosed(m.Found()))
 		stop()
@@ -195,16 +195,16 @@
 	})
 }
 
-// The calls of all daemons together do not grow with them.
+// The rate of calls of all daemons together does not grow with the fleet.
 func TestMembershipCallsAreBounded(t *testing.T) {
 	for _, daemons := range []int{8, 60, 295, 380, 1000} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			n := float64(daemons)
-			require.LessOrEqual(t, n/beatEvery(daemons).Seconds(), 5.001, "writes a second")
-			require.LessOrEqual(t, n/listEvery(daemons).Seconds(), 10.001, "lists a second")
-			require.Greater(t, memberTTL(daemons), 2*beatEvery(daemons))
+			require.LessOrEqual(t, n/heartbeatInterval(daemons).Seconds(), 5.001, "writes a second")
+			require.LessOrEqual(t, n/listInterval(daemons).Seconds(), 10.001, "lists a second")
+			require.Greater(t, memberTTL(daemons), 2*heartbeatInterval(daemons))
 		})
 	}
-	require.Equal(t, heartbeat, beatEvery(8))
-	require.Equal(t, listPeriod, listEvery(8))
+	require.Equal(t, minHeartbeatInterval, heartbeatInterval(8))
+	require.Equal(t, minListInterval, listInterval(8))
 }
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -9,7 +9,7 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// permits asks the fleet for permits. It implements forward.Permits.
+// permits requests permits from the fleet. It implements forward.Permits.
 type permits struct{ g *Gateway }
 
 // Permit implements forward.Permits.
@@ -17,8 +17,8 @@
 	return p.g.permits.Permit(ctx, r)
 }
 
-// permitted returns the daemons that keep limits together.
-func (m *members) permitted() []permit.Member {
+// permitMembers returns the daemons that share the limits of backend servers.
+func (m *members) permitMembers() []permit.Member {
 	all := m.All()
 	out := make([]permit.Member, len(all))
 	for i, other := range all {
@@ -27,12 +27,12 @@
 	return out
 }
 
-// permittedOrders makes reports and orders of the placement duty with permits where a
-// backend server has named a limit. It implements placer.Backends.
-type permittedOrders struct{ g *Gateway }
+// permittedBackends sends the placer's calls to backend servers, subject to permits for
+// backend servers that have announced a limit. It implements placer.Backends.
+type permittedBackends struct{ g *Gateway }
 
 // Report implements placer.Backends.
-func (o permittedOrders) Report(ctx context.Context, s *site.BackendServer) (forward.Report, error) {
+func (o permittedBackends) Report(ctx context.Context, s *site.BackendServer) (forward.Report, error) {
 	if err := o.g.forward.MayOrder(ctx, s.ID); err != nil {
 		return forward.Report{}, err
 	}
@@ -40,7 +40,7 @@
 }
 
 // Hold implements placer.Backends.
-func (o permittedOrders) Hold(ctx context.Context, s *site.BackendServer, layers site.Range, atOnce bool, after, fence uint64) error {
+func (o permittedBackends) Hold(ctx context.Context, s *site.BackendServer, layers site.Range, atOnce bool, after, fence uint64) error {
 	if err := o.g.forward.MayOrder(ctx, s.ID); err != nil {
 		return err
 	}
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -7,14 +7,15 @@
 	"github.com/go-kit/log/level"
 )
 
-// settingsPoll is the time between two looks at the settings: the platform may
-// change them without a signal.
-const settingsPoll = 3 * time.Second
+// settingsInterval is the time between two reads of the settings, which the platform
+// may change without a signal.
+const settingsInterval = 3 * time.Second
 
-// followSettings applies changed settings until ctx ends. Addresses and the
-// failure domain are fixed while a process runs; what may change is applied.
+// followSettings applies changed settings until ctx ends. Only the retry bounds and the
+// bound on keys may change while the process runs; the other settings, such as addresses
+// and the failure domain, are fixed.
 func (g *Gateway) followSettings(ctx context.Context) {
-	t := time.NewTicker(settingsPoll)
+	t := time.NewTicker(settingsInterval)
 	defer t.Stop()
 	last := g.set
 	for {
@@ -28,7 +29,7 @@
 		}
 		set, err := g.opts.Load()
 		if err != nil {
-			_ = level.Error(g.log).Log("msg", "settings not reloaded, the former ones stay in force", "err", err)
+			_ = level.Error(g.log).Log("msg", "settings not reloaded, keeping the previous ones", "err", err)
 			continue
 		}
 		if set == last && !signalled {
@@ -36,6 +37,6 @@
 		}
 		_ = level.Info(g.log).Log("msg", "settings reloaded", "changed", set != last, "signalled", signalled)
 		last = set
-		g.forward.SetBounds(set.RetryRatio, set.RetrySlack, keysFreshFor(set))
+		g.forward.SetBounds(set.RetryRatio, set.RetrySlack, keyFreshnessBound(set))
 	}
 }
--- a/gateway/requests_test.go
+++ b/gateway/requests_test.go
@@ -12,17 +12,17 @@
 	"github.com/snowspoke/snowspoke/platform/standin"
 )
 
-// plainWorld is a daemon before two plain backend servers.
-func plainWorld(t *testing.T) (*running, []*standin.Server) {
+// newPlainEnv starts a daemon with two plain backend servers.
+func newPlainEnv(t *testing.T) (*testDaemon, []*standin.Server) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	servers := w.servers("plain", "", "plain-1", "plain-2")
-	return w.daemon("daemon-1", nil).ready(t, 2), servers
+	env := newTestEnv(t)
+	env.putConfig()
+	servers := env.servers("plain", "", "plain-1", "plain-2")
+	return env.daemon("daemon-1", nil).ready(t, 2), servers
 }
 
-func TestRequestIsPassedOnUntouched(t *testing.T) {
-	d, servers := plainWorld(t)
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	d, servers := newPlainEnv(t)
 	a := d.call(t, call{method: "POST", path: "/once/a%20b?x=1&y=%2F", body: "the body",
 		header: map[string]string{"X-Own": "kept", "Snowspoke-Tenant": "forged", "Snowspoke-Hop-Count": "forged", "Connection": "close"}})
 	require.NoError(t, a.Err)
@@ -41,7 +41,7 @@
 }
 
 func TestRefusalsBeforeSending(t *testing.T) {
-	d, servers := plainWorld(t)
+	d, servers := newPlainEnv(t)
 	for name, c := range map[string]struct {
 		call   call
 		status int
@@ -55,10 +55,10 @@
 	require.Zero(t, totalRuns(servers))
 }
 
-func TestBeforeAnyConfigurationRequestsAreRefusedAsNotRun(t *testing.T) {
+func TestRequestsAreRefusedWithoutConfiguration(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	d := w.daemon("daemon-1", nil)
+	env := newTestEnv(t)
+	d := env.daemon("daemon-1", nil)
 	require.Eventually(t, func() bool {
 		return d.call(t, call{method: "GET", path: "/plain/"}).Status == http.StatusServiceUnavailable
 	}, 2*time.Second, 10*time.Millisecond)
@@ -68,17 +68,17 @@
 	require.NoError(t, resp.Body.Close())
 }
 
-// Callers come back within milliseconds of a daemon's start, before it has read the
-// store: they wait that moment instead of being refused once more.
-func TestRequestsWaitForADaemonThatStarts(t *testing.T) {
+// Requests that arrive before a starting daemon has read the store wait instead of being
+// refused.
+func TestRequestsWaitForStartingDaemon(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	servers := w.servers("plain", "", "plain-1")
-	d := w.daemon("daemon-1", nil)
+	env := newTestEnv(t)
+	servers := env.servers("plain", "", "plain-1")
+	d := env.daemon("daemon-1", nil)
 	answer := make(chan int, 1)
 	go func() { answer <- d.call(t, call{method: "GET", path: "/plain/"}).Status }()
 	time.Sleep(200 * time.Millisecond)
-	w.putConfig()
+	env.putConfig()
 	require.Equal(t, http.StatusOK, <-answer)
 	require.Equal(t, 1, totalRuns(servers))
 }
@@ -108,8 +108,8 @@
 		"safe, success without a signature at first": {"/plain/", standin.Unsealed, http.StatusOK, 2, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, servers := plainWorld(t)
-			// Both have the fault once: a request that may run again meets it at each.
+			d, servers := newPlainEnv(t)
+			// Both servers have the fault once, so a repeatable request hits it at each.
 			servers[0].Next(c.fault)
 			servers[1].Next(c.fault)
 			a := d.call(t, call{method: "POST", path: c.path, body: "x"})
@@ -127,7 +127,7 @@
 			if c.status == http.StatusOK {
 				require.Contains(t, a.Body, "ran x")
 			}
-			// Bytes that belong to no request never reach the next one.
+			// Surplus bytes of a response never reach the next request.
 			b := d.call(t, call{method: "POST", path: "/once/", body: "y", id: "req-3"})
 			if b.Status == http.StatusOK {
 				require.Contains(t, b.Body, "ran y")
@@ -136,8 +136,8 @@
 	}
 }
 
-func TestDeadBackendServerIsPassedOver(t *testing.T) {
-	d, servers := plainWorld(t)
+func TestDeadBackendServerIsSkipped(t *testing.T) {
+	d, servers := newPlainEnv(t)
 	servers[0].Kill()
 	for range 6 {
 		a := d.call(t, call{method: "GET", path: "/plain/"})
@@ -146,41 +146,41 @@
 	require.Equal(t, 6, len(servers[1].Runs()))
 }
 
-func TestCallerThatLeavesCancelsItsWork(t *testing.T) {
+func TestDisconnectedCallerCancelsItsRequest(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(1, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(1, 1)
 	heads[0].Events, heads[0].EveryGap = 1000, 5*time.Millisecond
-	d := w.daemon("daemon-1", nil).ready(t, 2)
-	ctx, leave := context.WithCancel(t.Context())
+	d := env.daemon("daemon-1", nil).ready(t, 2)
+	ctx, disconnect := context.WithCancel(t.Context())
 	go func() {
 		for totalRuns(heads) == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		leave()
+		disconnect()
 	}()
 	a := d.call(t, call{method: "POST", path: "/stream/", ctx: ctx})
 	require.Error(t, a.Err)
 	require.Eventually(t, func() bool { return d.forward.InFlight() == 0 }, 500*time.Millisecond, 5*time.Millisecond)
 }
 
-func TestTimeoutOfTheRouteIsAnswered(t *testing.T) {
+func TestRouteTimeoutEndsStream(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.config["routes"].([]map[string]any)[2]["timeoutMs"] = 300
-	w.putConfig()
-	heads, _ := w.pipeline(1, 1)
+	env := newTestEnv(t)
+	env.config["routes"].([]map[string]any)[2]["timeoutMs"] = 300
+	env.putConfig()
+	heads, _ := env.pipeline(1, 1)
 	heads[0].Events, heads[0].EveryGap = 1000, 10*time.Millisecond
-	d := w.daemon("daemon-1", nil).ready(t, 2)
+	d := env.daemon("daemon-1", nil).ready(t, 2)
 	began := time.Now()
 	a := d.call(t, call{method: "POST", path: "/stream/"})
 	require.Error(t, a.Err, "a stream that is cut must not look complete")
 	require.Less(t, time.Since(began), 700*time.Millisecond)
 }
 
-func TestRequestWithNoTimeLeftIsAnswered(t *testing.T) {
-	d, servers := plainWorld(t)
+func TestRequestWithoutTimeLeftIsAnswered(t *testing.T) {
+	d, servers := newPlainEnv(t)
 	a := d.call(t, call{method: "GET", path: "/plain/", header: map[string]string{"Snowspoke-Deadline-Ms": "5"}})
 	require.NoError(t, a.Err, "an answer, not a closed connection")
 	require.Equal(t, http.StatusGatewayTimeout, a.Status)
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -11,52 +11,53 @@
 	"github.com/go-kit/log/level"
 )
 
-// Times of a planned stop, from its beginning unless said otherwise.
 const (
-	// balancerMoves is how long the balancer may go on sending connections: it asks
-	// once a second and takes a daemon out after two misses.
-	balancerMoves = 2800 * time.Millisecond
-	// graceMargin is left of the grace for the end of the process.
+	// balancerDelay is how long the load balancer may go on sending connections after
+	// readiness fails. It checks once a second and removes a daemon after two failures.
+	balancerDelay = 2800 * time.Millisecond
+	// graceMargin is the part of the grace that is reserved for the end of the process.
 	graceMargin = 500 * time.Millisecond
-	// stopPoll is the pause between two looks at what is still running.
-	stopPoll = 50 * time.Millisecond
-	// quietFor is how long no caller may have sent a byte before the process ends.
-	quietFor = 300 * time.Millisecond
+	// stopPollInterval is the time between two checks for running requests.
+	stopPollInterval = 50 * time.Millisecond
+	// quietPeriod is how long no byte from a caller may have arrived before the process
+	// ends.
+	quietPeriod = 300 * time.Millisecond
 )
 
-// stage is how far a planned stop is.
+// stage is the progress of a planned stop.
 type stage int32
 
 const (
 	serving  stage = iota
-	closing        // answers close their connections
+	closing        // responses close their connections
 	refusing       // new requests are refused
 )
 
-// stop is the planned stop: readiness fails at once and the duty is given up;
-// connections end with their requests. Once the balancer has moved, connections
-// that rest are closed, and the process ends before the grace does.
-func (g *Gateway) stop(stopDuty context.CancelFunc) {
+// stop performs a planned stop. Readiness fails and the placement lease is released at
+// once; connections close with their responses. After balancerDelay idle connections are
+// closed and new requests are refused. It returns when no requests are left, and before
+// the grace is over.
+func (g *Gateway) stop(stopRoles context.CancelFunc) {
 	began := time.Now()
 	_ = level.Info(g.log).Log("msg", "stopping", "in_flight", g.forward.InFlight())
 	g.stage.Store(int32(closing))
-	stopDuty()
-	time.Sleep(balancerMoves)
-	g.conns.closeResting()
+	stopRoles()
+	time.Sleep(balancerDelay)
+	g.conns.closeIdle()
 	g.stage.Store(int32(refusing))
 	for time.Since(began) < g.set.Grace-graceMargin {
-		if g.conns.quiet(quietFor) {
+		if g.conns.quiet(quietPeriod) {
 			return
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
-	_ = level.Warn(g.log).Log("msg", "grace is over", "cut_off", g.forward.InFlight())
+	_ = level.Warn(g.log).Log("msg", "grace period is over", "cut_off", g.forward.InFlight())
 }
 
-// refuseLate closes connections with their answers once the daemon stops, and
-// refuses requests that come after the balancer has moved: a stream might not
-// end within the grace.
-func (g *Gateway) refuseLate(next http.Handler) http.Handler {
+// refuseWhenStopping closes connections with their responses once the daemon stops, and
+// refuses requests that arrive after balancerDelay, since a stream might not end within
+// the grace.
+func (g *Gateway) refuseWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		at := stage(g.stage.Load())
 		if at >= closing {
@@ -70,128 +71,129 @@
 	})
 }
 
-// callerConns follows the connections of callers: which of them rest, and when
-// a byte last came. It closes those that have rested for too long; the limit
-// comes with the configuration and may change, so it is not a setting of the
-// HTTP server.
+// callerConns tracks the connections of callers: which of them are idle, and when a byte
+// last arrived. It closes connections that are idle for too long. The limit comes from
+// the configuration and may change, so http.Server's IdleTimeout is not used.
 type callerConns struct {
-	mu     sync.Mutex
-	all    map[*heardConn]struct{}
-	active map[net.Conn]struct{} // a request is being read or answered
-	heard  atomic.Int64          // when a byte last came, in nanoseconds
+	mu       sync.Mutex
+	all      map[*trackedConn]struct{}
+	active   map[net.Conn]struct{} // a request is being read or answered
+	lastRead atomic.Int64          // when a byte last arrived, in Unix nanoseconds
 }
 
 func newCallerConns() *callerConns {
-	return &callerConns{all: map[*heardConn]struct{}{}, active: map[net.Conn]struct{}{}}
+	return &callerConns{all: map[*trackedConn]struct{}{}, active: map[net.Conn]struct{}{}}
 }
 
-// listen wraps a listener so that arriving bytes are noticed.
-func (c *callerConns) listen(l net.Listener) net.Listener { return heardListener{l, c} }
+// listen wraps a listener to track its connections.
+func (c *callerConns) listen(l net.Listener) net.Listener { return trackedListener{l, c} }
 
-type heardListener struct {
+type trackedListener struct {
 	net.Listener
 	conns *callerConns
 }
 
 // Accept implements net.Listener.
-func (l heardListener) Accept() (net.Conn, error) {
+func (l trackedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.conns.heard.Store(time.Now().UnixNano())
-	h := &heardConn{Conn: c, conns: l.conns, since: time.Now()}
+	l.conns.lastRead.Store(time.Now().UnixNano())
+	tc := &trackedConn{Conn: c, conns: l.conns, idleSince: time.Now()}
 	l.conns.mu.Lock()
 	defer l.conns.mu.Unlock()
-	l.conns.all[h] = struct{}{}
-	return h, nil
+	l.conns.all[tc] = struct{}{}
+	return tc, nil
 }
 
-// heardConn is a caller's connection that knows whether it rests. A byte that
-// arrives and the closing of a resting connection exclude each other: a request
-// that was read is never cut off by it.
-type heardConn struct {
+// trackedConn is a caller's connection that records since when it is idle. Reading a
+// byte and closing an idle connection exclude each other, so that a request that has
+// been read is never cut off.
+type trackedConn struct {
 	net.Conn
 	conns *callerConns
 
-	mu     sync.Mutex
-	since  time.Time // resting since then; zero while a request is on it
-	closed bool
+	mu        sync.Mutex
+	idleSince time.Time // zero while a request is in progress
+	closed    bool
 }
 
 // Read implements net.Conn.
-func (c *heardConn) Read(p []byte) (int, error) {
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 {
 		return n, err
 	}
-	c.conns.heard.Store(time.Now().UnixNano())
+	c.conns.lastRead.Store(time.Now().UnixNano())
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return 0, net.ErrClosed
 	}
-	c.since = time.Time{}
+	c.idleSince = time.Time{}
 	return n, err
 }
 
 // Close implements net.Conn.
-func (c *heardConn) Close() error {
+func (c *trackedConn) Close() error {
 	c.conns.mu.Lock()
 	delete(c.conns.all, c)
 	c.conns.mu.Unlock()
 	return c.Conn.Close()
 }
 
-func (c *heardConn) rest() {
+// markIdle marks the connection as idle from now on.
+func (c *trackedConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since = time.Now()
+	c.idleSince = time.Now()
 }
 
-// closeIfResting closes the connection if it has rested for so long.
-func (c *heardConn) closeIfResting(now time.Time, least time.Duration) {
+// closeIfIdle closes the connection if it has been idle for minIdle.
+func (c *trackedConn) closeIfIdle(now time.Time, minIdle time.Duration) {
 	c.mu.Lock()
-	resting := !c.since.IsZero() && now.Sub(c.since) >= least
-	c.closed = c.closed || resting
+	idle := !c.idleSince.IsZero() && now.Sub(c.idleSince) >= minIdle
+	c.closed = c.closed || idle
 	c.mu.Unlock()
-	if resting {
+	if idle {
 		_ = c.Close()
 	}
 }
 
-// note is the server's ConnState hook.
-func (c *callerConns) note(conn net.Conn, state http.ConnState) {
+// trackState is the server's ConnState hook.
+func (c *callerConns) trackState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.active, conn)
 	switch state {
 	case http.StateIdle:
-		if h, ok := conn.(*heardConn); ok {
-			h.rest()
+		if tc, ok := conn.(*trackedConn); ok {
+			tc.markIdle()
 		}
 	case http.StateActive:
 		c.active[conn] = struct{}{}
 	}
 }
 
-// closeResting closes the connections that rest now.
-func (c *callerConns) closeResting() { c.sweep(time.Now(), 0) }
+// closeIdle closes all idle connections.
+func (c *callerConns) closeIdle() { c.sweep(time.Now(), 0) }
 
-// quiet reports whether no request is being read or answered and no byte came
-// for a while.
+// quiet reports whether no request is being read or answered and no byte has arrived
+// for d.
 func (c *callerConns) quiet(d time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.active) == 0 && time.Since(time.Unix(0, c.heard.Load())) >= d
+	return len(c.active) == 0 && time.Since(time.Unix(0, c.lastRead.Load())) >= d
 }
 
-// idleSweep is the pause between two looks at idle connections.
-const idleSweep = time.Second
+// sweepInterval is the time between two checks for idle connections.
+const sweepInterval = time.Second
 
-// Run closes idle connections until ctx ends.
+// Run closes connections that are idle for longer than limit until ctx ends. A limit of
+// 0 disables it.
 func (c *callerConns) Run(ctx context.Context, limit func() time.Duration) {
-	t := time.NewTicker(idleSweep)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -205,14 +207,15 @@
 	}
 }
 
-func (c *callerConns) sweep(now time.Time, least time.Duration) {
+// sweep closes the connections that have been idle for minIdle.
+func (c *callerConns) sweep(now time.Time, minIdle time.Duration) {
 	c.mu.Lock()
-	conns := make([]*heardConn, 0, len(c.all))
-	for h := range c.all {
-		conns = append(conns, h)
+	conns := make([]*trackedConn, 0, len(c.all))
+	for tc := range c.all {
+		conns = append(conns, tc)
 	}
 	c.mu.Unlock()
-	for _, h := range conns {
-		h.closeIfResting(now, least)
+	for _, tc := range conns {
+		tc.closeIfIdle(now, minIdle)
 	}
 }
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -12,25 +12,25 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-func TestStreamIsServedFromEmptyCards(t *testing.T) {
+func TestStreamIsServedByInitiallyEmptyServers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	var cards []*standin.Server
+	env := newTestEnv(t)
+	env.putConfig()
+	var servers []*standin.Server
 	for _, id := range []string{"a", "b", "c", "d"} {
 		s := standin.NewServer(id)
 		t.Cleanup(s.Kill)
-		w.store.Set("servers", id, s.Record("model", "domain-1", "card"))
-		cards = append(cards, s)
+		env.store.Set("servers", id, s.Record("model", "domain-1", "card"))
+		servers = append(servers, s)
 	}
-	d := w.daemon("daemon-1", nil).ready(t, 4)
-	// Backend servers write their records when their layers change.
+	d := env.daemon("daemon-1", nil).ready(t, 4)
+	// Backend servers update their records when their layers change.
 	require.Eventually(t, func() bool {
 		ordered := 0
-		for _, s := range cards {
+		for _, s := range servers {
 			if len(s.Orders()) > 0 {
 				ordered++
-				w.store.Set("servers", s.ID, s.Record("model", "domain-1", "card"))
+				env.store.Set("servers", s.ID, s.Record("model", "domain-1", "card"))
 			}
 		}
 		return ordered >= 2
@@ -40,76 +40,75 @@
 	}, 3*time.Second, 50*time.Millisecond)
 }
 
-func TestStreamBreaksOffAndGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamResumesElsewhere(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(2, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(2, 1)
 	for _, h := range heads {
 		h.Events = 20
 	}
-	d := w.daemon("daemon-1", nil).ready(t, 3)
+	d := env.daemon("daemon-1", nil).ready(t, 3)
 	heads[0].Next(standin.BreakOff)
 	heads[1].Next(standin.BreakOff)
 	a := d.call(t, call{method: "POST", path: "/stream/"})
-	for a.Err != nil { // both broke off, and no third may be tried: the caller goes on
+	for a.Err != nil { // both broke off and no retry is left: the caller resumes
 		a = d.call(t, call{method: "POST", path: "/stream/", id: "req-2"})
 	}
 	require.Equal(t, http.StatusOK, a.Status)
 	require.Equal(t, events(1, 20), a.Body, "each event once, in order")
 }
 
-// A stream that stands still for over a second is not cut off when no retry is
-// left: it may go on.
-func TestSilentStreamIsKeptWithoutARetryLeft(t *testing.T) {
+// A stream that is silent for over a second is not cut off when no retry is left, since
+// it may continue.
+func TestSilentStreamIsKeptWithoutRetries(t *testing.T) {
 	t.Parallel()
 	a := slowStream(t, func(h *standin.Server) { h.Events, h.EveryGap = 3, 1400*time.Millisecond })
 	require.NoError(t, a.Err)
 	require.Equal(t, events(1, 3), a.Body)
 }
 
-// A stream that waits for its first event for over a second is served, late, when
-// no retry is left.
-func TestSlowFirstEventIsWaitedForWithoutARetryLeft(t *testing.T) {
+// A stream whose first event takes over a second is still served when no retry is left.
+func TestSlowFirstEventIsAwaitedWithoutRetries(t *testing.T) {
 	t.Parallel()
 	a := slowStream(t, func(h *standin.Server) { h.FirstGap = 1800 * time.Millisecond })
 	require.NoError(t, a.Err)
 	require.Equal(t, events(1, 5), a.Body)
 }
 
-// slowStream asks a daemon without any retries for a stream of slow heads.
+// slowStream requests a stream of slow heads from a daemon that allows no retries.
 func slowStream(t *testing.T, slow func(*standin.Server)) answer {
 	t.Helper()
-	w := newWorld(t)
-	w.config["routes"].([]map[string]any)[2]["timeoutMs"] = 8000
-	w.putConfig()
-	heads, _ := w.pipeline(2, 1)
+	env := newTestEnv(t)
+	env.config["routes"].([]map[string]any)[2]["timeoutMs"] = 8000
+	env.putConfig()
+	heads, _ := env.pipeline(2, 1)
 	for _, h := range heads {
 		slow(h)
 	}
-	d := w.daemon("daemon-1", func(s *site.Settings) { s.RetryRatio, s.RetrySlack = 0, 0 }).ready(t, 3)
+	d := env.daemon("daemon-1", func(s *site.Settings) { s.RetryRatio, s.RetrySlack = 0, 0 }).ready(t, 3)
 	return d.call(t, call{method: "POST", path: "/stream/", header: map[string]string{"Snowspoke-Deadline-Ms": "8000"}})
 }
 
-func TestStreamGoesOnAfterTheEventThatTheCallerHas(t *testing.T) {
+func TestStreamResumesAfterLastEventID(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(1, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(1, 1)
 	heads[0].Events = 9
-	d := w.daemon("daemon-1", nil).ready(t, 2)
+	d := env.daemon("daemon-1", nil).ready(t, 2)
 	a := d.call(t, call{method: "POST", path: "/stream/", header: map[string]string{"Last-Event-Id": "4"}})
 	require.NoError(t, a.Err)
 	require.Equal(t, events(5, 9), a.Body)
 }
 
-func TestStreamMovesAwayFromTheHopAtFault(t *testing.T) {
+func TestStreamIsRepathedAroundStalledHop(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, tails := w.pipeline(1, 2)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, tails := env.pipeline(1, 2)
 	heads[0].Events = 12
-	d := w.daemon("daemon-1", nil).ready(t, 3)
+	d := env.daemon("daemon-1", nil).ready(t, 3)
 	heads[0].Next(standin.StandStill)
 	go func() {
 		for len(heads[0].Runs()) == 0 {
@@ -131,22 +130,21 @@
 	require.Equal(t, "repath", heads[0].Orders()[0]["op"])
 }
 
-func TestStreamLeavesAHeadThatDies(t *testing.T) {
+func TestStreamResumesWhenItsHeadDies(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(2, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(2, 1)
 	for _, h := range heads {
 		h.Events, h.EveryGap = 60, 10*time.Millisecond
 	}
-	d := w.daemon("daemon-1", nil).ready(t, 3)
+	d := env.daemon("daemon-1", nil).ready(t, 3)
 	go func() {
 		for totalRuns(heads) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(100 * time.Millisecond)
-		// Only the head that the stream began at: while it is killed, the stream
-		// already goes on at the other one.
+		// Kill only the head that the stream began at.
 		began := slices.IndexFunc(heads, func(h *standin.Server) bool { return len(h.Runs()) > 0 })
 		heads[began].Kill()
 	}()
@@ -155,17 +153,17 @@
 	require.Equal(t, events(1, 60), a.Body)
 }
 
-// A stream that broke off is not cut off by refusals in quick succession: backend
-// servers that are full have room again after a while.
-func TestBegunStreamOutlastsRefusals(t *testing.T) {
+// A stream that broke off is not ended by refusals in quick succession, since saturated
+// backend servers regain capacity.
+func TestStartedStreamOutlastsRefusals(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(2, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(2, 1)
 	for _, h := range heads {
 		h.Events = 20
 	}
-	d := w.daemon("daemon-1", nil).ready(t, 3)
+	d := env.daemon("daemon-1", nil).ready(t, 3)
 	var full []standin.Fault
 	for range 40 {
 		full = append(full, standin.NotRun)
@@ -196,13 +194,13 @@
 	return false
 }
 
-func TestFailureInTheMiddleOfAStreamNeverLooksComplete(t *testing.T) {
+func TestBrokenStreamNeverLooksComplete(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
-	w.putConfig()
-	heads, _ := w.pipeline(1, 1)
+	env := newTestEnv(t)
+	env.putConfig()
+	heads, _ := env.pipeline(1, 1)
 	heads[0].Events = 20
-	d := w.daemon("daemon-1", nil).ready(t, 2)
+	d := env.daemon("daemon-1", nil).ready(t, 2)
 	heads[0].Next(standin.BreakOff, standin.Fail)
 	a := d.call(t, call{method: "POST", path: "/stream/"})
 	require.NoError(t, a.Err, "it fails once and then goes on")
@@ -214,10 +212,10 @@
 	heads[0].Next(fails...)
 	ran := len(heads[0].Runs())
 	a = d.call(t, call{method: "POST", path: "/stream/", id: "req-2"})
-	require.Error(t, a.Err, "nothing but its events may end it as complete")
+	require.Error(t, a.Err, "it must not look complete")
 	require.Equal(t, events(1, 2), a.Body)
 	require.LessOrEqual(t, len(heads[0].Runs())-ran, maxSendsOfAStream)
 }
 
-// maxSendsOfAStream is what forward allows a request in all.
+// maxSendsOfAStream is the number of sends that package forward allows for a request.
 const maxSendsOfAStream = 6
