--- a/gateway/planned_test.go
+++ b/gateway/planned_test.go
@@ -84,7 +84,7 @@
 	time.Sleep(300 * time.Millisecond)
 	env.store.SetTrouble(standin.Sound)
 	time.Sleep(700 * time.Millisecond)
-	require.Len(t, d.inv.View().Servers, 2, "kept for lapseGrace")
+	require.Len(t, d.inv.View().Servers, 2, "kept for missingGrace")
 	env.store.Set("servers", "plain-2", servers[1].Record("plain", "domain-1", ""))
 	require.Eventually(t, func() bool { return len(d.inv.View().Servers) == 1 }, 3*time.Second, 10*time.Millisecond)
 	require.NotNil(t, d.inv.View().Servers["plain-2"])
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -42,7 +42,7 @@
 	}
 
 	env.store.Restore(copied)
-	until := time.Now().Add(2500 * time.Millisecond) // longer than a watch and lapseGrace
+	until := time.Now().Add(2500 * time.Millisecond) // longer than a watch and missingGrace
 	for time.Now().Before(until) {
 		for _, r := range daemons {
 			v := r.inv.View()
--- a/inventory/era.go
+++ b/inventory/era.go
@@ -9,31 +9,30 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// A store that comes back from an older copy has lost what was written last. Those who
-// wrote it write it again, within a heartbeat or two. Until then the copy says less than
-// this daemon knows: a backend server that has left is there again, one that drains is
-// ready, one that has just registered is missing. What is known from before stands until
-// the store has had the time to tell it again.
+// A store that is restored from an older copy lacks the latest writes until their authors
+// repeat them, within a heartbeat or two. Until then the copy is behind the state that
+// this daemon knows: removed backend servers are present, draining ones are ready, new
+// ones are missing. The known state stays in force until settleDelay is over.
 
-// settleAfter is how long what was known before the store came back from a copy goes
-// before what the copy says. A record that is not written lapses after three heartbeats
-// of 1.2 s, so after it a record is one that its backend server has written since.
-const settleAfter = 5 * time.Second
+// settleDelay is how long the state known before a restore takes precedence over the
+// copy. A record expires after three missed heartbeats of 1.2 s, so any record that is
+// present after settleDelay was written since the restore.
+const settleDelay = 5 * time.Second
 
-// eraState is what an inventory keeps of the store's present era.
+// eraState is an inventory's state of the store's current era.
 type eraState struct {
-	// restored is where the history of the store's present era begins for this daemon:
-	// the lowest position at which it, or the daemon that it follows, has read the store
-	// in it. What was written up to there may come from the copy.
-	restored store.Position
-	settles  time.Time               // until then records of the copy are doubted, zero for never
-	doubted  map[string]ServerRecord // of the copy, older than what is known, by ID
-	stored   uint64                  // newest version of the configuration that the store has told in this era
+	// restored is the lowest position in the current era at which this daemon, or the one
+	// that it follows, has read the store. Records up to it may come from the copy.
+	restored    store.Position
+	settledAt   time.Time               // until then records of the copy are unconfirmed; zero if settled
+	unconfirmed map[string]ServerRecord // records of the copy that are older than the known ones, by ID
+	stored      uint64                  // newest version of the configuration read from the store in this era
 }
 
-func newEraState() eraState { return eraState{doubted: map[string]ServerRecord{}} }
+func newEraState() eraState { return eraState{unconfirmed: map[string]ServerRecord{}} }
 
-// noteEra takes a position at which the store was read. The caller holds the lock.
+// noteEra records a position at which the store was read, and starts settling if it is
+// of a new era. The caller holds i.mu.
 func (i *Inventory) noteEra(at store.Position) {
 	known := i.restored
 	switch {
@@ -44,33 +43,33 @@
 		i.restored = min(known, at)
 	default:
 		i.restored, i.stored, i.state = at, 0, nil
-		i.settles = time.Now().Add(settleAfter)
-		clear(i.doubted)
-		time.AfterFunc(settleAfter, func() { i.settle(at.Era()) })
+		i.settledAt = time.Now().Add(settleDelay)
+		clear(i.unconfirmed)
+		time.AfterFunc(settleDelay, func() { i.settle(at.Era()) })
 		_ = level.Warn(i.logger).Log("msg", "decision", "kind", "store restored", "era_before", known.Era(), "era", at.Era(),
 			"revision", at.Revision(), "known", len(i.servers), "gone", len(i.gone))
 	}
 }
 
-// isCurrent reports whether a daemon whose history of the store's era begins at a
-// position knows the present era.
+// isCurrent reports whether a daemon with this restored position knows the current era.
 func (i *Inventory) isCurrent(restored store.Position) bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return restored.Era() >= i.restored.Era()
 }
 
+// noteListed records that a full list was received.
 func (i *Inventory) noteListed() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.listed, i.state = true, nil
 }
 
-// doubts reports whether a record may come from the copy and be older than what is known
-// at a position of the era before, of a backend server that is there or, nil, has left.
-// That one drains is believed in any case.
-func (i *Inventory) doubts(r ServerRecord, known store.Position, server *site.BackendServer) bool {
-	if r.Gone || r.Err != nil || r.At > i.restored || !time.Now().Before(i.settles) {
+// isUnconfirmed reports whether a record may come from the copy and be older than the one
+// known at a position of the earlier era. server is the known backend server, nil if it
+// was removed. A record that starts draining always counts.
+func (i *Inventory) isUnconfirmed(r ServerRecord, known store.Position, server *site.BackendServer) bool {
+	if r.Gone || r.Err != nil || r.At > i.restored || !time.Now().Before(i.settledAt) {
 		return false
 	}
 	if r.At.Era() <= known.Era() {
@@ -83,47 +82,46 @@
 	return !news && r.At.Revision() < known.Revision()
 }
 
-// awaited reports whether a record that was written at a position and is missing now may
-// be written again.
-func (i *Inventory) awaited(at store.Position) bool {
-	return at.Era() < i.restored.Era() && time.Now().Before(i.settles)
+// isAwaited reports whether a record that was written at a position of an earlier era and
+// is missing now may be written again.
+func (i *Inventory) isAwaited(at store.Position) bool {
+	return at.Era() < i.restored.Era() && time.Now().Before(i.settledAt)
 }
 
-// settle takes what was doubted as the store tells it, and drops what was not written
-// again.
+// settle applies the unconfirmed records, and drops known ones that were not written
+// again in the era.
 func (i *Inventory) settle(era uint64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.restored.Era() != era {
-		return // the store came back from a copy once more
+		return // the store was restored again
 	}
-	i.settles = time.Time{}
-	doubted := i.doubted
-	i.doubted = map[string]ServerRecord{}
-	for _, r := range doubted {
+	i.settledAt = time.Time{}
+	unconfirmed := i.unconfirmed
+	i.unconfirmed = map[string]ServerRecord{}
+	for _, r := range unconfirmed {
 		i.takeRecord(r)
 	}
 	now, missing := time.Now(), 0
 	for id, r := range i.servers {
 		if r.at.Era() < era {
-			i.lapseOne(id, 0, now)
+			i.markMissing(id, 0, now)
 			missing++
 		}
 	}
-	_ = level.Info(i.logger).Log("msg", "decision", "kind", "store settled", "era", era, "doubted", len(doubted), "missing", missing)
+	_ = level.Info(i.logger).Log("msg", "decision", "kind", "store settled", "era", era, "doubted", len(unconfirmed), "missing", missing)
 	i.publishServers()
 }
 
-// noteStored keeps the newest version of the configuration that the store has told.
+// noteStored records the newest version of the configuration read from the store.
 func (i *Inventory) noteStored(items []ConfigRecord) {
 	for _, c := range items {
 		i.stored = max(i.stored, c.Config.Version)
 	}
 }
 
-// storeBehind reports whether the store, having come back from a copy, lacks the
-// configuration in force: its answers are no proof then that there is no newer one, since
-// it may lack that as well.
+// storeBehind reports whether the store lacks the configuration in force after a restore.
+// Then its answers do not prove that no newer configuration exists.
 func (i *Inventory) storeBehind(inForce *site.Config) bool {
 	return inForce != nil && i.stored < inForce.Version
 }
--- a/inventory/feed.go
+++ b/inventory/feed.go
@@ -1,6 +1,6 @@
-// Package inventory keeps what a daemon knows of its site: the configuration in
-// force and the backend servers that exist, with how fresh that knowledge is. It
-// follows the platform's store by lists and watches.
+// Package inventory caches the configuration in force and the existing backend servers,
+// and tracks how fresh that state is. It follows the platform's store by lists and
+// watches.
 package inventory
 
 import (
@@ -11,8 +11,8 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Read is the answer to a list or to a watch: items and the store's position,
-// from which the next watch goes on.
+// Read is the result of a list or a watch: items, and the store's position from which the
+// next watch continues.
 type Read[T any] struct {
 	Items []T
 	At    store.Position
@@ -20,30 +20,29 @@
 
 // ConfigRecord is one version of the configuration.
 type ConfigRecord struct {
-	Raw    []byte // as it lies in the store
+	Raw    []byte // as stored
 	Config *site.Config
 }
 
-// ServerRecord is the record of a backend server, or that it is gone.
+// ServerRecord is the record of a backend server, or its removal.
 type ServerRecord struct {
 	ID     string
 	At     store.Position // of its last change
 	Gone   bool
-	Raw    []byte              // as it lies in the store
+	Raw    []byte              // as stored
 	Server *site.BackendServer // nil when gone or invalid
 	Err    error               // why the record is invalid
 }
 
-// Feed reads the platform's store. Lists are linearizable; a watch returns as
-// soon as there is a change, or with none when the wait is over. Errors are the
-// sentinels of package store; a watch from an era that is over fails with
-// store.ErrRestored.
+// Feed reads the platform's store. Lists are linearizable. A watch returns as soon as
+// there is a change, or without one when wait is over. Errors are the sentinels of
+// package store; a watch from an earlier era fails with store.ErrRestored.
 type Feed interface {
 	Config(ctx context.Context) (Read[ConfigRecord], error)
 	ConfigChanges(ctx context.Context, since store.Position, wait time.Duration) (Read[ConfigRecord], error)
 	Servers(ctx context.Context) (Read[ServerRecord], error)
 	ServerChanges(ctx context.Context, since store.Position, wait time.Duration) (Read[ServerRecord], error)
-	// DecodeConfig and DecodeServer decode what lies in the store.
+	// DecodeConfig and DecodeServer decode stored objects.
 	DecodeConfig(raw []byte) (*site.Config, error)
 	DecodeServer(id string, raw []byte) (*site.BackendServer, error)
 }
--- a/inventory/follow.go
+++ b/inventory/follow.go
@@ -15,27 +15,27 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Follow follows the store itself until ctx ends. The pause after failed calls is first,
-// then twice as long each time until longest, varied by half.
+// Follow follows the store until ctx ends. The pause after failed calls starts at first
+// and doubles up to longest, with jitter of one half.
 func (i *Inventory) Follow(ctx context.Context, first, longest time.Duration) {
-	defer i.forgetHeard()
+	defer i.clearLastContact()
 	var wg sync.WaitGroup
 	suspect := make(chan struct{}, 1)
 	listServers := func() {
 		select {
 		case suspect <- struct{}{}:
-		default: // the other follower knows already
+		default: // already pending
 		}
 	}
-	inReach := newGate()
+	reachable := newGate()
 	wg.Go(func() {
 		follow(ctx, &follower[ConfigRecord]{
-			name: "configuration", logger: i.logger, first: first, longest: longest, wait: configWait, gather: configGather, list: i.feed.Config, watch: i.feed.ConfigChanges,
+			name: "configuration", logger: i.logger, first: first, longest: longest, watchTimeout: configWatchTimeout, batchDelay: configBatchDelay, list: i.feed.Config, watch: i.feed.ConfigChanges,
 			take: func(r Read[ConfigRecord], _ bool, fresh time.Time) { i.takeConfig(r, fresh) },
-			back: inReach.open,
+			back: reachable.open,
 			lost: func() {
-				i.forgetHeard()
-				inReach.shut()
+				i.clearLastContact()
+				reachable.shut()
 				listServers()
 			},
 			restored: listServers,
@@ -43,41 +43,41 @@
 	})
 	wg.Go(func() {
 		follow(ctx, &follower[ServerRecord]{
-			name: "backend servers", logger: i.logger, first: first, longest: longest, wait: serverWait, gather: gather, suspect: suspect,
-			list: i.feed.Servers, watch: i.feed.ServerChanges, before: inReach.await, lost: func() {}, back: func() {},
+			name: "backend servers", logger: i.logger, first: first, longest: longest, watchTimeout: serverWatchTimeout, batchDelay: serverBatchDelay, suspect: suspect,
+			list: i.feed.Servers, watch: i.feed.ServerChanges, before: reachable.await, lost: func() {}, back: func() {},
 			take: func(r Read[ServerRecord], full bool, _ time.Time) { i.takeServers(r.At, r.Items, full) },
 		})
 	})
 	wg.Wait()
 }
 
-// follower lists a kind and then watches it.
+// follower lists objects of a kind and then watches them.
 type follower[T any] struct {
-	name    string
-	logger  log.Logger
-	wait    time.Duration // of a watch
-	gather  time.Duration // pause after changes
-	first   time.Duration // pause after the first failed call
-	longest time.Duration // pause after failed calls
-	suspect <-chan struct{}
-	list    func(context.Context) (Read[T], error)
-	watch   func(context.Context, store.Position, time.Duration) (Read[T], error)
-	// take applies what was read; nothing newer existed at fresh.
-	take  func(r Read[T], full bool, fresh time.Time)
-	lost  func() // called when reads begin to fail
-	back  func() // called when one is answered, at first and after lost
-	away  bool
-	heard bool // a read was answered
-	// before is called before each read, nil for nothing to wait for.
+	name         string
+	logger       log.Logger
+	watchTimeout time.Duration   // of a watch
+	batchDelay   time.Duration   // pause after changes
+	first        time.Duration   // pause after the first failed call
+	longest      time.Duration   // longest pause after failed calls
+	suspect      <-chan struct{} // ends a watch, since the store may be lost; may be nil
+	list         func(context.Context) (Read[T], error)
+	watch        func(context.Context, store.Position, time.Duration) (Read[T], error)
+	// take applies a read; nothing newer existed at fresh.
+	take     func(r Read[T], full bool, fresh time.Time)
+	lost     func() // called when reads begin to fail
+	back     func() // called at the first successful read and at the first after lost
+	isLost   bool
+	answered bool // a read has succeeded
+	// before is called before each read. It may block, and may be nil.
 	before func(context.Context)
-	// restored is called when a read shows that the store has come back from an older
-	// copy, nil for nothing to do.
+	// restored is called when a read shows that the store was restored from an older copy.
+	// It may be nil.
 	restored func()
 	era      uint64 // of the last answer
 }
 
-// follow runs a follower until ctx ends. After a failed call it lists again,
-// since entries may have lapsed unseen.
+// follow runs a follower until ctx ends. After a failed call it lists again, since entries
+// may have expired in the meantime.
 func follow[T any](ctx context.Context, f *follower[T]) {
 	pause := newPause(f.first, f.longest)
 	at := store.Position(0)
@@ -89,27 +89,27 @@
 		r, fresh, err := f.read(ctx, at)
 		if err != nil {
 			at = 0
-			f.note(err)
+			f.noteResult(err)
 			wait.For(ctx, pause.NextBackOff())
 			continue
 		}
 		f.noteEra(r.At.Era())
-		f.note(nil)
+		f.noteResult(nil)
 		pause.Reset()
 		f.take(r, full, fresh)
 		at = max(at, r.At)
 		if len(r.Items) > 0 {
-			wait.For(ctx, f.gather)
+			wait.For(ctx, f.batchDelay)
 		}
 	}
 }
 
-// errSuspect ends a watch because another read of the store failed.
-var errSuspect = errors.New("inventory: the store may be lost")
+// errSuspect is the cause when a watch is canceled because another read failed.
+var errSuspect = errors.New("inventory: store may be lost")
 
-// read makes one list or watch. A watch that was answered without changes after
-// its whole wait proves that there were none until then; any other answer only
-// that there were none when it was asked for.
+// read performs a list, or a watch if at is set. A watch that returns without changes
+// after its full wait proves that there were none until watchMargin before its end; any
+// other answer is fresh as of when it was sent.
 func (f *follower[T]) read(ctx context.Context, at store.Position) (r Read[T], fresh time.Time, err error) {
 	sent := boottime.Now()
 	if at == 0 {
@@ -129,40 +129,41 @@
 			}
 		}()
 	}
-	r, err = f.watch(wctx, at, f.wait)
-	if err == nil && len(r.Items) == 0 && boottime.Since(sent) >= f.wait {
-		return r, sent.Add(f.wait - watchDoubt), nil
+	r, err = f.watch(wctx, at, f.watchTimeout)
+	if err == nil && len(r.Items) == 0 && boottime.Since(sent) >= f.watchTimeout {
+		return r, sent.Add(f.watchTimeout - watchMargin), nil
 	}
 	return r, sent, err
 }
 
-// note logs when the store is lost and when it is back.
-func (f *follower[T]) note(err error) {
+// noteResult logs the loss and the return of the store, and calls lost and back.
+func (f *follower[T]) noteResult(err error) {
 	switch {
 	case errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrRestored):
-		_ = level.Info(f.logger).Log("msg", "store is listed again", "of", f.name, "err", err)
-	case err != nil && !f.away:
-		f.away = true
+		_ = level.Info(f.logger).Log("msg", "listing the store again", "of", f.name, "err", err)
+	case err != nil && !f.isLost:
+		f.isLost = true
 		f.lost()
 		_ = level.Warn(f.logger).Log("msg", "store lost", "of", f.name, "err", err)
-	case err == nil && f.away:
-		f.away = false
+	case err == nil && f.isLost:
+		f.isLost = false
 		f.back()
 		_ = level.Info(f.logger).Log("msg", "store back", "of", f.name)
-	case err == nil && !f.heard:
+	case err == nil && !f.answered:
 		f.back()
 	}
-	f.heard = f.heard || err == nil
+	f.answered = f.answered || err == nil
 }
 
-// noteEra keeps the era of an answer.
+// noteEra records the era of an answer, and calls restored if it is a later one.
 func (f *follower[T]) noteEra(era uint64) {
-	if f.heard && era > f.era && f.restored != nil {
+	if f.answered && era > f.era && f.restored != nil {
 		f.restored()
 	}
 	f.era = era
 }
 
+// newPause returns an exponential backoff.
 func newPause(first, longest time.Duration) *backoff.ExponentialBackOff {
 	p := backoff.NewExponentialBackOff()
 	p.InitialInterval = first
@@ -171,16 +172,16 @@
 	return p
 }
 
-// gate holds one follower back while another finds the store away: one that looks
-// for it is enough. It is safe for concurrent use.
+// gate blocks one follower while another has no contact with the store, so that only one
+// retries. It is safe for concurrent use.
 type gate struct {
 	mu     sync.Mutex
 	opened chan struct{} // closed while the gate is open
 	isOpen bool
 }
 
-// newGate returns a gate that is shut: a follower waits until the other one has heard
-// from the store for the first time, too.
+// newGate returns a shut gate, so that a follower also waits for the first contact of the
+// other one.
 func newGate() *gate { return &gate{opened: make(chan struct{})} }
 
 func (g *gate) open() {
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -14,31 +14,30 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Periods of following the store.
 const (
-	// configWait is how long a watch of the configuration waits for a change. An
-	// answer without one shows that the store is in reach and, after watchDoubt,
-	// that the configuration is fresh. Other daemons leave this one when it has not
-	// heard from the store for a little longer than this wait.
-	configWait = 900 * time.Millisecond
-	// configGather is the pause after a change before the next watch of the configuration:
-	// of twenty versions a second ten are read, and each read is decoded once.
-	configGather = 100 * time.Millisecond
-	// serverWait is the same for backend servers. It is longer, since a lost store
-	// shows at the watch of the configuration first.
-	serverWait = 9 * time.Second
-	// gather is the pause after changes before the next watch of backend servers,
-	// so that changes that come together take one call.
-	gather = 250 * time.Millisecond
-	// watchDoubt is taken off the time of an answer without changes: a store that
-	// is about to drop its history may hold changes back for a second.
-	watchDoubt = time.Second
-	// lapseGrace is how long a record that is missing after an outage of the store
-	// is kept: living backend servers are back within two seconds.
-	lapseGrace = 1800 * time.Millisecond
+	// configWatchTimeout is how long a watch of the configuration waits for a change. An
+	// answer without one shows that the store is reachable and that the configuration was
+	// fresh watchMargin before. Followers leave this daemon when its last contact with the
+	// store is older than a little more than this timeout.
+	configWatchTimeout = 900 * time.Millisecond
+	// configBatchDelay is the pause after a change before the next watch of the
+	// configuration. It bounds how many versions a second are read and decoded.
+	configBatchDelay = 100 * time.Millisecond
+	// serverWatchTimeout is the same for backend servers. It is longer, since the watch of
+	// the configuration detects a lost store.
+	serverWatchTimeout = 9 * time.Second
+	// serverBatchDelay is the pause after a change before the next watch of backend
+	// servers, so that simultaneous changes take one call.
+	serverBatchDelay = 250 * time.Millisecond
+	// watchMargin is subtracted from the time of an answer without changes, since a store
+	// that is about to compact its history may delay changes for a second.
+	watchMargin = time.Second
+	// missingGrace is how long a record that is missing after an outage of the store is
+	// kept. Live backend servers write theirs again within two seconds.
+	missingGrace = 1800 * time.Millisecond
 )
 
-// View is what is known at one moment. It is immutable.
+// View is a snapshot of the known state. It is immutable.
 type View struct {
 	Config  *site.Config // nil until the first one arrived
 	Servers map[string]*site.BackendServer
@@ -46,7 +45,7 @@
 	byService map[string][]*site.BackendServer
 }
 
-// NewView returns a view of backend servers, by ID.
+// NewView returns a view of a configuration and of backend servers by ID.
 func NewView(c *site.Config, servers map[string]*site.BackendServer) *View {
 	v := &View{Config: c, Servers: servers, byService: map[string][]*site.BackendServer{}}
 	for _, s := range servers {
@@ -55,7 +54,7 @@
 	return v
 }
 
-// withConfig returns the same backend servers with another configuration.
+// withConfig returns a view of the same backend servers with another configuration.
 func (v *View) withConfig(c *site.Config) *View {
 	return &View{Config: c, Servers: v.Servers, byService: v.byService}
 }
@@ -70,57 +69,56 @@
 	logger log.Logger
 	view   atomic.Pointer[View]
 
-	mu        sync.Mutex
-	servers   map[string]record
-	byAddress map[string]string // IDs of servers by their address
-	fresh     time.Time         // until when no newer configuration existed, surely
-	heard     time.Time         // when the store last answered this daemon
-	notify    chan struct{}
+	mu          sync.Mutex
+	servers     map[string]record
+	byAddress   map[string]string // IDs of servers by their address
+	fresh       time.Time         // up to then no newer configuration existed
+	lastContact time.Time         // when the store last answered this daemon, zero if it is lost
+	notify      chan struct{}
 
-	listed    bool            // a full list of backend servers has come
-	rawConfig []byte          // of the configuration in force
-	state     *State          // as passed on, nil after a change
-	gone      map[string]tomb // backend servers that left, by ID
+	listed    bool                 // a full list of backend servers was received
+	rawConfig []byte               // of the configuration in force
+	state     *State               // cached result of State, nil after a change
+	gone      map[string]tombstone // removed backend servers, by ID
 
 	eraState
 }
 
-// tomb remembers a backend server that left, so that an older word on it does
-// not bring it back. A record written after it counts: one that lapsed in an
-// outage of the store comes back.
-type tomb struct {
+// tombstone marks a removed backend server, so that an older record does not bring it
+// back. A later record does: one that expired in an outage of the store is written again.
+type tombstone struct {
 	at    store.Position
 	since time.Time
 }
 
-// whateverKnown is the position of the word that a backend server is gone which another
-// daemon says: it comes after whatever is known of it.
-const whateverKnown = ^store.Position(0)
+// maxPosition is the position of a removal that another daemon reports: it supersedes any
+// known record.
+const maxPosition = ^store.Position(0)
 
-// tombKept is how long a tomb is kept: longer than any source of old records
-// goes without reading the store.
-const tombKept = 2 * time.Minute
+// tombstoneTTL is longer than any source of old records goes without reading the store.
+const tombstoneTTL = 2 * time.Minute
 
+// record is the known record of a backend server.
 type record struct {
-	server   *site.BackendServer
-	raw      []byte
-	at       store.Position // of its last change
-	lapsedAt time.Time      // missing since an outage, zero while it is there
-	lapsedIn store.Position // of the list that lacked it
+	server       *site.BackendServer
+	raw          []byte
+	at           store.Position // of its last change
+	missingSince time.Time      // missing since an outage, zero while it is there
+	missingAt    store.Position // of the list that lacked it, 0 if unknown
 }
 
-// New returns an empty inventory; Follow fills it, or Apply does.
+// New returns an empty inventory. Follow and Apply fill it.
 func New(feed Feed, logger log.Logger) *Inventory {
-	i := &Inventory{feed: feed, logger: logger, servers: map[string]record{}, byAddress: map[string]string{}, gone: map[string]tomb{}, eraState: newEraState(), notify: make(chan struct{})}
+	i := &Inventory{feed: feed, logger: logger, servers: map[string]record{}, byAddress: map[string]string{}, gone: map[string]tombstone{}, eraState: newEraState(), notify: make(chan struct{})}
 	i.view.Store(NewView(nil, map[string]*site.BackendServer{}))
 	return i
 }
 
-// View returns what is known now.
+// View returns the current view.
 func (i *Inventory) View() *View { return i.view.Load() }
 
-// Complete reports whether both a configuration and a full list of the backend
-// servers have come.
+// Complete reports whether both a configuration and a full list of the backend servers
+// were received.
 func (i *Inventory) Complete() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -134,8 +132,8 @@
 	return i.notify
 }
 
-// Age returns how old the newest proof is that no newer configuration exists. Its times
-// are those of package boottime.
+// Age returns the age of the newest proof that no newer configuration exists. Times are
+// those of package boottime.
 func (i *Inventory) Age(now time.Time) time.Duration {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -143,22 +141,21 @@
 }
 
 // Heard returns when the store last answered this daemon, on the clock of package
-// boottime; the zero time says that
-// it is lost or not followed.
+// boottime. It is zero while the store is lost or not followed.
 func (i *Inventory) Heard() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.heard
+	return i.lastContact
 }
 
-func (i *Inventory) forgetHeard() {
+func (i *Inventory) clearLastContact() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.heard = time.Time{}
+	i.lastContact = time.Time{}
 }
 
-// takeConfig takes versions of the configuration; fresh is the zero time unless they
-// are what the store itself answered.
+// takeConfig applies versions of the configuration. fresh is zero unless they were read
+// from the store itself.
 func (i *Inventory) takeConfig(r Read[ConfigRecord], fresh time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -171,7 +168,7 @@
 	}
 	if !fresh.IsZero() {
 		i.noteEra(r.At)
-		i.heard = boottime.Now()
+		i.lastContact = boottime.Now()
 		i.noteStored(r.Items)
 		if fresh.After(i.fresh) && !i.storeBehind(newest.Config) {
 			i.fresh = fresh
@@ -185,10 +182,9 @@
 	i.publish(old.withConfig(newest.Config))
 }
 
-// takeServers applies records as they were read at a position, or by a daemon whose
-// history of the store's era begins there. A full list also tells which records are gone:
-// those of a first list or of a calm time are dropped at once, those that an
-// outage may have made lapse after a grace.
+// takeServers applies records that were read at a position, or that come from a daemon
+// whose history of the store's era begins there. Records that a full list lacks are
+// dropped after missingGrace, since they may have expired in an outage.
 func (i *Inventory) takeServers(at store.Position, items []ServerRecord, full bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -205,19 +201,20 @@
 	i.logChanged(changed)
 	if full {
 		i.listed = true
-		i.lapse(at, listed, now)
-		maps.DeleteFunc(i.doubted, func(id string, _ ServerRecord) bool { return !listed[id] })
+		i.markUnlisted(at, listed, now)
+		maps.DeleteFunc(i.unconfirmed, func(id string, _ ServerRecord) bool { return !listed[id] })
 	}
 	i.publishServers()
 }
 
-// linesApart is how many backend servers that change together have a line each: at the
-// start of 295 daemons all 222 had two lines at each, 129,210 in all.
-const linesApart = 8
+// maxServerLines is the number of backend servers that change together up to which each
+// is logged in a line of its own.
+const maxServerLines = 8
 
-// logChanged writes which backend servers are new, or drain or hold other layers now.
+// logChanged logs backend servers that are new, or whose draining state or layers have
+// changed.
 func (i *Inventory) logChanged(changed []*site.BackendServer) {
-	if len(changed) > linesApart {
+	if len(changed) > maxServerLines {
 		_ = level.Info(i.logger).Log("msg", "backend servers", "changed", len(changed), "known", len(i.servers))
 		return
 	}
@@ -227,38 +224,38 @@
 	}
 }
 
-// takeRecord applies a record, and reports whether its backend server is new, or drains
-// or holds other layers than before.
+// takeRecord applies a record. It reports whether the backend server is new, or its
+// draining state or layers have changed.
 func (i *Inventory) takeRecord(r ServerRecord) (changed bool) {
 	old, known := i.servers[r.ID]
-	left, isGone := i.gone[r.ID]
+	removed, isGone := i.gone[r.ID]
 	switch {
 	case known && r.Server != nil && old.server.Incarnation.Newer(r.Server.Incarnation):
-		return false // of the life before, which has ended
-	case known && r.At < old.at || isGone && !r.Gone && r.At <= left.at:
-		return false // an older word on it
-	case known && i.doubts(r, old.at, old.server) || isGone && i.doubts(r, left.at, nil):
-		i.doubted[r.ID] = r
+		return false // of an earlier incarnation
+	case known && r.At < old.at || isGone && !r.Gone && r.At <= removed.at:
+		return false // an older record
+	case known && i.isUnconfirmed(r, old.at, old.server) || isGone && i.isUnconfirmed(r, removed.at, nil):
+		i.unconfirmed[r.ID] = r
 		return false
 	}
-	delete(i.doubted, r.ID)
+	delete(i.unconfirmed, r.ID)
 	switch {
 	case known && !r.Gone && r.At == old.at:
-		old.lapsedAt = time.Time{}
+		old.missingSince = time.Time{}
 		i.servers[r.ID] = old
 	case r.Gone:
 		if known {
-			if r.At != whateverKnown {
+			if r.At != maxPosition {
 				old.at = r.At
 			}
-			i.bury(r.ID, old)
+			i.remove(r.ID, old)
 			_ = level.Info(i.logger).Log("msg", "backend server gone", "id", r.ID, "address", old.server.Address)
 		}
 	case r.Err != nil:
 		i.refuse(r, old, known)
 	default:
 		if known && old.server.ID != r.Server.ID {
-			i.logReborn(old.server, r.Server.Incarnation)
+			i.logRestarted(old.server, r.Server.Incarnation)
 		}
 		i.put(r.ID, record{server: r.Server, raw: r.Raw, at: r.At})
 		return !known || old.server.Draining != r.Server.Draining || old.server.Held != r.Server.Held
@@ -266,20 +263,20 @@
 	return false
 }
 
-// refuse drops a record that is not a backend server's, and with it what was known under
-// its name: the earlier record has been written over.
+// refuse drops an invalid record, and the earlier record of that name that it has
+// replaced.
 func (i *Inventory) refuse(r ServerRecord, old record, known bool) {
 	old.at = r.At
 	if known {
-		i.bury(r.ID, old)
+		i.remove(r.ID, old)
 	} else {
-		i.gone[r.ID] = tomb{at: r.At, since: time.Now()}
+		i.gone[r.ID] = tombstone{at: r.At, since: time.Now()}
 	}
 	_ = level.Error(i.logger).Log("msg", "record refused", "id", r.ID, "revision", r.At, "was_used", known, "err", r.Err)
 }
 
-// NoteReborn takes the word of a backend server that it has started again, which its
-// record may not tell yet: what was known under its name was of its life before.
+// NoteReborn applies a backend server's report that it has restarted, which its record
+// may not show yet. The state of the earlier incarnation is discarded.
 func (i *Inventory) NoteReborn(as site.Incarnation) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -287,18 +284,18 @@
 	if !known || !as.Newer(r.server.Incarnation) {
 		return
 	}
-	i.logReborn(r.server, as)
+	i.logRestarted(r.server, as)
 	r.server = r.server.Reborn(as)
 	i.servers[as.Name] = r
 	i.publishServers()
 }
 
-func (i *Inventory) logReborn(old *site.BackendServer, as site.Incarnation) {
+func (i *Inventory) logRestarted(old *site.BackendServer, as site.Incarnation) {
 	_ = level.Info(i.logger).Log("msg", "backend server started again", "id", as.ID(), "before", old.ID, "address", old.Address)
 }
 
-// put keeps a record, and no other at its address: of two incarnations the one
-// that was written last is there.
+// put stores a record. Of two records with the same address it keeps the one that was
+// written last.
 func (i *Inventory) put(id string, r record) {
 	if before, known := i.servers[id]; known && i.byAddress[before.server.Address] == id {
 		delete(i.byAddress, before.server.Address)
@@ -309,65 +306,66 @@
 	if !taken || other == id {
 		return
 	}
-	left := other
+	removed := other
 	if i.servers[other].at > r.at {
-		left = id
+		removed = id
 	}
-	i.bury(left, i.servers[left])
+	i.remove(removed, i.servers[removed])
 	i.byAddress[address] = id
-	if left == id {
+	if removed == id {
 		i.byAddress[address] = other
 	}
-	_ = level.Info(i.logger).Log("msg", "backend server gone", "id", left, "address", address, "reason", "another incarnation has its address")
+	_ = level.Info(i.logger).Log("msg", "backend server gone", "id", removed, "address", address, "reason", "another incarnation has its address")
 }
 
-// bury drops a record and remembers that it is gone.
-func (i *Inventory) bury(id string, r record) {
+// remove replaces a record with a tombstone.
+func (i *Inventory) remove(id string, r record) {
 	delete(i.servers, id)
 	if i.byAddress[r.server.Address] == id {
 		delete(i.byAddress, r.server.Address)
 	}
 	now := time.Now()
-	i.gone[id] = tomb{at: r.at, since: now}
+	i.gone[id] = tombstone{at: r.at, since: now}
 	for other, t := range i.gone {
-		if now.Sub(t.since) > tombKept {
+		if now.Sub(t.since) > tombstoneTTL {
 			delete(i.gone, other)
 		}
 	}
 }
 
-// lapse marks the records that a full list lacks and drops them after a grace.
-func (i *Inventory) lapse(at store.Position, listed map[string]bool, now time.Time) {
+// markUnlisted marks the records that a full list lacks. They are dropped after missingGrace.
+func (i *Inventory) markUnlisted(at store.Position, listed map[string]bool, now time.Time) {
 	for id, r := range i.servers {
-		if !listed[id] && !i.awaited(r.at) {
-			i.lapseOne(id, at, now)
+		if !listed[id] && !i.isAwaited(r.at) {
+			i.markMissing(id, at, now)
 		}
 	}
 }
 
-// lapseOne marks one record that a list at a position lacks, or 0 where that is not known.
-func (i *Inventory) lapseOne(id string, at store.Position, now time.Time) {
+// markMissing marks a record that a list at a position lacks; at is 0 if the position is
+// unknown.
+func (i *Inventory) markMissing(id string, at store.Position, now time.Time) {
 	r, known := i.servers[id]
-	if !known || !r.lapsedAt.IsZero() {
+	if !known || !r.missingSince.IsZero() {
 		return
 	}
-	r.lapsedAt, r.lapsedIn = now, at
+	r.missingSince, r.missingAt = now, at
 	i.servers[id] = r
 	i.state = nil
-	time.AfterFunc(lapseGrace, func() { i.dropLapsed(id) })
+	time.AfterFunc(missingGrace, func() { i.dropMissing(id) })
 }
 
-func (i *Inventory) dropLapsed(id string) {
+func (i *Inventory) dropMissing(id string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	r, ok := i.servers[id]
-	if !ok || r.lapsedAt.IsZero() {
+	if !ok || r.missingSince.IsZero() {
 		return
 	}
-	// What was written up to the list is over, also what was never heard of here: a copy
-	// from before the list may have it.
-	r.at = max(r.at, r.lapsedIn)
-	i.bury(id, r)
+	// The removal supersedes everything written up to the list, also records that were
+	// never received: a restored copy may have them.
+	r.at = max(r.at, r.missingAt)
+	i.remove(id, r)
 	_ = level.Info(i.logger).Log("msg", "backend server gone", "id", id, "address", r.server.Address, "reason", "record not back after an outage")
 	i.publishServers()
 }
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -19,7 +19,7 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// plainFeed decodes records that are the JSON of our own types.
+// plainFeed decodes records from JSON of the types of package site.
 type plainFeed struct{ Feed }
 
 func (plainFeed) DecodeConfig(raw []byte) (*site.Config, error) {
@@ -41,11 +41,11 @@
 
 func full(servers map[string]Entry) Update { return Update{Full: true, Servers: servers} }
 
-func TestOlderSourceDoesNotBringBackWhatIsGone(t *testing.T) {
+func TestOlderSourceDoesNotRestoreRemovedServers(t *testing.T) {
 	i := newTest()
 	i.Apply(full(map[string]Entry{"a": entry(5)}))
 	i.Apply(Update{Gone: []string{"a"}})
-	i.Apply(full(map[string]Entry{"a": entry(5)})) // of a source that was cut off meanwhile
+	i.Apply(full(map[string]Entry{"a": entry(5)})) // of a source that lost the store meanwhile
 	require.Empty(t, i.View().Servers)
 	i.Apply(full(map[string]Entry{"a": entry(9)})) // written again after an outage
 	require.Contains(t, i.View().Servers, "a")
@@ -61,9 +61,9 @@
 	require.Contains(t, i.View().Servers, "new")
 }
 
-// A daemon that changes its source gets a full state of which it knows nearly
-// everything: nothing of it changes then, and nobody is told of a change.
-func TestWhatIsKnownChangesNothing(t *testing.T) {
+// Receiving a known state again, as after a change of source, changes nothing and notifies
+// no one.
+func TestKnownStateChangesNothing(t *testing.T) {
 	i := newTest()
 	servers := map[string]Entry{"a": entry(5), "b": entry(6)}
 	i.Apply(full(servers))
@@ -76,19 +76,19 @@
 	require.NotSame(t, before.Servers["b"], i.View().Servers["b"])
 }
 
-func TestCompleteOnceBothHaveCome(t *testing.T) {
+func TestCompleteNeedsConfigurationAndFullList(t *testing.T) {
 	i := newTest()
 	i.Apply(Update{Config: []byte("7")})
 	require.False(t, i.Complete())
 	i.Apply(Update{Servers: map[string]Entry{"a": entry(5)}})
-	require.False(t, i.Complete(), "a change is no full list")
+	require.False(t, i.Complete(), "an update that is not full")
 	require.False(t, i.State().Complete)
 	i.Apply(full(map[string]Entry{"a": entry(5)}))
 	require.True(t, i.Complete())
 	require.True(t, i.State().Complete)
 }
 
-// BenchmarkKnownState takes a full state of 3,000 backend servers again.
+// BenchmarkKnownState applies a known full state of 3,000 backend servers.
 func BenchmarkKnownState(b *testing.B) {
 	i := newTest()
 	servers := map[string]Entry{}
@@ -101,19 +101,19 @@
 	}
 }
 
-func TestLapsedRecordIsKeptForAMomentOnly(t *testing.T) {
+func TestMissingRecordIsDroppedAfterGrace(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		i := newTest()
 		i.Apply(full(map[string]Entry{"a": entry(5), "b": entry(6)}))
 		i.Apply(full(map[string]Entry{"b": entry(6)}))
 		require.Contains(t, i.View().Servers, "a")
-		time.Sleep(lapseGrace + time.Millisecond)
+		time.Sleep(missingGrace + time.Millisecond)
 		synctest.Wait()
 		require.NotContains(t, i.View().Servers, "a")
 	})
 }
 
-func TestLapsedRecordOfASourceIsNotTakenForNew(t *testing.T) {
+func TestMissingRecordOfASourceIsNotAdded(t *testing.T) {
 	i := newTest()
 	e := entry(5)
 	e.Lapsed = true
@@ -121,24 +121,24 @@
 	require.Empty(t, i.View().Servers)
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationIsNeverReverted(t *testing.T) {
 	i := newTest()
 	i.Apply(Update{Config: []byte("7")})
 	i.Apply(Update{Config: []byte("5")})
 	require.EqualValues(t, 7, i.View().Config.Version)
 }
 
-func TestVouchNeedsTheSameConfiguration(t *testing.T) {
+func TestVouchNeedsTheConfiguration(t *testing.T) {
 	i := newTest()
 	now := time.Now()
 	i.Apply(Update{Config: []byte("7")})
-	i.Vouch(8, now) // the source knows a newer one that has not arrived
+	i.Vouch(8, now) // the source has a newer one that was not received
 	require.Greater(t, i.Age(now), time.Hour)
 	i.Vouch(7, now)
 	require.Zero(t, i.Age(now))
 }
 
-// scriptFeed answers watches of the configuration as a script says.
+// scriptFeed answers watches of the configuration by the function watch.
 type scriptFeed struct {
 	plainFeed
 	watch func(ctx context.Context, wait time.Duration) (Read[ConfigRecord], error)
@@ -166,16 +166,16 @@
 	}
 }
 
-// awayFeed is a store that refuses all calls for a while.
-type awayFeed struct {
+// outageFeed is a store that refuses lists from from to until.
+type outageFeed struct {
 	scriptFeed
 	from, until time.Time
 	calls       atomic.Int64
 }
 
-var errAway = errors.New("away")
+var errOutage = errors.New("store unavailable")
 
-func (f *awayFeed) refuses() bool {
+func (f *outageFeed) refuses() bool {
 	away := !time.Now().Before(f.from) && time.Now().Before(f.until)
 	if away {
 		f.calls.Add(1)
@@ -183,34 +183,33 @@
 	return away
 }
 
-func (f *awayFeed) Config(ctx context.Context) (Read[ConfigRecord], error) {
+func (f *outageFeed) Config(ctx context.Context) (Read[ConfigRecord], error) {
 	if f.refuses() {
-		return Read[ConfigRecord]{}, errAway
+		return Read[ConfigRecord]{}, errOutage
 	}
 	return f.scriptFeed.Config(ctx)
 }
 
-func (f *awayFeed) Servers(ctx context.Context) (Read[ServerRecord], error) {
+func (f *outageFeed) Servers(ctx context.Context) (Read[ServerRecord], error) {
 	if f.refuses() {
-		return Read[ServerRecord]{}, errAway
+		return Read[ServerRecord]{}, errOutage
 	}
 	return f.scriptFeed.Servers(ctx)
 }
 
-// In an outage of the store all daemons look for it themselves, as none can tell
-// the others. One that others stand in for makes a few calls in eight seconds, not
-// twenty, and is back within its longest pause.
-func TestOutageOfTheStoreCostsFewCalls(t *testing.T) {
+// In an outage every daemon retries the store itself. The number of calls is bounded, and
+// the daemon recovers within its longest pause.
+func TestOutageCausesFewCalls(t *testing.T) {
 	for _, c := range []struct {
 		first, longest time.Duration
-		most           int64
+		maxCalls       int64
 	}{
 		{50 * time.Millisecond, 400 * time.Millisecond, 30},
 		{2 * time.Second, 4 * time.Second, 6},
 	} {
 		virtual.Test(t, func(t *testing.T) {
 			began := time.Now()
-			f := &awayFeed{from: began, until: began.Add(8 * time.Second)}
+			f := &outageFeed{from: began, until: began.Add(8 * time.Second)}
 			f.watch = func(ctx context.Context, d time.Duration) (Read[ConfigRecord], error) {
 				wait.For(ctx, d)
 				return Read[ConfigRecord]{At: 10}, ctx.Err()
@@ -221,7 +220,7 @@
 			go i.Follow(ctx, c.first, c.longest)
 			time.Sleep(8*time.Second + 3*c.longest/2)
 			synctest.Wait()
-			require.LessOrEqual(t, f.calls.Load(), c.most)
+			require.LessOrEqual(t, f.calls.Load(), c.maxCalls)
 			require.True(t, i.Complete(), "both are known again")
 			cancel()
 			synctest.Wait()
@@ -229,13 +228,13 @@
 	}
 }
 
-func TestFreshnessIsProvenByWatchesAndEndsWithTheStore(t *testing.T) {
+func TestFreshnessFollowsWatches(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		away := make(chan struct{})
 		f := &scriptFeed{watch: func(ctx context.Context, wait time.Duration) (Read[ConfigRecord], error) {
 			select {
 			case <-away:
-				<-ctx.Done() // a store that says nothing
+				<-ctx.Done() // a store that does not answer
 				return Read[ConfigRecord]{}, ctx.Err()
 			case <-time.After(wait):
 				return Read[ConfigRecord]{At: 10}, nil
@@ -245,7 +244,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go i.Follow(ctx, time.Second/8, time.Second)
 		time.Sleep(20 * time.Second)
-		require.Less(t, i.Age(time.Now()), configWait+watchDoubt+100*time.Millisecond)
+		require.Less(t, i.Age(time.Now()), configWatchTimeout+watchMargin+100*time.Millisecond)
 		close(away)
 		time.Sleep(10 * time.Second)
 		require.Greater(t, i.Age(time.Now()), 9*time.Second)
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -9,31 +9,31 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Entry is the record of a backend server as it lies in the store.
+// Entry is the stored record of a backend server.
 type Entry struct {
 	Raw    []byte
 	At     store.Position // of its last change
-	Lapsed bool           // missing after an outage of the store, and kept for a moment
-	// Server is the ID of the incarnation, which is not passed on.
+	Lapsed bool           // missing after an outage of the store, and kept for missingGrace
+	// Server is the ID of the incarnation. It is not sent to other daemons.
 	Server string `cbor:"-"`
 }
 
-// State is what a daemon passes on to another: the configuration in force and
-// the backend servers, undecoded.
+// State is what a daemon sends to its followers: the configuration in force and the
+// backend servers, undecoded.
 type State struct {
 	ConfigVersion uint64 // 0 for none
 	Config        []byte
 	Servers       map[string]Entry
-	// Complete says that a full list of the backend servers has come at least once:
-	// before, one that is missing is not gone.
+	// Complete is set once a full list of the backend servers was received. Until then a
+	// missing one may exist.
 	Complete bool
-	// Restored is where the store's history began for this daemon in its present era,
-	// see Inventory.
+	// Restored is the lowest position at which the daemon has read the store in its current
+	// era.
 	Restored store.Position
 }
 
-// State returns what is known now. It is immutable and made once a change, as
-// many daemons may ask for it.
+// State returns the current state. It is immutable, and cached until the next change,
+// since many followers may request it.
 func (i *Inventory) State() *State {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -45,26 +45,26 @@
 		s.ConfigVersion = c.Version
 	}
 	for id, r := range i.servers {
-		s.Servers[id] = Entry{Raw: r.raw, At: r.at, Lapsed: !r.lapsedAt.IsZero(), Server: r.server.ID}
+		s.Servers[id] = Entry{Raw: r.raw, At: r.at, Lapsed: !r.missingSince.IsZero(), Server: r.server.ID}
 	}
 	i.state = s
 	return s
 }
 
-// Update is what changed at the daemon that passes its state on.
+// Update is a change of state that a daemon sends to its followers.
 type Update struct {
 	Config  []byte // nil when unchanged
 	Servers map[string]Entry
 	Gone    []string
-	Full    bool // Servers are all that exist
-	// Restored is that of the daemon's State, 0 for unchanged. It says which era the
-	// daemon knows.
+	Full    bool // Servers has all that exist
+	// Restored is that of the sender's State, 0 for unchanged. It shows which era the sender
+	// knows.
 	Restored store.Position
 }
 
-// Apply takes an update of another daemon. Nothing goes back: a configuration or
-// a record counts only if it is newer than what is known, and a daemon that has not
-// heard of the store's present era does not know what is gone in it.
+// Apply applies an update of another daemon. A configuration or a record counts only if
+// it is newer than the known one, and removals only if the sender knows the store's
+// current era.
 func (i *Inventory) Apply(u Update) {
 	if u.Config != nil {
 		c, err := i.feed.DecodeConfig(u.Config)
@@ -75,14 +75,14 @@
 		}
 	}
 	records := make([]ServerRecord, 0, len(u.Servers)+len(u.Gone))
-	var lapsed []string
+	var missing []string
 	for id, e := range u.Servers {
 		if e.Lapsed {
-			lapsed = append(lapsed, id)
+			missing = append(missing, id)
 			continue
 		}
 		r := ServerRecord{ID: id, At: e.At, Raw: e.Raw}
-		if r.Server = i.sameAs(id, e.At); r.Server == nil {
+		if r.Server = i.knownAt(id, e.At); r.Server == nil {
 			r.Server, r.Err = i.feed.DecodeServer(id, e.Raw)
 		}
 		records = append(records, r)
@@ -90,7 +90,7 @@
 	current := i.isCurrent(u.Restored)
 	if current {
 		for _, id := range u.Gone {
-			records = append(records, ServerRecord{ID: id, Gone: true, At: whateverKnown})
+			records = append(records, ServerRecord{ID: id, Gone: true, At: maxPosition})
 		}
 	}
 	i.takeServers(u.Restored, records, u.Full && current)
@@ -99,15 +99,15 @@
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, id := range lapsed {
-		i.lapseOne(id, 0, time.Now())
+	for _, id := range missing {
+		i.markMissing(id, 0, time.Now())
 	}
 	i.state = nil
 }
 
-// sameAs returns a backend server if its record is known at this position: most
-// of a full state is known to a daemon that only changes its source.
-func (i *Inventory) sameAs(id string, at store.Position) *site.BackendServer {
+// knownAt returns a backend server if its record is known at this position, else nil. It
+// saves decoding when a daemon changes its source and receives a mostly known state.
+func (i *Inventory) knownAt(id string, at store.Position) *site.BackendServer {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if r, known := i.servers[id]; known && r.at == at {
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// Vouch says that no newer configuration than the one in force existed at fresh.
+// Vouch records that no configuration newer than version existed at fresh. It has no
+// effect if the configuration in force is older than version.
 func (i *Inventory) Vouch(version uint64, fresh time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
