--- a/site/config.go
+++ b/site/config.go
@@ -1,6 +1,6 @@
-// Package site holds a deployment as a daemon sees it: the configuration in
-// force and the backend servers that exist. It is pure data with look-ups; the
-// wire formats it is decoded from live in package platform.
+// Package site models a deployment: the configuration in force and the backend
+// servers. It has only data types and look-ups; package platform decodes them from
+// the wire formats.
 package site
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Repeat says what may be sent again.
+// Repeat is the kind of a request by what may be repeated.
 type Repeat uint8
 
-// The kinds of request by what may be repeated.
+// The kinds of request.
 const (
 	Unsafe Repeat = iota // runs at most once
 	Safe                 // idempotent
@@ -22,41 +22,41 @@
 // String returns the name used in logs.
 func (r Repeat) String() string { return [...]string{"unsafe", "safe", "stream"}[r] }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route says where requests of a host and path prefix go.
+// Route maps requests for a host and path prefix to services.
 type Route struct {
 	Name         string
 	Host         string
 	Prefix       string // begins and ends with a slash
 	Repeat       Repeat
-	Timeout      time.Duration // longest time that a request is held
-	Objective    time.Duration // until the answer, or until a stream's first event
-	GapObjective time.Duration // longest pause between two events of a stream
+	Timeout      time.Duration // of a request
+	Objective    time.Duration // latency objective until the answer, or a stream's first event
+	GapObjective time.Duration // latency objective between two events of a stream
 	Priority     int           // 0 is the highest
 	Targets      []Target
-	MaxAttempts  int  // backend servers that one request may be sent to
-	Public       bool // needs no key
-	Resumable    bool // a stream may go on at another backend server
+	MaxAttempts  int  // number of backend servers that one request may be sent to
+	Public       bool // requires no key
+	Resumable    bool // a stream may resume at another backend server
 }
 
 // Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool { return r.Repeat == Safe || r.Repeat == Stream && r.Resumable }
 
-// TargetAt returns the service for a point in [0, 1) of the weights.
+// TargetAt returns the service for a point in [0, 1) on the scale of cumulative weights.
 func (r *Route) TargetAt(point float64) string {
-	total := 0
+	weight := 0
 	for _, t := range r.Targets {
-		total += t.Weight
+		weight += t.Weight
 	}
-	left := point * float64(total)
+	remaining := point * float64(weight)
 	for _, t := range r.Targets {
-		left -= float64(t.Weight)
-		if left < 0 {
+		remaining -= float64(t.Weight)
+		if remaining < 0 {
 			return t.Service
 		}
 	}
@@ -66,26 +66,26 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// Workspace is a customer whose keys callers present.
+// Workspace is a customer, identified by the API keys that callers present.
 type Workspace struct {
 	Name     string
-	Priority int // goes before the route's
+	Priority int // overrides the route's if Ranked is set
 	Ranked   bool
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bound the size of requests and the time that callers may take.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration // of a kept connection between two requests
+	IdleTimeout   time.Duration // of a connection between two requests
 }
 
 // Service is a group of backend servers that serve the same requests.
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int     // connections that one backend server takes from all daemons
+	MaxConns   int     // connections that one backend server accepts from all daemons
 	Engine     *Engine // nil for a plain service
 }
 
@@ -99,8 +99,7 @@
 	keyed    bool
 }
 
-// NewConfig indexes a configuration. A nil map of keys means that no route asks
-// for one.
+// NewConfig returns an indexed configuration. If keys is nil, no route requires a key.
 func NewConfig(version uint64, limits Limits, routes []*Route, services []*Service, keys map[string]*Workspace) *Config {
 	c := &Config{
 		Version: version, Limits: limits, Services: map[string]*Service{},
@@ -118,7 +117,7 @@
 	return c
 }
 
-// Match returns the route of a host with the longest prefix of path, or nil.
+// Match returns the route of a host with the longest matching prefix of path, or nil.
 func (c *Config) Match(host, path string) *Route {
 	prefixes := c.routes[host]
 	for end := len(path); end > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
@@ -129,12 +128,11 @@
 	return nil
 }
 
-// RepeatableAt reports whether all requests that may go to a service may run more
-// than once, or go on elsewhere.
+// RepeatableAt reports whether the requests of all routes to a service are repeatable.
 func (c *Config) RepeatableAt(service string) bool {
 	for _, prefixes := range c.routes {
 		for _, r := range prefixes {
-			if r.leadsTo(service) && !r.Repeatable() {
+			if r.targets(service) && !r.Repeatable() {
 				return false
 			}
 		}
@@ -142,7 +140,8 @@
 	return true
 }
 
-func (r *Route) leadsTo(service string) bool {
+// targets reports whether a service is a target of the route.
+func (r *Route) targets(service string) bool {
 	return slices.ContainsFunc(r.Targets, func(t Target) bool { return t.Service == service })
 }
 
--- a/site/engine.go
+++ b/site/engine.go
@@ -2,43 +2,43 @@
 
 import "time"
 
-// Accelerator is a kind of card.
+// Accelerator describes a kind of accelerator.
 type Accelerator struct {
 	MemoryMB float64
-	Pace     float64 // factor on the time of steps and context
-	ReadPace float64 // factor on the time of reading prompts
+	Pace     float64 // factor on the times of token steps and context, 1 for the reference
+	ReadPace float64 // factor on the time of prefill
 }
 
-// Engine describes how the backend servers of a service run a model. Times are
-// for all layers on a card of pace 1; they scale with the share of layers.
+// Engine describes how the backend servers of a service run a model. Times are for all
+// layers on an accelerator of Pace 1, and scale with the share of layers.
 type Engine struct {
-	Slots         int // requests that a backend server takes as the first of a path
+	Slots         int // requests that a backend server runs as the head of a path
 	Layers        int
 	LayerMB       float64
-	KVTokenBytes  float64 // of one token in all layers
+	KVTokenBytes  float64 // KV cache of one token in all layers
 	StepMS        float64 // of one token step
-	PerRequestMS  float64 // more for each request in the step
-	ContextPerKMS float64 // more for each request and 1,000 tokens of its context
-	ReadPerSecond float64 // prompt tokens
-	ReadPairsMS   float64 // for a million pairs of a token and one before it
-	ReadChunk     int     // most prompt tokens read in a step
+	PerRequestMS  float64 // added for each request in the step
+	ContextPerKMS float64 // added for each request and 1,000 tokens of its context
+	ReadPerSecond float64 // prompt tokens of prefill
+	ReadPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
+	ReadChunk     int     // maximum of prompt tokens in a prefill step
 	Stride        int     // token steps in a pass
 	Prompt        int     // mean tokens of a prompt
 	Answer        int     // mean tokens of an answer
-	ActBytes      float64 // handed on for each token
+	ActBytes      float64 // activations sent to the next hop for each token
 	LinkMbps      float64
-	PipeMbps      float64 // between two failure domains
-	LoadsAtOnce   int     // loads beyond it slow each other down
+	PipeMbps      float64 // of a cross-domain link
+	LoadsAtOnce   int     // concurrent loads of weights without mutual slowdown
 	ReportLag     time.Duration
 	Kinds         map[string]Accelerator
 	Models        []EngineModel
 	Delays        map[[2]string]time.Duration // one way between failure domains
 }
 
-// EngineModel is a model that the engine can hold.
+// EngineModel is a model that the engine can load.
 type EngineModel struct {
 	Name string
-	Load time.Duration // of all layers
+	Load time.Duration // load time of all layers
 }
 
 // Delay returns the one-way delay between two failure domains.
@@ -52,17 +52,17 @@
 	return e.Delays[[2]string{b, a}]
 }
 
-// KVRoom returns the memory for requests, in tokens x layers, of a card that
+// KVRoom returns the KV cache capacity, in tokens x layers, of a backend server that
 // holds a number of layers.
 func (e *Engine) KVRoom(kind string, held int) float64 {
-	left := e.Kinds[kind].MemoryMB - float64(held)*e.LayerMB
-	if left <= 0 || e.KVTokenBytes <= 0 {
+	remaining := e.Kinds[kind].MemoryMB - float64(held)*e.LayerMB
+	if remaining <= 0 || e.KVTokenBytes <= 0 {
 		return 0
 	}
-	return left * 1e6 / (e.KVTokenBytes / float64(e.Layers))
+	return remaining * 1e6 / (e.KVTokenBytes / float64(e.Layers))
 }
 
-// MaxLayers returns how many layers fit into a card at all.
+// MaxLayers returns how many layers fit into the memory of an accelerator.
 func (e *Engine) MaxLayers(kind string) int {
 	if e.LayerMB <= 0 {
 		return e.Layers
@@ -70,12 +70,12 @@
 	return min(e.Layers, int(e.Kinds[kind].MemoryMB/e.LayerMB))
 }
 
-// LoadTime returns how long a card reads the weights of a number of layers while
-// few others do, of the model that takes longest.
+// LoadTime returns how long a backend server loads a number of layers of the slowest
+// model, with no more than LoadsAtOnce loads running.
 func (e *Engine) LoadTime(layers int) time.Duration {
-	var whole time.Duration
+	var longest time.Duration
 	for _, m := range e.Models {
-		whole = max(whole, m.Load)
+		longest = max(longest, m.Load)
 	}
-	return whole * time.Duration(layers) / time.Duration(max(1, e.Layers))
+	return longest * time.Duration(layers) / time.Duration(max(1, e.Layers))
 }
--- a/site/incarnation.go
+++ b/site/incarnation.go
@@ -2,16 +2,15 @@
 
 import "strconv"
 
-// Incarnation names one life of a backend server. A backend server may start again
-// under the name that it had: it then holds and knows nothing of before, and nothing
-// that was learnt of its life before is true of it.
+// Incarnation identifies one run of a backend server. A backend server may restart under
+// the same name. It then has no state, and nothing known of the earlier run applies.
 type Incarnation struct {
-	Name string // under which it registers itself
-	Born int64  // its start, in Unix milliseconds; 0 where it does not tell
+	Name string // under which it registers
+	Born int64  // start time in Unix milliseconds, 0 if not reported
 }
 
-// ID returns the one name by which everything that is learnt of an incarnation is kept.
-// Where no start is told it is the registered name, which is new after each start then.
+// ID returns the key for all state of an incarnation. Without a start time it is the
+// registered name, which is then unique for each start.
 func (i Incarnation) ID() string {
 	if i.Born == 0 {
 		return i.Name
@@ -19,8 +18,8 @@
 	return i.Name + "@" + strconv.FormatInt(i.Born, 10)
 }
 
-// Newer reports whether this is surely a later life than another one of the same name:
-// both have told their starts. Who tells none may be either.
+// Newer reports whether i is a later incarnation of the same name. It returns false unless
+// both start times are known.
 func (i Incarnation) Newer(than Incarnation) bool {
 	return i.Name == than.Name && i.Born > than.Born && than.Born > 0
 }
--- a/site/server.go
+++ b/site/server.go
@@ -11,15 +11,15 @@
 // Len returns the number of layers.
 func (r Range) Len() int { return r.To - r.From }
 
-// Has reports whether the range covers a layer.
+// Has reports whether the range includes a layer.
 func (r Range) Has(layer int) bool { return r.From <= layer && layer < r.To }
 
 // Overlap returns the number of layers that two ranges share.
 func (r Range) Overlap(o Range) int { return max(0, min(r.To, o.To)-max(r.From, o.From)) }
 
-// BackendServer is one incarnation of a backend server as it registered itself.
+// BackendServer is one incarnation of a backend server as registered.
 type BackendServer struct {
-	ID            string // of this incarnation, never used again
+	ID            string // of this incarnation, never reused
 	Incarnation   Incarnation
 	Service       string
 	Address       string // host:port; may be reused by another incarnation later
@@ -27,11 +27,11 @@
 	Slots         int
 	Draining      bool
 	Kind          string // of accelerator, "" for plain services
-	Held          Range  // layers it serves now; empty when it holds none
+	Held          Range  // layers that it holds; empty for none
 }
 
-// RegisteredName returns the name under which the backend server registered itself,
-// which it expects in requests.
+// RegisteredName returns the name under which the backend server registered, which it
+// expects in requests.
 func (s *BackendServer) RegisteredName() string {
 	if s.Incarnation.Name == "" {
 		return s.ID
@@ -39,12 +39,12 @@
 	return s.Incarnation.Name
 }
 
-// Reborn returns the backend server as it is after a start that its record does not
-// tell of yet: it holds nothing.
+// Reborn returns the backend server after a restart that its record does not show yet. It
+// holds no layers and is not draining.
 func (s *BackendServer) Reborn(as Incarnation) *BackendServer {
-	again := *s
-	again.ID, again.Incarnation, again.Held, again.Draining = as.ID(), as, Range{}, false
-	return &again
+	restarted := *s
+	restarted.ID, restarted.Incarnation, restarted.Held, restarted.Draining = as.ID(), as, Range{}, false
+	return &restarted
 }
 
 // Hop is one part of a path: a backend server and the layers it runs.
@@ -53,41 +53,41 @@
 	Layers Range
 }
 
-// Path is the series of hops that a request passes.
+// Path is the sequence of hops of a request.
 type Path []Hop
 
-// CheckTiling returns an error unless the hops run each of the layers once, in
-// order, on distinct backend servers that hold them.
+// CheckTiling returns an error unless the hops run each of the layers once, in order, on
+// distinct backend servers that hold them.
 func (p Path) CheckTiling(layers int) error {
 	if err := p.CheckOrder(layers); err != nil {
 		return err
 	}
 	for _, h := range p {
 		if h.Layers.From < h.Server.Held.From || h.Layers.To > h.Server.Held.To {
-			return fmt.Errorf("path %s: %s does not hold its part", p, h.Server.ID)
+			return fmt.Errorf("path %s: %s does not hold the layers of its hop", p, h.Server.ID)
 		}
 	}
 	return nil
 }
 
-// CheckOrder returns an error unless the hops run each of the layers once, in
-// order, on distinct backend servers. A hop that goes on with a running stream
-// may be giving the layers up already.
+// CheckOrder returns an error unless the hops run each of the layers once, in order, on
+// distinct backend servers. It does not check that they hold the layers, since a hop of a
+// running stream may be releasing them.
 func (p Path) CheckOrder(layers int) error {
-	next := 0
-	seen := map[string]bool{}
+	end := 0
+	addresses := map[string]bool{}
 	for _, h := range p {
-		if h.Layers.From != next || h.Layers.Len() <= 0 {
-			return fmt.Errorf("path %s: layer %d is not next", p, h.Layers.From)
+		if h.Layers.From != end || h.Layers.Len() <= 0 {
+			return fmt.Errorf("path %s: invalid hop at layer %d", p, h.Layers.From)
 		}
-		if seen[h.Server.Address] {
-			return fmt.Errorf("path %s: %s twice", p, h.Server.Address)
+		if addresses[h.Server.Address] {
+			return fmt.Errorf("path %s: duplicate address %s", p, h.Server.Address)
 		}
-		seen[h.Server.Address] = true
-		next = h.Layers.To
+		addresses[h.Server.Address] = true
+		end = h.Layers.To
 	}
-	if next != layers {
-		return fmt.Errorf("path %s ends at layer %d of %d", p, next, layers)
+	if end != layers {
+		return fmt.Errorf("path %s ends at layer %d of %d", p, end, layers)
 	}
 	return nil
 }
@@ -102,7 +102,7 @@
 	return false
 }
 
-// At returns the hop at an address, or nil.
+// At returns the backend server of the hop at an address, or nil.
 func (p Path) At(address string) *BackendServer {
 	for _, h := range p {
 		if h.Server.Address == address {
--- a/site/settings.go
+++ b/site/settings.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Settings are what a process learns from its VM.
+// Settings are the settings that a process reads from its VM.
 type Settings struct {
 	Name          string // of the VM
 	IP            string
 	FailureDomain string
-	Callers       string // address that callers reach
-	Readiness     string // address of the balancer's check
+	Callers       string // listen address for callers
+	Readiness     string // listen address for the load balancer's readiness check
 	Store         string // address of the platform's store
-	PeerPort      int    // free for daemons to talk to each other
+	PeerPort      int    // port for connections between daemons
 	MemoryMB      int
 	Descriptors   int
-	FirstStart    bool // the whole system starts for the first time: no process was here before
+	FirstStart    bool // the whole system starts for the first time
 
-	Contact      time.Duration // after this long without trouble a VM counts as sound
-	LeaveWithin  time.Duration // from a backend server's leaving until it gets no new work
+	Contact      time.Duration // time without faults after which a VM counts as healthy
+	LeaveWithin  time.Duration // from when a backend server starts draining until it gets no new work
 	Grace        time.Duration // from SIGTERM to SIGKILL
-	FailClosed   bool          // keys count only while the configuration is known to be fresh
-	RevokeWithin time.Duration // until a key that was taken away is refused
-	ConfigWithin time.Duration // until a configuration is in force, 0 if not told
-	RetryRatio   float64       // of requests, over all daemons
+	FailClosed   bool          // keys are valid only while the configuration is known to be fresh
+	RevokeWithin time.Duration // until a revoked key is refused
+	ConfigWithin time.Duration // until a configuration is in force, 0 if not set
+	RetryRatio   float64       // retries per request, over all daemons
 	RetrySlack   float64       // retries beyond the ratio in a window, over all daemons
 	RetryWindow  time.Duration
-	StallCut     time.Duration // after which an engine cuts a stream that stands still
-	Fenced       bool          // backend servers check fencing numbers
+	StallCut     time.Duration // after which an engine ends a stalled stream
+	Fenced       bool          // backend servers check fencing tokens
 }
 
-// Check returns an error if a figure is missing or out of bounds.
+// Check returns an error if a setting is missing or out of bounds.
 func (s *Settings) Check() error {
 	if s.Grace <= 0 {
-		return fmt.Errorf("settings: grace is %s", s.Grace)
+		return fmt.Errorf("settings: grace must be positive, not %s", s.Grace)
 	}
 	if s.FailClosed && s.RevokeWithin <= 0 {
-		return fmt.Errorf("settings: keys fail closed but the bound is %s", s.RevokeWithin)
+		return fmt.Errorf("settings: fail-closed keys need a positive revocation bound, not %s", s.RevokeWithin)
 	}
 	return nil
 }
