--- a/site/config.go
+++ b/site/config.go
@@ -49,11 +49,11 @@
 
 // TargetAt returns the service for a point in [0, 1) on the scale of cumulative weights.
 func (r *Route) TargetAt(point float64) string {
-	weight := 0
+	totalWeight := 0
 	for _, t := range r.Targets {
-		weight += t.Weight
+		totalWeight += t.Weight
 	}
-	remaining := point * float64(weight)
+	remaining := point * float64(totalWeight)
 	for _, t := range r.Targets {
 		remaining -= float64(t.Weight)
 		if remaining < 0 {
