--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -73,7 +73,7 @@
 	return h, t
 }
 
-// running is a daemon under test.
+// testDaemon is a daemon under test.
 type testDaemon struct {
 	*Gateway
 	stop context.CancelFunc
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -54,7 +54,7 @@
 	placementLease = "placement"
 )
 
-// Gateway is one daemon.
+// Gateway is a daemon.
 type Gateway struct {
 	opts           Options
 	listeners      listeners
