--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -51,7 +51,7 @@
 
 func (g *Gateway) liftQuarantine(w http.ResponseWriter, r *http.Request) {
 	if !fromThisVM(r) {
-		http.Error(w, "allowed from this VM only", http.StatusForbidden)
+		http.Error(w, "only from the VM itself", http.StatusForbidden)
 		return
 	}
 	n, err := strconv.ParseUint(r.PathValue("fingerprint"), 16, 64)
@@ -61,7 +61,7 @@
 	}
 	fingerprint := quarantine.Fingerprint(n)
 	if !g.quarantine.Served(fingerprint, time.Now()) {
-		http.Error(w, "no entry for this fingerprint", http.StatusNotFound)
+		http.Error(w, "nothing is known against it", http.StatusNotFound)
 		return
 	}
 	_ = level.Info(g.log).Log("msg", "decision", "kind", "quarantine", "fingerprint", fingerprint, "outcome", "lifted by an operator")
