--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkDecide measures one decision of an allocator: by how many daemons contribute, and
-// how many workspaces want calls.
+// BenchmarkDecide measures one decision of an allocator by the number of contributing
+// daemons and of active workspaces.
 func BenchmarkDecide(b *testing.B) {
 	for _, c := range []struct{ daemons, workspaces int }{{8, 10}, {300, 24}, {300, 64}} {
 		b.Run(fmt.Sprintf("daemons=%d/workspaces=%d", c.daemons, c.workspaces), func(b *testing.B) {
--- /dev/null
+++ b/quota/bucket.go
@@ -0,0 +1,190 @@
+package quota
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/snowspoke/snowspoke/boottime"
+)
+
+// Class groups calls by priority and workspace.
+type Class struct {
+	Priority  int // 0 is the most urgent
+	Workspace string
+}
+
+// Bounds of a bucket.
+const (
+	// activePeriod is how long a class counts as active after a request.
+	activePeriod = 2 * time.Second
+	// maxCredit and minCredit bound the credit of a class, in calls.
+	maxCredit = 3.0
+	minCredit = -1.0
+	// maxClasses bounds the classes of a bucket; the least recently active one is
+	// removed.
+	maxClasses = 64
+	// eps absorbs rounding errors of accrued calls.
+	eps = 1e-9
+)
+
+// Bounds of the waits in a Decision.
+const (
+	minWait = 20 * time.Millisecond
+	maxDue  = 500 * time.Millisecond
+	// maxBack is short since the limit may end at any time.
+	maxBack = 5 * time.Second
+)
+
+// bucket is a token bucket for the calls to one backend server. Calls accrue at the rate
+// of the held parts and are credited to the active classes: to the most urgent priority
+// first, evenly among its workspaces. A class takes a call with its own credit, or
+// without credit when there are calls that no class has saved.
+type bucket struct {
+	updatedAt time.Time // of the last accrual
+	rate      float64   // calls a second
+	calls     float64   // available now
+	burst     float64   // maximum of calls
+	credits   []*credit // sorted by class
+}
+
+// credit is the account of one class.
+type credit struct {
+	class   Class
+	calls   float64
+	askedAt time.Time
+	denied  slidingCount
+}
+
+func newBucket(calls float64, now time.Time) *bucket { return &bucket{updatedAt: now, calls: calls} }
+
+// accrue adds the calls due since the last accrual, or since the parts are held if that
+// is later.
+func (b *bucket) accrue(limit, share float64, held, now time.Time) {
+	b.rate = rateUse * share * max(limit, minRate)
+	b.burst = burstOf(b.rate)
+	due := b.rate * max(0, now.Sub(boottime.Later(b.updatedAt, held)).Seconds())
+	b.updatedAt = now
+	b.calls = min(b.burst, b.calls+due)
+	b.creditClasses(due, now)
+}
+
+// burstOf returns the maximum of saved calls: the first call, the credit that one class
+// may save (less at low rates), and a tenth of a second at the rate.
+func burstOf(rate float64) float64 { return 1 + min(maxCredit, rate/2) + rate/10 }
+
+// creditClasses distributes calls over the active classes by priority.
+func (b *bucket) creditClasses(calls float64, now time.Time) {
+	for begin := 0; begin < len(b.credits) && calls > 0; {
+		end := begin
+		var active []*credit
+		for ; end < len(b.credits) && b.credits[end].class.Priority == b.credits[begin].class.Priority; end++ {
+			if now.Sub(b.credits[end].askedAt) <= activePeriod {
+				active = append(active, b.credits[end])
+			}
+		}
+		calls = distribute(active, calls)
+		begin = end
+	}
+}
+
+// distribute credits calls evenly and returns those left when all credits are full.
+func distribute(active []*credit, calls float64) (left float64) {
+	slices.SortFunc(active, func(x, y *credit) int { return cmp.Compare(y.calls, x.calls) })
+	for i, c := range active {
+		each := calls / float64(len(active)-i)
+		add := max(0, min(each, maxCredit-c.calls))
+		c.calls += add
+		calls -= add
+	}
+	return calls
+}
+
+// allows reports whether a class may make a call now.
+func (b *bucket) allows(c Class, now time.Time) bool {
+	s := b.of(c, now)
+	if b.calls < 1-eps {
+		return false
+	}
+	return s.calls >= 1-eps || b.calls >= min(b.burst, 1+b.saved(c, now))-eps
+}
+
+// saved returns the calls saved by the other active classes.
+func (b *bucket) saved(c Class, now time.Time) float64 {
+	sum := 0.0
+	for _, s := range b.credits {
+		if s.class != c && now.Sub(s.askedAt) <= activePeriod {
+			sum += max(0, s.calls)
+		}
+	}
+	return sum
+}
+
+// of returns the credit of a class and marks the class active.
+func (b *bucket) of(c Class, now time.Time) *credit {
+	at, found := slices.BinarySearchFunc(b.credits, c, func(s *credit, c Class) int { return compareClasses(s.class, c) })
+	if !found {
+		if len(b.credits) >= maxClasses {
+			b.removeOldest()
+			at, _ = slices.BinarySearchFunc(b.credits, c, func(s *credit, c Class) int { return compareClasses(s.class, c) })
+		}
+		b.credits = slices.Insert(b.credits, at, &credit{class: c})
+	}
+	b.credits[at].askedAt = now
+	return b.credits[at]
+}
+
+func compareClasses(x, y Class) int {
+	return cmp.Or(cmp.Compare(x.Priority, y.Priority), cmp.Compare(x.Workspace, y.Workspace))
+}
+
+func (b *bucket) removeOldest() {
+	oldest := 0
+	for i, s := range b.credits {
+		if s.askedAt.Before(b.credits[oldest].askedAt) {
+			oldest = i
+		}
+	}
+	b.credits = slices.Delete(b.credits, oldest, oldest+1)
+}
+
+// take makes a call for a class that allows has admitted.
+func (b *bucket) take(c Class) {
+	b.calls--
+	s := b.of(c, b.updatedAt)
+	s.calls = max(minCredit, s.calls-1)
+}
+
+func (b *bucket) deny(c Class, now time.Time) { b.of(c, now).denied.add(now) }
+
+// due returns the time until a class may make a call while all active classes continue
+// to request calls.
+func (b *bucket) due(c Class, now time.Time) time.Duration {
+	s := b.of(c, now)
+	wait := max((1-b.calls)/b.rate, (1-s.calls)/b.rateOf(c, now))
+	return bounded(wait, minWait, maxDue)
+}
+
+// back returns the same for a caller queued behind the recently denied ones of its class.
+func (b *bucket) back(c Class, now time.Time) time.Duration {
+	s := b.of(c, now)
+	return bounded((1-s.calls+float64(s.denied.sum(now)))/b.rateOf(c, now), minWait, maxBack)
+}
+
+// rateOf returns the rate of a class while all classes at least as urgent are active.
+func (b *bucket) rateOf(c Class, now time.Time) float64 {
+	n := 0
+	for _, s := range b.credits {
+		if s.class.Priority <= c.Priority && now.Sub(s.askedAt) <= activePeriod {
+			n++
+		}
+	}
+	return b.rate / float64(max(1, n))
+}
+
+func bounded(seconds float64, minUsed, most time.Duration) time.Duration {
+	if seconds >= most.Seconds() {
+		return most
+	}
+	return max(minUsed, time.Duration(seconds*float64(time.Second)))
+}
--- a/quota/denials.go
+++ b/quota/denials.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Denials keeps which backend servers have no room for a class for a while, so that the
-// fleet is not asked for each request. It is safe for concurrent use.
+// Denials caches which backend servers have no capacity for a class, so that a permit
+// is not requested for each call. It is safe for concurrent use.
 type Denials struct {
 	mu  sync.Mutex
 	all map[denialKey]denial
@@ -19,28 +19,28 @@
 }
 
 type denial struct {
-	until time.Time // when a permit is asked for again
-	back  time.Time // when a refused caller may come back
+	until time.Time // when a permit may be requested again
+	back  time.Time // when a refused caller may retry
 }
 
-// denialsMost is the number of denials from which those that are over are dropped.
-const denialsMost = 1024
+// maxDenials is the size from which Add removes expired entries.
+const maxDenials = 1024
 
 // NewDenials returns an empty table.
 func NewDenials() *Denials { return &Denials{all: map[denialKey]denial{}} }
 
-// Add keeps a decision that granted nothing.
+// Add stores a decision that granted nothing.
 func (d *Denials) Add(c Class, of Decision, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.all) >= denialsMost {
+	if len(d.all) >= maxDenials {
 		maps.DeleteFunc(d.all, func(_ denialKey, v denial) bool { return !now.Before(v.until) })
 	}
 	d.all[denialKey{of.Server, c}] = denial{until: now.Add(of.After), back: now.Add(of.Back)}
 }
 
-// Of reports whether a backend server has no room for a class, as far as is known, and
-// when a caller that is refused for that may come back.
+// Of reports whether a backend server is known to have no capacity for a class, and when
+// a caller that is refused for that reason may retry.
 func (d *Denials) Of(server string, c Class, now time.Time) (back time.Time, denied bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -12,88 +12,88 @@
 )
 
 var (
-	limitSeed  = flag.Uint64("limit-seed", 0, "first seed of the fleets before a backend server with a limit")
-	limitSeeds = flag.Uint64("limit-seeds", 1000, "how many of them")
+	limitSeed  = flag.Uint64("limit-seed", 0, "first seed of the simulated fleets in front of a backend server with a limit")
+	limitSeeds = flag.Uint64("limit-seeds", 1000, "number of simulated fleets")
 )
 
-// What the pages of the users allow a backend server that has named a limit: so many times
-// the limit, and so many calls more, within a Window.
+// Maximum of calls to a backend server with a limit within a Window: allowedFactor times the
+// limit, plus allowedSlack.
 const (
 	allowedFactor = 1.5
 	allowedSlack  = 5
 )
 
-// Times of the links between daemons in these plays.
+// Timing of the simulation and its links between daemons.
 const (
-	step      = 20 * time.Millisecond
-	polledAt  = 500 * time.Millisecond
-	lent      = 1500 * time.Millisecond
-	notAsked  = 1200 * time.Millisecond
-	newsTakes = 100 * time.Millisecond
+	step         = 20 * time.Millisecond
+	pollInterval = 500 * time.Millisecond
+	lentFor      = 1500 * time.Millisecond
+	pollTimeout  = 1200 * time.Millisecond
+	newsDelay    = 100 * time.Millisecond
 )
 
-// limitedFleet is a number of daemons before one backend server that has named a limit.
-// Each contributes to the first daemon in the order of names that it can reach.
+// limitedFleet simulates daemons in front of one backend server with a limit. Each
+// contributes to the first daemon in the order of names that it can reach.
 type limitedFleet struct {
-	rng     *rand.Rand
-	now     time.Time
-	limit   float64
-	daemons []*limitedDaemon
-	calls   []call
-	asked   map[Class]int
-	granted map[Class]int
+	rng       *rand.Rand
+	now       time.Time
+	limit     float64
+	daemons   []*limitedDaemon
+	calls     []call
+	requested map[Class]int
+	granted   map[Class]int
 }
 
-// call is one that reached the backend server.
+// call is a call that reached the backend server.
 type call struct {
 	at     time.Time
 	daemon *limitedDaemon
 }
 
 type limitedDaemon struct {
-	name    string
-	limits  *Limits
-	sends   *Sends
-	pool    *Pool
-	to      *limitedDaemon // whom it is linked to, nil for none
-	polled  time.Time      // when it was last asked for its part
-	demand  float64        // calls a second
-	classes []Class
-	asks    float64
-	told    time.Time // when it is told of the limit
-	heard   time.Time // when it first knew of it
-	cut     bool      // from the other daemons
-	frozen  bool
-	gone    bool
+	name         string
+	limits       *Limits
+	sends        *Sends
+	pool         *Pool
+	to           *limitedDaemon // the daemon it contributes to, nil for none
+	polled       time.Time      // when it was last polled for its part
+	demand       float64        // calls a second
+	classes      []Class
+	pending      float64
+	limitAt      time.Time // when it receives the limit
+	limitKnownAt time.Time // when it first knew the limit
+	isolated     bool      // from the other daemons
+	paused       bool
+	removed      bool
 }
 
 const limitedServer = "s"
 
 func newLimitedFleet(seed uint64, daemons int, limit, demand float64, classes []Class) *limitedFleet {
-	f := &limitedFleet{rng: rand.New(rand.NewPCG(seed, 7)), now: t0, limit: limit, asked: map[Class]int{}, granted: map[Class]int{}}
+	f := &limitedFleet{rng: rand.New(rand.NewPCG(seed, 7)), now: t0, limit: limit, requested: map[Class]int{}, granted: map[Class]int{}}
 	sum := 0.0
 	for i := range daemons {
 		sum += f.add(fmt.Sprintf("d%03d", i), f.rng.Float64(), classes).demand
 	}
 	for _, d := range f.daemons {
-		d.demand *= demand / sum // uneven, as a hash of the callers has it
+		d.demand *= demand / sum // uneven, as with callers distributed by hash
 	}
 	f.list()
 	return f
 }
 
 func (f *limitedFleet) add(name string, demand float64, classes []Class) *limitedDaemon {
-	d := &limitedDaemon{name: name, limits: NewLimits(), sends: NewSends(), demand: demand, classes: classes, asks: f.rng.Float64()}
+	d := &limitedDaemon{name: name, limits: NewLimits(), sends: NewSends(), demand: demand, classes: classes, pending: f.rng.Float64()}
 	d.pool = NewPool(name, d.limits, d.sends)
 	f.daemons = append(f.daemons, d)
 	return d
 }
 
-// list has all daemons know all others.
+// list updates the fleet in the pools of all daemons.
 func (f *limitedFleet) list() {
 	var names []string
 	for _, d := range f.daemons {
-		if !d.gone {
+		if !d.removed {
 			names = append(names, d.name)
 		}
 	}
@@ -102,23 +102,23 @@
 	}
 }
 
-// name has the backend server name its limit to one daemon; the others hear of it a
-// moment later.
+// name has the backend server state its limit to one daemon; the others learn of it after
+// newsDelay.
 func (f *limitedFleet) name() {
 	first := f.daemons[f.rng.IntN(len(f.daemons))]
 	for _, d := range f.daemons {
 		at := f.now
 		if d != first {
-			at = at.Add(newsTakes)
+			at = at.Add(newsDelay)
 		}
-		d.told = at
+		d.limitAt = at
 	}
 }
 
-func (d *limitedDaemon) up() bool { return !d.gone && !d.frozen }
+func (d *limitedDaemon) up() bool { return !d.removed && !d.paused }
 
 // reaches reports whether a daemon gets answers from another.
-func (d *limitedDaemon) reaches(o *limitedDaemon) bool { return o.up() && !d.cut && !o.cut }
+func (d *limitedDaemon) reaches(o *limitedDaemon) bool { return o.up() && !d.isolated && !o.isolated }
 
 func (f *limitedFleet) tick() {
 	f.now = f.now.Add(step)
@@ -126,10 +126,10 @@
 		if !d.up() {
 			continue
 		}
-		if !d.told.IsZero() && !f.now.Before(d.told) {
+		if !d.limitAt.IsZero() && !f.now.Before(d.limitAt) {
 			d.limits.Hear(Word{Server: limitedServer, Named: true, Rate: f.limit, SentAt: f.now, At: f.now})
-			if d.heard.IsZero() {
-				d.heard = f.now
+			if d.limitKnownAt.IsZero() {
+				d.limitKnownAt = f.now
 			}
 		}
 		if _, known := d.limits.Of(limitedServer); known {
@@ -139,17 +139,17 @@
 	}
 }
 
-// link keeps a daemon's part with the first daemon that it reaches.
+// link keeps a daemon's part contributed to the first daemon that it reaches.
 func (f *limitedFleet) link(d *limitedDaemon) {
-	if d.to != nil && !d.reaches(d.to) && f.now.Sub(d.polled) > notAsked {
+	if d.to != nil && !d.reaches(d.to) && f.now.Sub(d.polled) > pollTimeout {
 		d.to = nil
 	}
 	if d.to == nil {
 		i := slices.IndexFunc(f.daemons, func(o *limitedDaemon) bool { return o == d || d.reaches(o) })
-		d.to, d.polled = f.daemons[i], f.now.Add(-time.Duration(f.rng.Int64N(int64(polledAt))))
+		d.to, d.polled = f.daemons[i], f.now.Add(-time.Duration(f.rng.Int64N(int64(pollInterval))))
 	}
 	o := d.to
-	if o == d || !d.reaches(o) || f.now.Sub(d.polled) < polledAt {
+	if o == d || !d.reaches(o) || f.now.Sub(d.polled) < pollInterval {
 		return
 	}
 	d.polled = f.now
@@ -157,16 +157,16 @@
 	if to := d.pool.LentTo(f.now); to != "" && to != o.name {
 		return
 	}
-	d.pool.Lend(o.name, f.now.Add(lent), f.now)
-	o.pool.Contribute(d.name, f.now.Add(lent), map[string]int{limitedServer: d.sends.Recent(limitedServer, f.now)})
+	d.pool.Lend(o.name, f.now.Add(lentFor), f.now)
+	o.pool.Contribute(d.name, f.now.Add(lentFor), map[string]int{limitedServer: d.sends.Recent(limitedServer, f.now)})
 }
 
-// call makes the calls that a daemon's callers want now.
+// call makes the calls that are due from a daemon's callers.
 func (f *limitedFleet) call(d *limitedDaemon) {
-	d.asks += d.demand * step.Seconds() * 2 * f.rng.Float64()
-	for ; d.asks >= 1; d.asks-- {
+	d.pending += d.demand * step.Seconds() * 2 * f.rng.Float64()
+	for ; d.pending >= 1; d.pending-- {
 		class := d.classes[f.rng.IntN(len(d.classes))]
-		f.asked[class]++
+		f.requested[class]++
 		if f.permit(d, class) {
 			f.granted[class]++
 			f.calls = append(f.calls, call{f.now, d})
@@ -196,20 +196,20 @@
 	}
 }
 
-// over returns by how many the calls of daemons that were told half a second before
-// exceed what is allowed, at worst, in windows that end at from or later. Those made before
-// a daemon could know count in full; where they alone are more than is allowed no other may
-// follow in that window.
+// over returns by how many calls the allowed number is exceeded at worst, in windows that
+// end at from or later, by daemons that have known the limit for half a second. Calls made
+// before a daemon knew the limit count in full; where these alone exceed what is allowed,
+// no other call may follow in that window.
 func (f *limitedFleet) over(from time.Time) float64 {
 	worst := -1e9
 	for end := from; !end.After(f.now); end = end.Add(100 * time.Millisecond) {
 		before, after := 0, 0
 		for _, c := range f.calls {
-			heard := c.daemon.heard
-			if heard.IsZero() || heard.After(end.Add(-500*time.Millisecond)) || !c.at.After(end.Add(-Window)) || c.at.After(end) {
+			limitKnownAt := c.daemon.limitKnownAt
+			if limitKnownAt.IsZero() || limitKnownAt.After(end.Add(-500*time.Millisecond)) || !c.at.After(end.Add(-Window)) || c.at.After(end) {
 				continue
 			}
-			if c.at.After(heard) {
+			if c.at.After(limitKnownAt) {
 				after++
 			} else {
 				before++
@@ -221,7 +221,7 @@
 	return worst
 }
 
-// used returns the share of the limit that was used from then on.
+// used returns the fraction of the limit that was used since from.
 func (f *limitedFleet) used(from time.Time) float64 {
 	n := 0
 	for _, c := range f.calls {
@@ -234,13 +234,13 @@
 
 var anyClass = []Class{{Workspace: "w"}}
 
-// A limit is used while callers want it, and kept, from 3 to 300 daemons; before it was
-// named the backend server got three times as much.
+// Daemons use most of a limit and do not exceed it, with 3 to 300 daemons and a demand of
+// three times the limit.
 func TestLimitIsUsedAndKept(t *testing.T) {
 	for _, c := range []struct {
 		daemons int
 		limit   float64
-		least   float64
+		minUsed float64
 	}{{3, 3.6, 0.9}, {8, 3.6, 0.9}, {8, 40, 0.9}, {73, 3.6, 0.8}, {300, 3.6, 0.8}, {300, 40, 0.8}, {300, 1.2, 0.8}} {
 		t.Run(fmt.Sprintf("daemons=%d/limit=%g", c.daemons, c.limit), func(t *testing.T) {
 			f := newLimitedFleet(uint64(c.daemons), c.daemons, c.limit, 3*c.limit, anyClass)
@@ -251,29 +251,29 @@
 			used := f.used(named.Add(5 * time.Second))
 			t.Logf("used %.3f of the limit, %+.1f over what is allowed", used, f.over(named.Add(3*time.Second)))
 			require.LessOrEqual(t, f.over(named.Add(3*time.Second)), 0.0)
-			require.GreaterOrEqual(t, used, c.least)
+			require.GreaterOrEqual(t, used, c.minUsed)
 			require.LessOrEqual(t, used, 1.02)
 		})
 	}
 }
 
-// However daemons come, go, freeze and are cut off, those that were told send no more than
-// is allowed. A daemon that is frozen, cut off or gone is not excused here.
-func TestLimitIsKeptThroughTroubles(t *testing.T) {
+// Daemons that know a limit do not exceed it while daemons join, leave, pause and are
+// partitioned. Calls of paused, partitioned or removed daemons count as well.
+func TestLimitIsKeptUnderFaults(t *testing.T) {
 	for shard := range uint64(seedShards) {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
 			for seed := *limitSeed + shard; seed < *limitSeed+*limitSeeds; seed += seedShards {
-				limitThroughTroubles(t, seed)
+				runWithFaults(t, seed)
 			}
 		})
 	}
 }
 
-// seedShards is how many seeds are played at the same time.
+// seedShards is the number of seeds that run in parallel.
 const seedShards = 4
 
-func limitThroughTroubles(t *testing.T, seed uint64) {
+func runWithFaults(t *testing.T, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	daemons := []int{3, 8, 8, 73}[rng.IntN(4)]
 	limit := []float64{0, 0.3, 1, 3.6, 7.4, 30}[rng.IntN(6)]
@@ -282,37 +282,37 @@
 	f.name()
 	named := f.now
 	for range 8 {
-		f.trouble(rng)
+		f.injectFaults(rng)
 		f.run(time.Duration(200+rng.IntN(2500)) * time.Millisecond)
 	}
 	require.LessOrEqual(t, f.over(named.Add(3*time.Second)), 0.0, "seed %d: %d daemons, limit %g", seed, daemons, limit)
 }
 
-// trouble changes the state of some daemons.
-func (f *limitedFleet) trouble(rng *rand.Rand) {
+// injectFaults changes the state of some daemons.
+func (f *limitedFleet) injectFaults(rng *rand.Rand) {
 	for range 1 + rng.IntN(3) {
 		d := f.daemons[rng.IntN(len(f.daemons))]
 		switch rng.IntN(6) {
 		case 0:
-			d.cut = true
+			d.isolated = true
 		case 1:
-			d.frozen = true
+			d.paused = true
 		case 2:
-			d.cut, d.frozen = false, false
+			d.isolated, d.paused = false, false
 		case 3:
-			d.gone = true
+			d.removed = true
 		case 4:
 			n := f.add(fmt.Sprintf("e%03d", len(f.daemons)), d.demand, d.classes)
-			n.told = f.now.Add(newsTakes)
+			n.limitAt = f.now.Add(newsDelay)
 			rng.Shuffle(len(f.daemons), func(i, j int) { f.daemons[i], f.daemons[j] = f.daemons[j], f.daemons[i] })
 		case 5:
-			f.list() // until then who has come is not known to the others
+			f.list() // until then new daemons are unknown to the others
 		}
 	}
 }
 
-// Places go by priority first, then evenly to the workspaces that want them.
-func TestPlacesGoByPriorityThenEvenlyToWorkspaces(t *testing.T) {
+// Permits are granted by priority first, then evenly among workspaces.
+func TestPermitsAreGrantedByPriorityThenEvenlyToWorkspaces(t *testing.T) {
 	classes := []Class{{0, "a"}, {0, "b"}, {0, "b"}, {0, "b"}, {0, "c"}, {0, "c"}, {1, "d"}, {1, "d"}}
 	f := newLimitedFleet(1, 8, 6, 40, classes)
 	f.name()
@@ -321,22 +321,22 @@
 	for _, n := range f.granted {
 		total += n
 	}
-	t.Logf("asked %v, granted %v", f.asked, f.granted)
+	t.Logf("asked %v, granted %v", f.requested, f.granted)
 	for _, w := range []string{"a", "b", "c"} {
 		require.InDelta(t, float64(total)/3, f.granted[Class{0, w}], 0.05*float64(total), w)
 	}
 	require.LessOrEqual(t, float64(f.granted[Class{1, "d"}]), 0.05*float64(total))
 }
 
-// What the most urgent do not want goes to the others.
-func TestWhatTheUrgentLeaveIsUsed(t *testing.T) {
+// Calls that the most urgent class does not use are granted to the others.
+func TestCallsUnusedByUrgentClassAreGranted(t *testing.T) {
 	classes := []Class{{0, "a"}, {1, "b"}, {1, "b"}, {1, "b"}, {1, "b"}, {1, "c"}, {1, "c"}, {1, "c"}, {1, "c"}, {1, "c"}}
 	f := newLimitedFleet(2, 8, 6, 30, classes)
 	f.name()
 	f.run(60 * time.Second)
-	t.Logf("asked %v, granted %v", f.asked, f.granted)
+	t.Logf("asked %v, granted %v", f.requested, f.granted)
 	a, b, c := f.granted[classes[0]], f.granted[classes[1]], f.granted[classes[5]]
-	require.GreaterOrEqual(t, float64(a), 0.9*float64(f.asked[classes[0]]))
+	require.GreaterOrEqual(t, float64(a), 0.9*float64(f.requested[classes[0]]))
 	require.InDelta(t, b, c, 0.05*float64(a+b+c))
 	require.GreaterOrEqual(t, float64(a+b+c)/60/6, 0.9)
 }
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Word is what one answer of a backend server says of the requests that it takes from
-// all daemons together. Times are of the clock of package boottime.
+// Word is what one answer of a backend server reports about its limit on requests, which
+// applies to all daemons together. Times are of the clock of package boottime.
 type Word struct {
-	Server string  // the incarnation
-	Named  bool    // the answer names a limit
-	Rate   float64 // the limit in requests a second, if it is named
+	Server string  // incarnation
+	Named  bool    // the answer states a limit
+	Rate   float64 // the limit in requests a second, if stated
 	SentAt time.Time
-	At     time.Time // when the answer came
+	At     time.Time // when the answer was received
 }
 
-// Limit is the last limit that a backend server has named.
+// Limit is the limit that a backend server stated last.
 type Limit struct {
 	Server string
 	Rate   float64   // requests a second
-	Since  time.Time // when it was first named; changes of its rate do not count
-	At     time.Time // when it was last named
+	Since  time.Time // when it was first stated; changes of its rate do not count
+	At     time.Time // when it was last stated
 }
 
-// Change says what a word has changed.
+// Change is the effect of a report.
 type Change uint8
 
 // The changes.
@@ -42,63 +42,61 @@
 	return [...]string{"unchanged", "learnt", "changed", "ended"}[c]
 }
 
-// keepEnded is how long it is remembered that a limit has ended, so that an older word of
-// another daemon does not bring it back.
-const keepEnded = 10 * time.Second
+// endedRetention is how long the end of a limit is kept, so that an older report of
+// another daemon does not restore the limit.
+const endedRetention = 10 * time.Second
 
-// Limits keeps the limits that backend servers have named. Daemons tell each other what
-// changes, and all books become alike. It is safe for concurrent use.
+// Limits holds the limits that backend servers have stated. Daemons exchange the changes,
+// so that all tables converge. It is safe for concurrent use.
 //
-// Answers over different connections overtake one another. So a limit ends only by an
-// answer to a request that was sent after the limit was last named: an older one may have
-// been made before.
+// Answers over different connections may be reordered. A limit therefore ends only by an
+// answer to a request that was sent after the limit was last stated.
 type Limits struct {
 	mu      sync.Mutex
-	words   map[string]*heard // by incarnation
-	known   int               // limits among them
-	version uint64            // of the last change
-	changed chan struct{}     // closed at the next one
+	states  map[string]*limitState // by incarnation
+	known   int                    // limits in force among them
+	version uint64                 // of the last change
+	changed chan struct{}          // closed at the next one
 }
 
-// heard is what is known of one backend server.
-type heard struct {
+// limitState is the known state of one backend server's limit.
+type limitState struct {
 	limit   Limit
-	named   bool      // the limit holds
-	sentAt  time.Time // of the request whose answer named it last
+	named   bool      // the limit is in force
+	sentAt  time.Time // of the request whose answer stated it last
 	endedBy Word      // the zero Word if it has never ended
 	version uint64
 }
 
-// NewLimits returns an empty book.
+// NewLimits returns an empty table.
 func NewLimits() *Limits {
-	return &Limits{words: map[string]*heard{}, changed: make(chan struct{})}
+	return &Limits{states: map[string]*limitState{}, changed: make(chan struct{})}
 }
 
-// Hear takes a word and returns what it has changed, with the limit as it was before and
-// is now.
+// Hear applies a report and returns its effect, with the limit before and after.
 func (b *Limits) Hear(w Word) (c Change, before, now Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h := b.words[w.Server]
+	h := b.states[w.Server]
 	if h == nil {
 		if !w.Named {
 			return Unchanged, Limit{}, Limit{}
 		}
-		h = &heard{}
-		b.words[w.Server] = h
+		h = &limitState{}
+		b.states[w.Server] = h
 	}
 	before = h.limit
 	if w.Named {
-		c = h.name(w)
+		c = h.setNamed(w)
 	} else {
-		c = h.end(w)
+		c = h.setUnnamed(w)
 	}
-	b.note(h, c)
+	b.recordChange(h, c)
 	return c, before, h.limit
 }
 
-// note counts a change and tells of it.
-func (b *Limits) note(h *heard, c Change) {
+// recordChange counts a change and notifies waiters.
+func (b *Limits) recordChange(h *limitState, c Change) {
 	switch c {
 	case Unchanged:
 		return
@@ -110,20 +108,20 @@
 	b.touch(h)
 }
 
-// Declare takes the limits that are known beforehand, in requests a second by backend
-// server: one that is not named has none. It returns what has changed. Limits of a book are
-// either declared or heard.
+// Declare sets all limits at once, in requests a second by backend server, and returns
+// the changes. A backend server without an entry has no limit. The limits of one table
+// come either from Declare or from Hear.
 func (b *Limits) Declare(rates map[string]float64, now time.Time) []Declared {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Declared
 	for server, rate := range rates {
-		if b.words[server] == nil {
-			b.words[server] = &heard{}
+		if b.states[server] == nil {
+			b.states[server] = &limitState{}
 		}
 		out = b.declare(out, server, true, rate, now)
 	}
-	for server, h := range b.words {
+	for server, h := range b.states {
 		if _, still := rates[server]; !still && h.named {
 			out = b.declare(out, server, false, 0, now)
 		}
@@ -131,15 +129,15 @@
 	return out
 }
 
-// Declared is what a declaration has changed.
+// Declared is a change made by Declare.
 type Declared struct {
 	Server string
 	Change Change
-	Rate   float64 // now
+	Rate   float64 // the new rate
 }
 
 func (b *Limits) declare(out []Declared, server string, named bool, rate float64, now time.Time) []Declared {
-	h := b.words[server]
+	h := b.states[server]
 	c := Unchanged
 	switch {
 	case named && !h.named:
@@ -153,27 +151,27 @@
 		h.limit, h.endedBy = Limit{}, Word{Server: server, SentAt: now, At: now}
 	}
 	h.named = named
-	b.note(h, c)
+	b.recordChange(h, c)
 	if c == Unchanged {
 		return out
 	}
 	return append(out, Declared{Server: server, Change: c, Rate: rate})
 }
 
-// Retell has a limit that holds told again: another daemon takes it to have ended, and does
-// not know what was named since.
+// Retell publishes a limit in force again, for a daemon that takes it to have ended and
+// missed a later report.
 func (b *Limits) Retell(server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h := b.words[server]; h != nil && h.named {
+	if h := b.states[server]; h != nil && h.named {
 		b.touch(h)
 	}
 }
 
-// name takes a word that names a limit.
-func (h *heard) name(w Word) Change {
+// setNamed applies a report that states a limit.
+func (h *limitState) setNamed(w Word) Change {
 	if w.At.Before(h.limit.At) || !w.At.After(h.endedBy.SentAt) {
-		return Unchanged // older than what is known
+		return Unchanged // older than the known state
 	}
 	before, was := h.limit, h.named
 	h.limit = Limit{Server: w.Server, Rate: w.Rate, Since: w.At, At: w.At}
@@ -189,8 +187,8 @@
 	return Unchanged
 }
 
-// end takes a word that names none.
-func (h *heard) end(w Word) Change {
+// setUnnamed applies a report that states no limit.
+func (h *limitState) setUnnamed(w Word) Change {
 	if !h.named || !w.SentAt.After(h.limit.At) {
 		return Unchanged
 	}
@@ -198,8 +196,8 @@
 	return Ended
 }
 
-// touch gives what has changed a new version and tells those who wait for changes.
-func (b *Limits) touch(h *heard) {
+// touch assigns a new version to a changed entry and wakes those that wait for changes.
+func (b *Limits) touch(h *limitState) {
 	b.version++
 	h.version = b.version
 	close(b.changed)
@@ -210,25 +208,25 @@
 func (b *Limits) Of(server string) (Limit, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h := b.words[server]; h != nil && h.named {
+	if h := b.states[server]; h != nil && h.named {
 		return h.limit, true
 	}
 	return Limit{}, false
 }
 
-// Size returns how many limits are known.
+// Size returns the number of limits in force.
 func (b *Limits) Size() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.known
 }
 
-// All returns the limits that are known, by backend server.
+// All returns the limits in force, sorted by backend server.
 func (b *Limits) All() []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Limit
-	for _, h := range b.words {
+	for _, h := range b.states {
 		if h.named {
 			out = append(out, h.limit)
 		}
@@ -237,21 +235,21 @@
 	return out
 }
 
-// Since returns the words that changed something since a version, oldest change first,
-// with the version to ask for next.
+// Since returns the reports that changed something after a version, oldest change first,
+// and the version to pass to the next call.
 func (b *Limits) Since(version uint64) (words []Word, next uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if version == b.version {
 		return nil, version
 	}
-	var news []*heard
-	for _, h := range b.words {
+	var news []*limitState
+	for _, h := range b.states {
 		if h.version > version {
 			news = append(news, h)
 		}
 	}
-	slices.SortFunc(news, func(x, y *heard) int { return cmp.Compare(x.version, y.version) })
+	slices.SortFunc(news, func(x, y *limitState) int { return cmp.Compare(x.version, y.version) })
 	for _, h := range news {
 		if h.named {
 			words = append(words, Word{Server: h.limit.Server, Named: true, Rate: h.limit.Rate, SentAt: h.sentAt, At: h.limit.At})
@@ -269,15 +267,16 @@
 	return b.changed
 }
 
-// Forget drops the limits of backend servers that are gone, and those that ended long ago.
+// Forget removes the limits of backend servers that are gone, and those that ended more
+// than endedRetention ago.
 func (b *Limits) Forget(known func(server string) bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	maps.DeleteFunc(b.words, func(server string, h *heard) bool {
-		gone := !known(server)
-		if gone && h.named {
+	maps.DeleteFunc(b.states, func(server string, h *limitState) bool {
+		removed := !known(server)
+		if removed && h.named {
 			b.known--
 		}
-		return gone || !h.named && now.Sub(h.endedBy.At) > keepEnded
+		return removed || !h.named && now.Sub(h.endedBy.At) > endedRetention
 	})
 }
--- a/quota/limits_test.go
+++ b/quota/limits_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLimitEndsByALaterRequestAlone(t *testing.T) {
+func TestLimitEndsOnlyByALaterRequest(t *testing.T) {
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 	b := NewLimits()
-	hear := func(named bool, rate float64, sent, came int) Change {
-		c, _, _ := b.Hear(Word{Server: "s", Named: named, Rate: rate, SentAt: at(sent), At: at(came)})
+	observe := func(named bool, rate float64, sent, received int) Change {
+		c, _, _ := b.Hear(Word{Server: "s", Named: named, Rate: rate, SentAt: at(sent), At: at(received)})
 		return c
 	}
-	require.Equal(t, Unchanged, hear(false, 0, 0, 10), "nothing was named")
-	require.Equal(t, Learnt, hear(true, 4, 0, 20))
-	require.Equal(t, Unchanged, hear(false, 0, 15, 30), "made before the limit was named, or after: nobody knows")
-	require.Equal(t, Unchanged, hear(true, 4, 25, 40))
-	require.Equal(t, Changed, hear(true, 0, 30, 50), "zero is a limit")
+	require.Equal(t, Unchanged, observe(false, 0, 0, 10), "no limit was stated")
+	require.Equal(t, Learnt, observe(true, 4, 0, 20))
+	require.Equal(t, Unchanged, observe(false, 0, 15, 30), "the request was sent before the limit was stated")
+	require.Equal(t, Unchanged, observe(true, 4, 25, 40))
+	require.Equal(t, Changed, observe(true, 0, 30, 50), "zero is a limit")
 	l, known := b.Of("s")
 	require.True(t, known)
 	require.Equal(t, Limit{Server: "s", Rate: 0, Since: at(20), At: at(50)}, l)
-	require.Equal(t, Ended, hear(false, 0, 51, 60))
-	require.Equal(t, Learnt, hear(true, 1, 60, 70))
+	require.Equal(t, Ended, observe(false, 0, 51, 60))
+	require.Equal(t, Learnt, observe(true, 1, 60, 70))
 	require.Equal(t, 1, b.Size())
 	b.Forget(func(string) bool { return false }, t0)
 	require.Zero(t, b.Size())
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,16 +1,16 @@
-// Package quota divides limits of the whole fleet among the daemons. It is pure: demands
-// and a clock in, shares and permits out.
+// Package quota divides limits of the whole fleet among the daemons. It does no I/O:
+// callers pass in demands and times and apply the returned shares and permits.
 //
-// Limits that backend servers name are kept call by call (Pool): few calls, each of which
-// counts. Quotas of workspaces are divided in proportion to demand (Owner, Tracker): many
-// requests, none of which may wait for another daemon.
+// Limits stated by backend servers are enforced per call (Pool): calls are few, and each
+// one counts. Quotas of workspaces are divided in proportion to demand (Owner, Tracker):
+// requests are many, and none may wait for another daemon.
 //
-// For quotas one daemon, the owner, grants shares of a workspace's limit. A fifth of the
-// limit is split evenly, so that a daemon without demand so far can begin at
-// once; the rest goes by demand. Grants of one owner add up to at most 1. A
-// daemon without a grant uses 1/N; so while an owner is replaced the shares add
-// up to at most 2, for at most GrantFor, and with d of N daemons cut off from the
-// owner to at most 1 + d/N.
+// For quotas one daemon, the owner, grants shares of a workspace's limit. A fixed part of
+// the limit (evenShare) is split evenly, so that a daemon without prior demand can start
+// at once; the rest is split by demand. Grants of one owner add up to at most 1. A daemon
+// without a grant uses 1/N. While an owner is replaced the shares therefore add up to at
+// most 2, for at most GrantFor, and with d of N daemons partitioned from the owner to at
+// most 1 + d/N.
 package quota
 
 import (
@@ -20,16 +20,16 @@
 // Periods of demands and grants.
 const (
 	ReportEvery = 5 * time.Second
-	GrantFor    = 15 * time.Second // after which a demand or a grant is forgotten
+	GrantFor    = 15 * time.Second // time to live of a demand or a grant
 )
 
-// evenPart is the part of a limit that is split evenly.
-const evenPart = 0.2
+// evenShare is the fraction of a limit that is split evenly.
+const evenShare = 0.2
 
-// Demand is what one daemon asks for.
+// Demand is the demand of one daemon.
 type Demand struct {
 	Workspace string  `cbor:"1,keyasint"`
-	Rate      float64 `cbor:"2,keyasint"` // requests per second that arrived
+	Rate      float64 `cbor:"2,keyasint"` // arrived requests per second
 }
 
 // Grant is an owner's answer.
@@ -40,48 +40,48 @@
 
 // Owner grants shares. It is not safe for concurrent use.
 type Owner struct {
-	demands map[string]map[string]*asked
+	demands map[string]map[string]*requested
 }
 
-type asked struct {
+type requested struct {
 	rate    float64
 	granted float64
 	at      time.Time
 }
 
-// NewOwner returns an owner that knows no demand.
-func NewOwner() *Owner { return &Owner{demands: map[string]map[string]*asked{}} }
+// NewOwner returns an owner without demands.
+func NewOwner() *Owner { return &Owner{demands: map[string]map[string]*requested{}} }
 
-// Grant takes a daemon's demand and returns its share among n daemons. What
-// others were granted is taken back only when they ask again, so a grant never
-// exceeds what is not granted.
+// Grant records a daemon's demand and returns its share among n daemons. Shares of other
+// daemons are reduced only at their next request, so a grant never exceeds the ungranted
+// rest.
 func (o *Owner) Grant(daemon string, d Demand, n int, now time.Time) Grant {
-	by := o.demands[d.Workspace]
-	if by == nil {
-		by = map[string]*asked{}
-		o.demands[d.Workspace] = by
+	entries := o.demands[d.Workspace]
+	if entries == nil {
+		entries = map[string]*requested{}
+		o.demands[d.Workspace] = entries
 	}
-	mine := by[daemon]
-	if mine == nil {
-		mine = &asked{}
-		by[daemon] = mine
+	own := entries[daemon]
+	if own == nil {
+		own = &requested{}
+		entries[daemon] = own
 	}
-	mine.rate, mine.at = d.Rate, now
-	total, others := o.sums(by, daemon, now)
-	even := evenPart / float64(max(1, n))
+	own.rate, own.at = d.Rate, now
+	total, others := o.sums(entries, daemon, now)
+	even := evenShare / float64(max(1, n))
 	fair := 0.0
 	if total > 0 {
-		fair = (1 - evenPart) * d.Rate / total
+		fair = (1 - evenShare) * d.Rate / total
 	}
-	mine.granted = max(0, min(fair, 1-evenPart-others))
-	return Grant{Workspace: d.Workspace, Share: even + mine.granted}
+	own.granted = max(0, min(fair, 1-evenShare-others))
+	return Grant{Workspace: d.Workspace, Share: even + own.granted}
 }
 
-// sums returns the demand of all daemons and what others hold by demand.
-func (o *Owner) sums(by map[string]*asked, daemon string, now time.Time) (total, others float64) {
-	for name, a := range by {
+// sums returns the demand of all daemons and the shares granted to the others by demand.
+func (o *Owner) sums(entries map[string]*requested, daemon string, now time.Time) (total, others float64) {
+	for name, a := range entries {
 		if now.Sub(a.at) > GrantFor {
-			delete(by, name)
+			delete(entries, name)
 			continue
 		}
 		total += a.rate
@@ -92,21 +92,22 @@
 	return total, others
 }
 
-// Tracker is one daemon's side. It is not safe for concurrent use.
+// Tracker counts the demand of one daemon and holds its grants. It is not safe for
+// concurrent use.
 type Tracker struct {
 	counts map[string]int // requests since the last report
-	grants map[string]held
+	grants map[string]grantEntry
 	last   time.Time
 }
 
-type held struct {
+type grantEntry struct {
 	share float64
 	until time.Time
 }
 
 // NewTracker returns a tracker without grants.
 func NewTracker(now time.Time) *Tracker {
-	return &Tracker{counts: map[string]int{}, grants: map[string]held{}, last: now}
+	return &Tracker{counts: map[string]int{}, grants: map[string]grantEntry{}, last: now}
 }
 
 // Share counts a request of a workspace and returns this daemon's share of its
@@ -119,8 +120,8 @@
 	return 1 / float64(max(1, n))
 }
 
-// Report returns the demands since the last report. Workspaces with a grant but
-// no requests are reported with rate 0, so that the owner gives their share away.
+// Report returns the demands since the last report. Workspaces with a grant but without
+// requests are reported with rate 0, so that the owner can grant their share to others.
 func (t *Tracker) Report(now time.Time) []Demand {
 	seconds := max(now.Sub(t.last).Seconds(), 1e-3)
 	var out []Demand
@@ -140,7 +141,7 @@
 	return out
 }
 
-// Take puts a grant into use.
+// Take applies a grant.
 func (t *Tracker) Take(g Grant, now time.Time) {
-	t.grants[g.Workspace] = held{share: g.Share, until: now.Add(GrantFor)}
+	t.grants[g.Workspace] = grantEntry{share: g.Share, until: now.Add(GrantFor)}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -11,9 +11,8 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Whatever daemons ask in whatever order, what one owner has granted never adds
-// up to more than the whole.
-func TestGrantsNeverExceedTheWhole(t *testing.T) {
+// The unexpired grants of one owner never add up to more than 1, in any order of requests.
+func TestGrantsNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := NewOwner()
 		now := t0
@@ -36,8 +35,8 @@
 	})
 }
 
-// fleet plays n daemons, of which some reach the owner, and returns the requests
-// admitted a second as a share of the limit over the last ten seconds.
+// fleet simulates n daemons, some of which reach the owner, and returns the requests
+// admitted a second as a fraction of the limit over the last ten seconds.
 func fleet(n int, demand func(d, second int) int, reaches func(d, second int) bool, seconds int) float64 {
 	owner := NewOwner()
 	var trackers []*Tracker
@@ -87,10 +86,9 @@
 	require.LessOrEqual(t, fleet(8, moves, always, 45), 1.0001)
 }
 
-// Daemons that are cut off from the owner overshoot by no more than their even
-// shares.
+// Daemons that cannot reach the owner overshoot by at most their even shares.
 func TestOvershootIsBounded(t *testing.T) {
 	busy := func(int, int) int { return 100 }
-	cut := func(d, s int) bool { return s < 20 || d >= 3 }
-	require.LessOrEqual(t, fleet(8, busy, cut, 60), 1+3.0/8+1e-9)
+	partitioned := func(d, s int) bool { return s < 20 || d >= 3 }
+	require.LessOrEqual(t, fleet(8, busy, partitioned, 60), 1+3.0/8+1e-9)
 }
