--- a/permit/allocator.go
+++ b/permit/allocator.go
@@ -14,8 +14,8 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// ServeHTTP serves a daemon that contributes its part, until the link ends. It implements
-// http.Handler.
+// ServeHTTP serves the link of a daemon that contributes its part, until the link ends. It
+// implements http.Handler.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get(nameParam)
 	if name == "" {
@@ -31,8 +31,8 @@
 	ctx, cancel := context.WithCancel(n.serving)
 	defer cancel()
 	l := &contributor{node: n, conn: c, name: name}
-	go n.tellWords(ctx, c)
-	go l.polls(ctx, cancel)
+	go n.sendReports(ctx, c)
+	go l.pollLoop(ctx, cancel)
 	l.read(ctx)
 }
 
@@ -42,11 +42,11 @@
 	conn   *websocket.Conn
 	name   string
 	number atomic.Uint64 // of the last poll
-	sentAt atomic.Int64  // of it, in nanoseconds of this process's clock
+	sentAt atomic.Int64  // of the last poll, see sinceStart
 }
 
-// polls asks for the part while a limit is known, until the link ends.
-func (l *contributor) polls(ctx context.Context, end func()) {
+// pollLoop polls for the part while a limit is known, until the link ends.
+func (l *contributor) pollLoop(ctx context.Context, end func()) {
 	defer end()
 	limits := l.node.opts.Limits
 	for ctx.Err() == nil {
@@ -59,22 +59,22 @@
 			continue
 		}
 		if l.poll(ctx) != nil {
-			return // the link is over
+			return // the link has ended
 		}
-		wait.For(ctx, pollEvery)
+		wait.For(ctx, pollInterval)
 	}
 	if l.node.serving.Err() != nil {
-		l.giveBack(ctx)
+		l.returnPart(ctx)
 	}
 }
 
-// giveBack gives the part back when this daemon stops: else it would be nobody's until its
-// time is over.
-func (l *contributor) giveBack(ctx context.Context) {
+// returnPart returns the part when this daemon stops. Otherwise no daemon could use it until
+// the contribution expires.
+func (l *contributor) returnPart(ctx context.Context) {
 	l.node.opts.Pool.Withdraw(l.name)
 	err := writeFrame(context.WithoutCancel(ctx), l.conn, &frame{Poll: &poll{Returned: true}})
 	if err != nil {
-		_ = level.Info(l.node.opts.Logger).Log("msg", "part not given back, it ends by itself", "name", l.name, "err", err)
+		_ = level.Info(l.node.opts.Logger).Log("msg", "part not returned, it expires", "name", l.name, "err", err)
 	}
 }
 
@@ -84,34 +84,35 @@
 	return writeFrame(ctx, l.conn, &frame{Poll: &poll{Number: l.number.Add(1)}})
 }
 
-// processStart is what times that are kept as numbers are counted from.
+// processStart is the origin of times that are stored as numbers.
 var processStart = boottime.Now()
 
+// sinceStart returns the nanoseconds from processStart to t.
 func sinceStart(t time.Time) int64 { return int64(t.Sub(processStart)) }
 
-// read takes parts, requests and news. A part counts from the poll that it answers, which
-// was sent before the daemon gave it.
+// read handles parts, permit requests and limit reports. A part counts from the time of the
+// poll that it answers, which is before the daemon contributed it.
 func (l *contributor) read(ctx context.Context) {
 	pool := l.node.opts.Pool
 	for {
 		f, err := readFrame(ctx, l.conn)
 		if err != nil {
-			return // the link is over
+			return // the link has ended
 		}
 		switch {
 		case f.Part != nil && f.Part.Number == l.number.Load():
-			pool.Contribute(l.name, processStart.Add(time.Duration(l.sentAt.Load())).Add(lentFor), f.Part.Sent)
-		case f.Ask != nil:
-			if l.decide(ctx, f.Ask) != nil {
-				return // the link is over
+			pool.Contribute(l.name, processStart.Add(time.Duration(l.sentAt.Load())).Add(partTTL), f.Part.Sent)
+		case f.Request != nil:
+			if l.decide(ctx, f.Request) != nil {
+				return // the link has ended
 			}
-		case f.Words != nil:
-			l.node.hearWords(l.name, f.Words)
+		case f.Reports != nil:
+			l.node.receiveReports(l.name, f.Reports)
 		}
 	}
 }
 
-func (l *contributor) decide(ctx context.Context, a *ask) error {
+func (l *contributor) decide(ctx context.Context, a *permitRequest) error {
 	request := quota.PermitRequest{Servers: a.Servers, Class: quota.Class{Priority: a.Priority, Workspace: a.Workspace}}
 	d := l.node.opts.Pool.Decide(l.name, request, boottime.Now())
 	return writeFrame(ctx, l.conn, &frame{Decision: &decision{Number: a.Number, Granted: d.Granted, Server: d.Server, After: d.After, Back: d.Back}})
--- a/permit/fleet_test.go
+++ b/permit/fleet_test.go
@@ -22,7 +22,7 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// virtualFleet is a number of daemons that keep limits together over links in memory.
+// virtualFleet is a number of daemons that enforce limits together over links in memory.
 type virtualFleet struct {
 	net    *memnet.Net
 	all    []Member
@@ -30,7 +30,7 @@
 	limits []*quota.Limits
 
 	mu    sync.Mutex
-	calls []time.Time // that were permitted
+	calls []time.Time // permitted calls
 }
 
 func newVirtualFleet(t *testing.T, ctx context.Context, daemons int) *virtualFleet {
@@ -55,7 +55,7 @@
 	return f
 }
 
-// hostNet listens at one address of a host whatever it is asked for.
+// hostNet listens at one address of a host, whatever address is requested.
 type hostNet struct {
 	*memnet.Host
 	address string
@@ -67,8 +67,8 @@
 // host returns a daemon's address without its port.
 func host(i int) string { return fmt.Sprintf("10.0.%d.%d", i/250, 1+i%250) }
 
-// know returns how many daemons know a limit.
-func (f *virtualFleet) know() int {
+// countKnown returns how many daemons know a limit.
+func (f *virtualFleet) countKnown() int {
 	n := 0
 	for _, l := range f.limits {
 		n += l.Size()
@@ -76,7 +76,7 @@
 	return n
 }
 
-// call has callers at all daemons want so many calls a second together, until ctx ends.
+// call makes perSecond calls a second at random daemons until ctx ends.
 func (f *virtualFleet) call(ctx context.Context, perSecond float64, rng *rand.Rand) {
 	for wait.For(ctx, time.Duration(rng.ExpFloat64()/perSecond*float64(time.Second))) {
 		n := f.nodes[rng.IntN(len(f.nodes))]
@@ -88,7 +88,7 @@
 	}
 }
 
-// between returns how many calls there were from one time to another.
+// between returns the number of calls after from and up to to.
 func (f *virtualFleet) between(from, to time.Time) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,8 +101,8 @@
 	return n
 }
 
-// cutOff cuts a daemon off from all others.
-func (f *virtualFleet) cutOff(i int) {
+// isolate cuts the links between a daemon and all others.
+func (f *virtualFleet) isolate(i int) {
 	for j := range f.nodes {
 		if j != i {
 			f.net.Cut(host(i), host(j))
@@ -110,23 +110,23 @@
 	}
 }
 
-// What one daemon hears of a limit all know within half a second, and all use it together
-// and keep it, while the allocator is cut off from the others and comes back.
-func TestFleetKeepsALimitWhileItsAllocatorIsCutOff(t *testing.T) {
+// A limit that one daemon learns of is known to all within half a second. The daemons use
+// it and do not exceed it, also while the allocator is isolated and after it is back.
+func TestFleetKeepsALimitWhileItsAllocatorIsIsolated(t *testing.T) {
 	const rate = 8.0
 	for _, c := range []struct {
 		daemons int
-		least   float64
+		minUsed float64
 	}{{3, 0.9}, {8, 0.9}, {73, 0.8}, {300, 0.8}} {
 		t.Run(fmt.Sprint(c.daemons), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				f := newVirtualFleet(t, ctx, c.daemons)
-				time.Sleep(2*betterEvery + time.Second) // all have found the first
+				time.Sleep(2*preferredCheckInterval + time.Second) // all have found the first one
 				began := time.Now()
 				now := boottime.Now()
 				f.limits[c.daemons/2].Hear(quota.Word{Server: "s", Named: true, Rate: rate, SentAt: now, At: now})
-				for f.know() < c.daemons && time.Since(began) < time.Second {
+				for f.countKnown() < c.daemons && time.Since(began) < time.Second {
 					time.Sleep(time.Millisecond)
 				}
 				t.Logf("known to all after %s", time.Since(began))
@@ -137,16 +137,16 @@
 				time.Sleep(20 * time.Second)
 				used := float64(f.between(time.Now().Add(-15*time.Second), time.Now())) / rate / 15
 				first := slices.IndexFunc(f.all, func(m Member) bool { return m.Name == f.nodes[0].allocators()[0].Name })
-				f.cutOff(first)
+				f.isolate(first)
 				time.Sleep(6 * time.Second)
-				cut := float64(f.between(time.Now().Add(-3*time.Second), time.Now())) / rate / 3
+				isolated := float64(f.between(time.Now().Add(-3*time.Second), time.Now())) / rate / 3
 				f.net.Heal()
 				time.Sleep(8 * time.Second)
 				cancel()
 				callers.Wait()
-				t.Logf("used %.2f of the limit, %.2f without the allocator", used, cut)
-				assert.GreaterOrEqual(t, used, c.least)
-				assert.GreaterOrEqual(t, cut, 0.5, "the others are together again")
+				t.Logf("used %.2f of the limit, %.2f without the allocator", used, isolated)
+				assert.GreaterOrEqual(t, used, c.minUsed)
+				assert.GreaterOrEqual(t, isolated, 0.5, "the others have a common allocator again")
 				most := 0
 				for _, end := range f.calls {
 					most = max(most, f.between(end.Add(-quota.Window), end))
--- a/permit/follow.go
+++ b/permit/follow.go
@@ -16,54 +16,54 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// Times of following an allocator.
+// Timing of the link to an allocator.
 const (
-	// betterEvery is how often one that comes before the present one is looked for, and
-	// allocatorPause the pause after a link has ended or none could be made.
-	betterEvery    = 2 * time.Second
-	allocatorPause = 200 * time.Millisecond
-	// fleetEvery is how often the pool is told which daemons there are.
-	fleetEvery = time.Second
+	// preferredCheckInterval is how often a preferred allocator is looked for, and
+	// reconnectDelay the pause after a link has ended or could not be opened.
+	preferredCheckInterval = 2 * time.Second
+	reconnectDelay         = 200 * time.Millisecond
+	// fleetInterval is how often the pool's list of daemons is updated.
+	fleetInterval = time.Second
 	// dialTimeout bounds the opening of a link.
 	dialTimeout = 400 * time.Millisecond
-	// watchEvery is how often it is looked at whether the allocator still asks.
-	watchEvery = 100 * time.Millisecond
+	// watchInterval is how often the time since the last poll is checked.
+	watchInterval = 100 * time.Millisecond
 )
 
-// What ends the link to an allocator.
+// Causes for leaving an allocator.
 var (
-	errUnasked  = errors.New("permit: allocator does not ask")
-	errReturned = errors.New("permit: allocator stops")
-	errBetter   = errors.New("permit: a better allocator can be reached")
+	errNotPolled = errors.New("permit: no poll from the allocator")
+	errStopping  = errors.New("permit: allocator is stopping")
+	errPreferred = errors.New("permit: a preferred allocator is reachable")
 )
 
-// allocator is a daemon's link to its allocator.
+// allocator is a daemon's link to its allocator. mu guards the fields below it.
 type allocator struct {
 	node *Node
 	name string
 	conn *websocket.Conn
 
-	mu      sync.Mutex
-	number  uint64
-	pending map[uint64]*asked
-	askedAt time.Time // when the allocator last asked for the part
+	mu       sync.Mutex
+	number   uint64
+	pending  map[uint64]*pendingRequest
+	polledAt time.Time // when the allocator last polled
 }
 
-// Run keeps a link to the allocator until ctx ends. A daemon that comes before all that it
-// can reach is its own.
+// Run keeps a link to the allocator until ctx ends. A daemon that precedes all daemons it
+// can reach is its own allocator.
 func (n *Node) Run(ctx context.Context) {
 	defer n.stopServing()
-	go n.keepFleet(ctx)
+	go n.runFleetUpdates(ctx)
 	for ctx.Err() == nil {
 		if n.opts.HearLimit == nil {
 			n.awaitLimit(ctx)
 		}
 		n.followAllocator(ctx)
-		wait.For(ctx, allocatorPause)
+		wait.For(ctx, reconnectDelay)
 	}
 }
 
-// awaitLimit waits until a limit is known: daemons that tell each other none need no link
+// awaitLimit waits until a limit is known. Daemons that do not exchange limits need no link
 // before.
 func (n *Node) awaitLimit(ctx context.Context) {
 	for {
@@ -79,17 +79,17 @@
 	}
 }
 
-// keepFleet tells the pool again and again which daemons there are.
-func (n *Node) keepFleet(ctx context.Context) {
-	n.tellFleet()
-	for wait.For(ctx, fleetEvery) {
-		n.tellFleet()
+// runFleetUpdates updates the pool's list of daemons periodically.
+func (n *Node) runFleetUpdates(ctx context.Context) {
+	n.updateFleet()
+	for wait.For(ctx, fleetInterval) {
+		n.updateFleet()
 		n.opts.Pool.Forget()
 	}
 }
 
-// tellFleet tells the pool which daemons there are.
-func (n *Node) tellFleet() {
+// updateFleet updates the pool's list of daemons.
+func (n *Node) updateFleet() {
 	all := n.opts.Members()
 	names := make([]string, len(all))
 	for i, m := range all {
@@ -98,12 +98,12 @@
 	n.opts.Pool.SetFleet(names, boottime.Now())
 }
 
-// followAllocator follows the first daemon that can be reached until that fails or one
-// before it can be reached again. It returns at once if there is none.
+// followAllocator follows the first reachable daemon until the link fails or a preferred
+// daemon is reachable. It returns at once if none is reachable.
 func (n *Node) followAllocator(ctx context.Context) {
 	for rank, m := range n.allocators() {
 		if m.Name == n.opts.Name {
-			n.awaitBetter(ctx, rank, m)
+			n.awaitPreferred(ctx, rank, m)
 			return
 		}
 		if c, err := n.dialAllocator(ctx, m); err == nil {
@@ -113,19 +113,19 @@
 	}
 }
 
-// awaitBetter returns when a daemon that comes before a present allocator can be reached,
-// or the list of daemons has changed so that it is not of that rank any more.
-func (n *Node) awaitBetter(ctx context.Context, rank int, present Member) {
-	for wait.For(ctx, betterEvery) {
+// awaitPreferred returns when a daemon before the given rank is reachable, or when present no
+// longer has that rank.
+func (n *Node) awaitPreferred(ctx context.Context, rank int, present Member) {
+	for wait.For(ctx, preferredCheckInterval) {
 		all := n.allocators()
-		if rank >= len(all) || all[rank].Name != present.Name || n.anyReached(ctx, all[:rank]) {
+		if rank >= len(all) || all[rank].Name != present.Name || n.anyReachable(ctx, all[:rank]) {
 			return
 		}
 	}
 }
 
-// anyReached reports whether one of some daemons takes a link.
-func (n *Node) anyReached(ctx context.Context, of []Member) bool {
+// anyReachable reports whether any of the daemons accepts a link.
+func (n *Node) anyReachable(ctx context.Context, of []Member) bool {
 	for _, m := range of {
 		if c, err := n.dialAllocator(ctx, m); err == nil {
 			_ = c.CloseNow()
@@ -148,19 +148,19 @@
 	return c, err
 }
 
-// contribute follows an allocator until the link fails, the allocator falls silent or a
-// better one can be reached.
+// contribute follows an allocator until the link fails, polls stop or a preferred allocator
+// is reachable.
 func (n *Node) contribute(ctx context.Context, m Member, rank int, c *websocket.Conn) {
 	defer func() { _ = c.CloseNow() }()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := &allocator{node: n, name: m.Name, conn: c, pending: map[uint64]*asked{}, askedAt: boottime.Now()}
+	a := &allocator{node: n, name: m.Name, conn: c, pending: map[uint64]*pendingRequest{}, polledAt: boottime.Now()}
 	_ = level.Info(n.opts.Logger).Log("msg", "following the allocator", "name", m.Name, "rank", rank)
-	go n.tellWords(ctx, c)
+	go n.sendReports(ctx, c)
 	go a.watch(ctx, cancel)
 	go func() {
-		n.awaitBetter(ctx, rank, m)
-		cancel(errBetter)
+		n.awaitPreferred(ctx, rank, m)
+		cancel(errPreferred)
 	}()
 	n.allocator.Store(a)
 	err := a.read(ctx)
@@ -171,8 +171,8 @@
 	_ = level.Info(n.opts.Logger).Log("msg", "allocator left", "name", m.Name, "err", err)
 }
 
-// watch ends the link when the allocator does not ask for the part although a limit is
-// known: the link may have gone silent for good while nothing was said on it.
+// watch ends the link when no poll arrives although a limit is known. An idle link may
+// have failed unnoticed.
 func (a *allocator) watch(ctx context.Context, leave context.CancelCauseFunc) {
 	n := a.node
 	known := boottime.Now() // since when a limit is known
@@ -187,13 +187,13 @@
 			continue
 		}
 		a.mu.Lock()
-		since := boottime.Later(a.askedAt, known)
+		since := boottime.Later(a.polledAt, known)
 		a.mu.Unlock()
-		if now.Sub(since)-n.opts.Stalls.Held(since, now) > pollSilent {
-			leave(errUnasked)
+		if now.Sub(since)-n.opts.Stalls.Held(since, now) > pollTimeout {
+			leave(errNotPolled)
 			return
 		}
-		wait.For(ctx, watchEvery)
+		wait.For(ctx, watchInterval)
 	}
 }
 
@@ -208,8 +208,8 @@
 			err = a.polled(ctx, f.Poll)
 		case f.Decision != nil:
 			a.decided(f.Decision)
-		case f.Words != nil:
-			a.node.hearWords(a.name, f.Words)
+		case f.Reports != nil:
+			a.node.receiveReports(a.name, f.Reports)
 		}
 		if err != nil {
 			return err
@@ -217,26 +217,27 @@
 	}
 }
 
-// polled contributes the own part, unless another allocator still has it. The part counts
-// as lent for longer than the allocator takes it to be, which counts from its poll.
+// polled contributes the own part, unless another allocator still holds it. Here the part
+// counts as lent from the receipt of the poll, so for longer than at the allocator, which
+// counts from sending it.
 func (a *allocator) polled(ctx context.Context, p *poll) error {
 	pool, now := a.node.opts.Pool, boottime.Now()
 	if p.Returned {
 		pool.Lend(a.name, now, now)
-		return errReturned
+		return errStopping
 	}
 	a.mu.Lock()
-	a.askedAt = now
+	a.polledAt = now
 	a.mu.Unlock()
 	if to := pool.LentTo(now); to != "" && to != a.name {
-		return nil // it comes with a later poll
+		return nil // contributed at a later poll
 	}
-	pool.Lend(a.name, now.Add(lentFor), now)
+	pool.Lend(a.name, now.Add(partTTL), now)
 	return writeFrame(ctx, a.conn, &frame{Part: &part{Number: p.Number, Sent: a.node.sentToLimited(now)}})
 }
 
-// sentToLimited returns what this daemon has sent within the window to each backend server
-// that has named a limit.
+// sentToLimited returns how many calls this daemon has sent within the window to each
+// backend server with a limit.
 func (n *Node) sentToLimited(now time.Time) map[string]int {
 	sent := map[string]int{}
 	for _, l := range n.opts.Limits.All() {
@@ -247,23 +248,23 @@
 	return sent
 }
 
-// asked is a request that waits for its decision.
-type asked struct {
+// pendingRequest is a permit request that waits for its decision.
+type pendingRequest struct {
 	request quota.PermitRequest
 	decided chan quota.Decision
 }
 
-// ask asks the allocator.
-func (a *allocator) ask(ctx context.Context, r quota.PermitRequest) quota.Decision {
-	q := &asked{request: r, decided: make(chan quota.Decision, 1)}
+// request requests permits from the allocator. A request without a decision is denied.
+func (a *allocator) request(ctx context.Context, r quota.PermitRequest) quota.Decision {
+	q := &pendingRequest{request: r, decided: make(chan quota.Decision, 1)}
 	a.mu.Lock()
 	a.number++
 	number := a.number
 	a.pending[number] = q
 	a.mu.Unlock()
-	ctx, cancel := a.node.opts.Stalls.WithTimeout(ctx, decideWithin)
+	ctx, cancel := a.node.opts.Stalls.WithTimeout(ctx, decisionTimeout)
 	defer cancel()
-	err := writeFrame(ctx, a.conn, &frame{Ask: &ask{Number: number, Servers: r.Servers, Priority: r.Class.Priority, Workspace: r.Class.Workspace}})
+	err := writeFrame(ctx, a.conn, &frame{Request: &permitRequest{Number: number, Servers: r.Servers, Priority: r.Class.Priority, Workspace: r.Class.Workspace}})
 	if err == nil {
 		select {
 		case d := <-q.decided:
@@ -272,13 +273,13 @@
 		}
 	}
 	a.mu.Lock()
-	delete(a.pending, number) // what comes now is not used
+	delete(a.pending, number) // a later decision is ignored
 	a.mu.Unlock()
-	return quota.Decision{Server: r.Servers[0], After: decideWithin, Back: decideWithin}
+	return quota.Decision{Server: r.Servers[0], After: decisionTimeout, Back: decisionTimeout}
 }
 
-// decided takes a decision. What is granted counts from now, before the next poll can be
-// answered, and not if nobody waits for it any more.
+// decided handles a decision. Granted calls count as sent from now, before the next poll
+// can be answered. They do not count if the request has timed out.
 func (a *allocator) decided(d *decision) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/permit/node.go
+++ b/permit/node.go
@@ -1,14 +1,14 @@
-// Package permit has the daemons of a fleet keep limits of backend servers together.
+// Package permit enforces limits of backend servers across the daemons of a fleet.
 //
-// What a backend server takes from all daemons together is given out by one of them, the
-// allocator, to which the others contribute their parts (package quota). Each keeps a link
-// to the first daemon that it can reach in an order which all work out alike from the list
-// of daemons. News of limits goes over these links at once in both directions; nothing
-// else does while no limit is known. No daemon relies on the others having the same list:
-// two allocators give out only what was contributed to each.
+// One daemon, the allocator, grants the calls to a backend server; the others contribute
+// their parts to it (package quota). Each daemon keeps a link to the first daemon that it
+// can reach, in an order computed from the list of daemons. Changes of limits are sent
+// over these links at once in both directions; while no limit is known the links are
+// idle. Correctness does not depend on equal lists: several allocators each grant only
+// what was contributed to them.
 //
-// Both faces use it: the one on the users' platform for limits that backend servers name,
-// our own interface for those that its configuration declares.
+// Both interfaces use the package: the platform's for limits stated by backend servers,
+// our own for limits declared in its configuration.
 package permit
 
 import (
@@ -28,61 +28,62 @@
 	"github.com/snowspoke/snowspoke/stall"
 )
 
-// Path is where a daemon serves the links of those that contribute to it. In the
-// query, nameParam names the daemon that does.
+// Path is where a daemon serves the links of contributing daemons. The query parameter
+// nameParam holds the name of the contributing daemon.
 const (
 	Path      = "/permits"
 	nameParam = "name"
 )
 
-// Times of permits.
+// Timing of permits.
 const (
-	// pollEvery is the period at which an allocator asks for parts while a limit is known,
-	// and lentFor how long a part is contributed, from the poll: two polls may be late.
-	pollEvery = 500 * time.Millisecond
-	lentFor   = 1500 * time.Millisecond
-	// pollSilent is how long an allocator may not ask while a limit is known until it is
-	// left.
-	pollSilent = 1200 * time.Millisecond
-	// decideWithin bounds the wait for a decision, which takes a few milliseconds.
-	decideWithin = 250 * time.Millisecond
-	// newsSlack is taken off the time at which a limit is said to have ended: it looks
-	// later by what the news was under way for.
-	newsSlack = 100 * time.Millisecond
+	// pollInterval is the period of an allocator's polls for parts while a limit is known.
+	// A part is contributed for partTTL from the poll, so that two polls may be late.
+	pollInterval = 500 * time.Millisecond
+	partTTL      = 1500 * time.Millisecond
+	// pollTimeout is the time without a poll, while a limit is known, after which the
+	// allocator is left.
+	pollTimeout = 1200 * time.Millisecond
+	// decisionTimeout bounds the wait for a decision.
+	decisionTimeout = 250 * time.Millisecond
+	// reportSlack is subtracted from the time at which a limit is reported to have ended,
+	// to make up for the report's transmission delay.
+	reportSlack = 100 * time.Millisecond
 )
 
 // Member is a daemon of the fleet.
 type Member struct {
 	Name    string
-	Address string // of its links, host:port
+	Address string // host:port of its links
 }
 
 // Options are the settings of a node.
 type Options struct {
 	Name    string
-	Members func() []Member // all daemons, this one included
-	// Limits are those that are known here, Pool what this daemon may give out for them,
-	// and Sends what it has sent to each backend server.
+	Members func() []Member // all daemons, including this one
+	// Limits are the known limits, Pool grants this daemon's permits for them, and Sends
+	// counts its calls to each backend server.
 	Limits *quota.Limits
 	Pool   *quota.Pool
 	Sends  *quota.Sends
-	// HearLimit takes what another daemon tells of limits; nil where daemons tell each
-	// other none, since each knows all of them from elsewhere.
+	// HearLimit receives limit reports of other daemons. It is nil where daemons do not
+	// exchange limits since each knows all of them from another source.
 	HearLimit func(w quota.Word, from string)
-	// Client opens links, by URLs that begin with Scheme, "http" or "https", and with Header.
+	// Client opens links with URLs of Scheme, "http" or "https", and with Header.
 	Client *http.Client
 	Scheme string
 	Header http.Header
-	// Stalls are those of this process, which no other daemon is judged by; nil for none.
+	// Stalls are the stalls of this process, excluded from time-outs of other daemons; nil
+	// for none.
 	Stalls *stall.Monitor
 	Logger log.Logger
 }
 
-// Node is one daemon's part. It is safe for concurrent use.
+// Node is the permit client and server of one daemon. It is safe for concurrent use.
 type Node struct {
 	opts        Options
 	allocator   atomic.Pointer[allocator] // nil while there is no link
-	serving     context.Context           // ends when this daemon stops to be an allocator
+	serving     context.Context           // ends when this daemon stops being an allocator
 	stopServing context.CancelFunc
 }
 
@@ -92,57 +93,57 @@
 	return &Node{opts: o, serving: serving, stopServing: stop}
 }
 
-// Permit asks for one call to each of some backend servers with limits. What is granted
-// counts as sent.
+// Permit requests one call to each of some backend servers with limits. Granted calls count
+// as sent.
 func (n *Node) Permit(ctx context.Context, r quota.PermitRequest) quota.Decision {
 	now := boottime.Now()
 	a := n.allocator.Load()
 	if a == nil || n.opts.Pool.LentTo(now) != a.name {
 		return n.opts.Pool.Decide(n.opts.Name, r, now)
 	}
-	return a.ask(ctx, r)
+	return a.request(ctx, r)
 }
 
-// allocatorsMost is how many daemons are tried: where that many cannot be reached, a daemon
-// is better off alone.
-const allocatorsMost = 8
+// maxAllocators bounds the daemons that are tried. A daemon that reaches none of them
+// decides alone.
+const maxAllocators = 8
 
-// allocators returns the first daemons of the order in which all try them.
+// allocators returns the candidates in the order in which all daemons try them.
 func (n *Node) allocators() []Member {
 	all := slices.Clone(n.opts.Members())
 	slices.SortFunc(all, func(x, y Member) int {
-		return cmp.Or(cmp.Compare(allocatorWeight(x), allocatorWeight(y)), cmp.Compare(x.Name, y.Name))
+		return cmp.Or(cmp.Compare(allocatorOrder(x), allocatorOrder(y)), cmp.Compare(x.Name, y.Name))
 	})
-	return all[:min(len(all), allocatorsMost)]
+	return all[:min(len(all), maxAllocators)]
 }
 
-func allocatorWeight(m Member) uint64 { return xxhash.Sum64String("allocator " + m.Name) }
+func allocatorOrder(m Member) uint64 { return xxhash.Sum64String("allocator " + m.Name) }
 
-// hearWords takes news of limits.
-func (n *Node) hearWords(from string, packed []packedWord) {
+// receiveReports handles limit reports of another daemon and drops invalid ones.
+func (n *Node) receiveReports(from string, reports []packedReport) {
 	if n.opts.HearLimit == nil {
 		return
 	}
 	now := boottime.Now()
-	for i := range packed {
-		if packed[i].possible() {
-			n.opts.HearLimit(packed[i].unpack(now), from)
+	for i := range reports {
+		if reports[i].valid() {
+			n.opts.HearLimit(reports[i].unpack(now), from)
 		}
 	}
 }
 
-// tellWords tells the other end of a link of limits as they change, until the link ends.
-func (n *Node) tellWords(ctx context.Context, c *websocket.Conn) {
+// sendReports sends changes of limits to the other end of a link until the link ends.
+func (n *Node) sendReports(ctx context.Context, c *websocket.Conn) {
 	if n.opts.HearLimit == nil {
 		return
 	}
-	told := uint64(0)
+	sent := uint64(0)
 	for {
 		changed := n.opts.Limits.Changed()
-		words, version := n.opts.Limits.Since(told)
-		told = version
-		if len(words) > 0 && writeFrame(ctx, c, &frame{Words: packWords(words, boottime.Now())}) != nil {
-			return // the link is over
+		reports, version := n.opts.Limits.Since(sent)
+		sent = version
+		if len(reports) > 0 && writeFrame(ctx, c, &frame{Reports: packReports(reports, boottime.Now())}) != nil {
+			return // the link has ended
 		}
 		select {
 		case <-ctx.Done():
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -23,8 +23,8 @@
 // daemonName names the i-th daemon.
 func daemonName(i int) string { return fmt.Sprintf("d-%03d", i) }
 
-// limited is a number of daemons that keep the limits of backend servers together.
-type limited struct {
+// realFleet is a number of daemons that enforce limits together over local connections.
+type realFleet struct {
 	all    []Member
 	nodes  []*Node
 	stop   []func()
@@ -32,8 +32,8 @@
 	sends  []*quota.Sends
 }
 
-func newLimited(t *testing.T, daemons int) *limited {
-	l := &limited{}
+func newRealFleet(t *testing.T, daemons int) *realFleet {
+	l := &realFleet{}
 	servers := make([]*httptest.Server, daemons)
 	for i := range daemons {
 		servers[i] = httptest.NewUnstartedServer(nil)
@@ -66,14 +66,14 @@
 	return l
 }
 
-// first returns the daemon that all take for their allocator.
-func (l *limited) first() int {
+// first returns the daemon that all prefer as their allocator.
+func (l *realFleet) first() int {
 	name := l.nodes[0].allocators()[0].Name
 	return slices.IndexFunc(l.all, func(m Member) bool { return m.Name == name })
 }
 
-// linked waits until all that run but one are linked to that one.
-func (l *limited) linked(t *testing.T, to int, running []int) {
+// linked waits until all running daemons but to are linked to it.
+func (l *realFleet) linked(t *testing.T, to int, running []int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for _, i := range running {
@@ -86,13 +86,14 @@
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
-func (l *limited) name(daemon int, rate float64) {
+func (l *realFleet) name(daemon int, rate float64) {
 	now := boottime.Now()
 	l.limits[daemon].Hear(quota.Word{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
 }
 
-// take has some daemons ask for permits as fast as they get answers, for a time.
-func (l *limited) take(daemons []int, length time.Duration) (granted int64) {
+// take requests permits at some daemons repeatedly for a time, and returns how many were
+// granted.
+func (l *realFleet) take(daemons []int, length time.Duration) (granted int64) {
 	var n atomic.Int64
 	var wg sync.WaitGroup
 	for _, i := range daemons {
@@ -108,25 +109,24 @@
 	return n.Load()
 }
 
-// A limit that one daemon hears of is known to all at once, wherever it lies in the order,
-// and all together use it and no more, also while the daemon that gave out the permits
-// goes; its end is known to all as soon.
+// A limit that one daemon learns of is soon known to all, and so is its end. Together the
+// daemons use the limit and do not exceed it, also after the allocator has stopped.
 func TestLimitIsKnownToAllAndKeptThroughTheLossOfTheAllocator(t *testing.T) {
 	t.Parallel()
 	const rate = 20
-	l := newLimited(t, 6)
+	l := newRealFleet(t, 6)
 	running := []int{0, 1, 2, 3, 4, 5}
 	first := l.first()
 	l.linked(t, first, running)
-	heard := (first + 1) % 6
-	l.name(heard, rate)
-	knowAll := func(known int, daemons []int) func() bool {
+	informed := (first + 1) % 6
+	l.name(informed, rate)
+	allKnow := func(known int, daemons []int) func() bool {
 		return func() bool {
 			return !slices.ContainsFunc(daemons, func(i int) bool { return l.limits[i].Size() != known })
 		}
 	}
-	require.Eventually(t, knowAll(1, running), 500*time.Millisecond, time.Millisecond)
-	time.Sleep(pollEvery) // the parts are contributed
+	require.Eventually(t, allKnow(1, running), 500*time.Millisecond, time.Millisecond)
+	time.Sleep(pollInterval) // the parts are contributed
 	got := l.take(running, 4*time.Second)
 	require.LessOrEqual(t, got, int64(rate*4+5))
 	require.GreaterOrEqual(t, got, int64(0.8*rate*4))
@@ -135,61 +135,61 @@
 	running = slices.DeleteFunc(running, func(i int) bool { return i == first })
 	got = l.take(running, 4*time.Second)
 	require.LessOrEqual(t, got, int64(rate*4+5))
-	require.GreaterOrEqual(t, got, int64(0.5*rate*4), "five parts of six, less the time until they are together again")
+	require.GreaterOrEqual(t, got, int64(0.5*rate*4), "five parts of six, less the time until they have a common allocator")
 
 	now := boottime.Now()
-	l.limits[heard].Hear(quota.Word{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
-	require.Eventually(t, knowAll(0, running), 500*time.Millisecond, time.Millisecond)
+	l.limits[informed].Hear(quota.Word{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
+	require.Eventually(t, allKnow(0, running), 500*time.Millisecond, time.Millisecond)
 }
 
-// A daemon whose allocator says nothing for a while has its own part again, and no more.
-func TestDaemonWhoseAllocatorFallsSilentUsesItsPart(t *testing.T) {
+// A daemon whose allocator stops polling uses its own part again, and no more.
+func TestDaemonWithSilentAllocatorUsesItsPart(t *testing.T) {
 	t.Parallel()
 	const rate = 60
-	l := newLimited(t, 3)
+	l := newRealFleet(t, 3)
 	first := l.first()
 	l.linked(t, first, []int{0, 1, 2})
 	other := (first + 1) % 3
 	l.name(other, rate)
-	time.Sleep(2 * pollEvery)
-	l.nodes[other].opts.Pool.Lend("gone", boottime.Now().Add(lentFor), boottime.Now())
-	require.Zero(t, l.take([]int{other}, lentFor/2), "its part is lent to one that does not answer")
+	time.Sleep(2 * pollInterval)
+	l.nodes[other].opts.Pool.Lend("gone", boottime.Now().Add(partTTL), boottime.Now())
+	require.Zero(t, l.take([]int{other}, partTTL/2), "its part is lent to a daemon that does not answer")
 	got := l.take([]int{other}, 2*time.Second)
 	require.LessOrEqual(t, got, int64(rate*2+5))
 }
 
-func TestWordsOnLimitsSurviveTheWire(t *testing.T) {
+func TestLimitReportsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := boottime.Now()
 		sent := time.Duration(rapid.IntRange(0, 5000).Draw(t, "sent")) * time.Millisecond
-		came := time.Duration(rapid.IntRange(0, int(sent.Milliseconds())).Draw(t, "came")) * time.Millisecond
+		received := time.Duration(rapid.IntRange(0, int(sent.Milliseconds())).Draw(t, "came")) * time.Millisecond
 		w := quota.Word{
 			Server: rapid.String().Draw(t, "server"), Named: rapid.Bool().Draw(t, "named"),
-			Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), SentAt: now.Add(-sent), At: now.Add(-came),
+			Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), SentAt: now.Add(-sent), At: now.Add(-received),
 		}
-		data, err := cbor.Marshal(&frame{Words: packWords([]quota.Word{w}, now)})
+		data, err := cbor.Marshal(&frame{Reports: packReports([]quota.Word{w}, now)})
 		require.NoError(t, err)
 		var f frame
 		require.NoError(t, cbor.Unmarshal(data, &f))
-		require.True(t, f.Words[0].possible())
-		got := f.Words[0].unpack(now)
+		require.True(t, f.Reports[0].valid())
+		got := f.Reports[0].unpack(now)
 		if !w.Named {
-			got.SentAt = got.SentAt.Add(newsSlack)
+			got.SentAt = got.SentAt.Add(reportSlack)
 		}
 		require.Equal(t, w, got)
 	})
 }
 
-// What no daemon tells is not believed.
-func TestImpossibleWordsOnLimitsAreDropped(t *testing.T) {
+// Reports that no daemon can have sent are rejected.
+func TestInvalidLimitReportsAreRejected(t *testing.T) {
 	zero := 0.0
-	for _, p := range []packedWord{{Rate: -1}, {Rate: zero / zero}, {Age: -1}, {SentAge: 1, Age: 2}} {
-		require.False(t, p.possible())
+	for _, p := range []packedReport{{Rate: -1}, {Rate: zero / zero}, {Age: -1}, {SentAge: 1, Age: 2}} {
+		require.False(t, p.valid())
 	}
 }
 
-// What the daemons send each other while a limit is known, for each of them and for the
-// allocator: a poll and a part twice a second, and two messages a permit that is asked for.
+// Bounds the traffic while a limit is known: a poll and a part twice a second for each
+// daemon, and two messages for each permit request.
 func TestPermitsCostABoundedRate(t *testing.T) {
 	size := func(f *frame) int {
 		data, err := cbor.Marshal(f)
@@ -198,9 +198,9 @@
 	}
 	id := "i-7a8aaead84"
 	poll := size(&frame{Poll: &poll{Number: 1000}}) + size(&frame{Part: &part{Number: 1000, Sent: map[string]int{id: 12}}})
-	decided := size(&frame{Ask: &ask{Number: 1000, Servers: []string{id}, Workspace: "workspace-17"}}) +
+	decided := size(&frame{Request: &permitRequest{Number: 1000, Servers: []string{id}, Workspace: "workspace-17"}}) +
 		size(&frame{Decision: &decision{Number: 1000, Server: id, After: time.Second, Back: 5 * time.Second}})
-	perSecond := float64(poll) * float64(time.Second) / float64(pollEvery)
+	perSecond := float64(poll) * float64(time.Second) / float64(pollInterval)
 	t.Logf("%.0f bytes a second a daemon and %d bytes a request; the allocator of 8 daemons %.0f bytes a second, of 300 %.0f", perSecond, decided, 7*perSecond, 299*perSecond)
 	require.Less(t, perSecond, 150.0)
 	require.Less(t, decided, 150)
--- a/permit/wire.go
+++ b/permit/wire.go
@@ -10,9 +10,9 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// packedWord is a quota.Word on a link, with ages for times: the clocks of two daemons
-// have nothing in common.
-type packedWord struct {
+// packedReport is a quota.Word on a link. It holds ages instead of times since the clocks of
+// two daemons are unrelated.
+type packedReport struct {
 	_       struct{} `cbor:",toarray"`
 	Server  string
 	Named   bool
@@ -21,62 +21,62 @@
 	Age     time.Duration
 }
 
-// packWords makes words ready for a link. The clock that counts suspensions is read twice
-// and may step back by a microsecond: what came just now has no age.
-func packWords(words []quota.Word, now time.Time) []packedWord {
-	out := make([]packedWord, len(words))
-	for i, w := range words {
+// packReports converts reports for a link. Successive readings of the boot-time clock may
+// step back by a microsecond, so ages are at least zero.
+func packReports(reports []quota.Word, now time.Time) []packedReport {
+	out := make([]packedReport, len(reports))
+	for i, w := range reports {
 		age := max(0, now.Sub(w.At))
-		out[i] = packedWord{Server: w.Server, Named: w.Named, Rate: w.Rate, SentAge: max(age, now.Sub(w.SentAt)), Age: age}
+		out[i] = packedReport{Server: w.Server, Named: w.Named, Rate: w.Rate, SentAge: max(age, now.Sub(w.SentAt)), Age: age}
 	}
 	return out
 }
 
-func (p *packedWord) unpack(now time.Time) quota.Word {
+func (p *packedReport) unpack(now time.Time) quota.Word {
 	w := quota.Word{Server: p.Server, Named: p.Named, Rate: p.Rate, SentAt: now.Add(-p.SentAge), At: now.Add(-p.Age)}
 	if !w.Named {
-		w.SentAt = w.SentAt.Add(-newsSlack)
+		w.SentAt = w.SentAt.Add(-reportSlack)
 	}
 	return w
 }
 
-// possible reports whether a backend server can have said so.
-func (p *packedWord) possible() bool {
-	return p.Rate >= 0 && p.SentAge >= p.Age && p.Age >= 0 // no comparison holds for what is not a number
+// valid reports whether a backend server can have sent the report.
+func (p *packedReport) valid() bool {
+	return p.Rate >= 0 && p.SentAge >= p.Age && p.Age >= 0 // false also for a NaN
 }
 
-// frame is one message on a link between a daemon and its allocator; one field is
+// frame is one message on a link between a daemon and its allocator; exactly one field is
 // set.
 type frame struct {
-	Poll     *poll        `cbor:"1,keyasint,omitempty"` // by the allocator
-	Part     *part        `cbor:"2,keyasint,omitempty"`
-	Ask      *ask         `cbor:"3,keyasint,omitempty"`
-	Decision *decision    `cbor:"4,keyasint,omitempty"` // by the allocator
-	Words    []packedWord `cbor:"5,keyasint,omitempty"` // by both
+	Poll     *poll          `cbor:"1,keyasint,omitempty"` // from the allocator
+	Part     *part          `cbor:"2,keyasint,omitempty"`
+	Request  *permitRequest `cbor:"3,keyasint,omitempty"`
+	Decision *decision      `cbor:"4,keyasint,omitempty"` // from the allocator
+	Reports  []packedReport `cbor:"5,keyasint,omitempty"` // from either end
 }
 
-// poll asks for a daemon's part.
+// poll requests a daemon's part.
 type poll struct {
 	Number uint64 `cbor:"1,keyasint"`
-	// Returned says that the part is the daemon's own again at once.
+	// Returned says that the allocator stops and the part is the daemon's own again.
 	Returned bool `cbor:"2,keyasint,omitempty"`
 }
 
-// part contributes the sender's part until lentFor after the poll was sent.
+// part contributes the sender's part until partTTL after the poll was sent.
 type part struct {
 	Number uint64         `cbor:"1,keyasint"`           // of the poll
-	Sent   map[string]int `cbor:"2,keyasint,omitempty"` // within the window, by backend server with a limit
+	Sent   map[string]int `cbor:"2,keyasint,omitempty"` // calls within the window by backend server with a limit
 }
 
-// ask asks for permits.
-type ask struct {
+// permitRequest requests permits.
+type permitRequest struct {
 	Number    uint64   `cbor:"1,keyasint"`
 	Servers   []string `cbor:"2,keyasint"`
 	Priority  int      `cbor:"3,keyasint"`
 	Workspace string   `cbor:"4,keyasint,omitempty"`
 }
 
-// decision answers an ask of the same number.
+// decision answers the permitRequest with the same number.
 type decision struct {
 	Number  uint64        `cbor:"1,keyasint"`
 	Granted bool          `cbor:"2,keyasint,omitempty"`
@@ -99,7 +99,7 @@
 // writeTimeout bounds the writing of one frame.
 const writeTimeout = 2 * time.Second
 
-// readFrame waits for one message.
+// readFrame reads one message.
 func readFrame(ctx context.Context, c *websocket.Conn) (*frame, error) {
 	_, data, err := c.Read(ctx)
 	if err != nil {
