--- a/permit/follow.go
+++ b/permit/follow.go
@@ -254,8 +254,8 @@
 	decided chan quota.Decision
 }
 
-// request requests permits from the allocator. A request without a decision is denied.
-func (a *allocator) request(ctx context.Context, r quota.PermitRequest) quota.Decision {
+// requestPermits requests permits from the allocator. A request without a decision is denied.
+func (a *allocator) requestPermits(ctx context.Context, r quota.PermitRequest) quota.Decision {
 	q := &pendingRequest{request: r, decided: make(chan quota.Decision, 1)}
 	a.mu.Lock()
 	a.number++
--- a/permit/node.go
+++ b/permit/node.go
@@ -101,7 +101,7 @@
 	if a == nil || n.opts.Pool.LentTo(now) != a.name {
 		return n.opts.Pool.Decide(n.opts.Name, r, now)
 	}
-	return a.request(ctx, r)
+	return a.requestPermits(ctx, r)
 }
 
 // maxAllocators bounds the daemons that are tried. A daemon that reaches none of them
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -66,15 +66,15 @@
 	due := b.rate * max(0, now.Sub(boottime.Later(b.updatedAt, held)).Seconds())
 	b.updatedAt = now
 	b.calls = min(b.burst, b.calls+due)
-	b.creditClasses(due, now)
+	b.credit(due, now)
 }
 
 // burstOf returns the maximum of saved calls: the first call, the credit that one class
 // may save (less at low rates), and a tenth of a second at the rate.
 func burstOf(rate float64) float64 { return 1 + min(maxCredit, rate/2) + rate/10 }
 
-// creditClasses distributes calls over the active classes by priority.
-func (b *bucket) creditClasses(calls float64, now time.Time) {
+// credit distributes calls over the active classes by priority.
+func (b *bucket) credit(calls float64, now time.Time) {
 	for begin := 0; begin < len(b.credits) && calls > 0; {
 		end := begin
 		var active []*credit
