--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,7 +1,6 @@
-// Package quarantine decides which requests are held back because backend servers
-// crash when they run them. It is pure: times and evidence come in, verdicts come out.
-// The dispatch of requests asks it before each send, and the daemons tell each other
-// what it has learnt.
+// Package quarantine decides which requests are withheld from backend servers because
+// backend servers crash when they run them. It does no I/O: callers pass in times and
+// evidence. The dispatcher consults it before each send, and daemons exchange its entries.
 package quarantine
 
 import (
@@ -11,14 +10,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint names what a caller asks for, whichever attempt it is and whichever
-// daemon gets it: each attempt bears an ID of its own, so that IDs tell nothing of a
-// request that comes again. Two of a million that differ share one in one of 37
-// million cases (64 bits).
+// Fingerprint identifies the content of a request, independent of attempt and daemon.
+// Request IDs cannot be used since each attempt has its own. 64 bits make collisions
+// negligible.
 type Fingerprint uint64
 
-// FingerprintOf returns the fingerprint of a request with these parts, in order. The
-// length of each goes in, so that parts cannot run into each other.
+// FingerprintOf returns the fingerprint of a request with these parts, in order. The length
+// of each part is hashed too, so that part boundaries matter.
 func FingerprintOf(parts ...[]byte) Fingerprint {
 	h := xxhash.New()
 	var length [8]byte
@@ -30,5 +28,5 @@
 	return Fingerprint(h.Sum64())
 }
 
-// String returns the fingerprint as sixteen hexadecimal digits, as logs show it.
+// String returns the fingerprint as sixteen hexadecimal digits, the form used in logs.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFingerprintTellsPartsApart(t *testing.T) {
+func TestFingerprintDistinguishesParts(t *testing.T) {
 	of := func(parts ...string) Fingerprint {
 		var b [][]byte
 		for _, p := range parts {
@@ -16,6 +16,6 @@
 	}
 	require.Equal(t, of("POST", "/a", "body"), of("POST", "/a", "body"))
 	require.NotEqual(t, of("POST", "/a", "body"), of("POST", "/a", "Body"))
-	require.NotEqual(t, of("POST", "/ab", ""), of("POST", "/a", "b"), "parts do not run into each other")
+	require.NotEqual(t, of("POST", "/ab", ""), of("POST", "/a", "b"), "part boundaries matter")
 	require.NotEqual(t, of("a", "b"), of("b", "a"))
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,12 +9,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RecordMost bounds the requests of a record: at 100 bytes each it stays below 13 KB. A
-// request is held back after two backend servers have ended under it, so that there are
-// never more than a few.
+// RecordMost bounds the requests of a record, and thereby its size, at about 100 bytes
+// each. Quarantined requests are few in practice.
 const RecordMost = 128
 
-// ErrRecord says that a record cannot be read.
+// ErrRecord is returned for a record that cannot be decoded.
 var ErrRecord = errors.New("quarantine: record cannot be read")
 
 // recordEnd is an End in a record.
@@ -22,19 +21,19 @@
 	_      struct{} `cbor:",toarray"`
 	Server uint32
 	Weight uint8
-	At     int64 // Unix milliseconds by the writer's clock
+	At     int64 // Unix milliseconds of the writer's clock
 }
 
-// recordEntry is an Entry in a record. It has no ServedAt: what was served last is not
-// held back.
+// recordEntry is an Entry in a record. It has no ServedAt: a request that was served last is
+// not quarantined.
 type recordEntry struct {
 	_       struct{} `cbor:",toarray"`
 	Print   uint64
 	Ends    []recordEnd
-	TriedAt int64 // Unix milliseconds by the writer's clock, 0 for never
+	TriedAt int64 // Unix milliseconds of the writer's clock, 0 for never
 }
 
-// EncodeRecord returns entries as they are kept where they outlast all daemons.
+// EncodeRecord returns the form of entries for storage that outlives the daemons.
 func EncodeRecord(entries []Entry) ([]byte, error) {
 	out := make([]recordEntry, 0, len(entries))
 	for _, e := range entries {
@@ -54,8 +53,8 @@
 	return data, nil
 }
 
-// DecodeRecord returns the entries of a record. Clocks of two daemons differ, and may jump:
-// what lies in the future counts as now, so that an entry ends in any case.
+// DecodeRecord returns the entries of a record. Times in the future, due to differing or
+// adjusted clocks, are replaced by now, so that each entry expires.
 func DecodeRecord(data []byte, now time.Time) ([]Entry, error) {
 	var in []recordEntry
 	if err := cbor.Unmarshal(data, &in); err != nil {
@@ -68,21 +67,21 @@
 	for _, r := range in {
 		e := Entry{Print: Fingerprint(r.Print)}
 		if r.TriedAt != 0 {
-			e.TriedAt = noLater(r.TriedAt, now)
+			e.TriedAt = clampToNow(r.TriedAt, now)
 		}
 		for _, end := range r.Ends {
 			w := Weight(end.Weight)
-			if w != Possible && w != Likely || len(e.Ends) >= endsMost {
+			if w != Possible && w != Likely || len(e.Ends) >= maxEnds {
 				return nil, fmt.Errorf("%w: ends of %s", ErrRecord, e.Print)
 			}
-			e.Ends = append(e.Ends, End{Server: Server(end.Server), Weight: w, At: noLater(end.At, now)})
+			e.Ends = append(e.Ends, End{Server: Server(end.Server), Weight: w, At: clampToNow(end.At, now)})
 		}
 		out = append(out, e)
 	}
 	return out, nil
 }
 
-func noLater(ms int64, now time.Time) time.Time {
+func clampToNow(ms int64, now time.Time) time.Time {
 	at := time.UnixMilli(ms)
 	if at.After(now) {
 		return now
@@ -90,13 +89,13 @@
 	return at
 }
 
-// SameHeld reports whether two lists of entries hold the same requests back for the same
-// ends: how far their times lie apart makes no difference.
+// SameHeld reports whether two lists quarantine the same requests with the same scores.
+// Times are not compared.
 func SameHeld(a, b []Entry) bool {
 	return slices.Equal(heldKeys(a), heldKeys(b))
 }
 
-// heldKey is what of an entry is worth a write.
+// heldKey is the part of an entry whose change requires a write.
 type heldKey struct {
 	print Fingerprint
 	score int
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRecordGivesWhatIsHeldBack(t *testing.T) {
+func TestRecordRestoresQuarantine(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000_000)
 	b := NewBook(DefaultPolicy)
 	b.Ended(7, 1, Likely, now.Add(-3*time.Second))
 	b.Ended(7, 2, Likely, now.Add(-2*time.Second))
 	b.Ended(8, 1, Likely, now)
 	held := b.HeldBack(now)
-	require.Len(t, held, 1, "one end holds nobody back")
+	require.Len(t, held, 1, "one end does not quarantine a request")
 	data, err := EncodeRecord(held)
 	require.NoError(t, err)
 	entries, err := DecodeRecord(data, now)
@@ -24,13 +24,14 @@
 	again := NewBook(DefaultPolicy)
 	again.Join(entries, now)
 	require.True(t, again.Look(7, now).Held)
-	require.False(t, again.Look(7, now.Add(DefaultPolicy.Keep)).Held, "it has an end")
+	require.False(t, again.Look(7, now.Add(DefaultPolicy.Keep)).Held, "the entry expires")
 	again.Ended(7, 1, Likely, now.Add(-3*time.Second))
-	require.Equal(t, 2, again.Look(7, now).Ends, "an end that both know counts once")
+	require.Equal(t, 2, again.Look(7, now).Ends, "an end known to both counts once")
 }
 
-// The clock of the daemon that wrote a record may be ahead by an hour, or jump.
-func TestRecordOfAClockThatIsAheadHasAnEnd(t *testing.T) {
+// Entries expire although the clock of the daemon that wrote the record was ahead by an
+// hour.
+func TestRecordWithFutureTimesExpires(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000_000)
 	ahead := []Entry{{Print: 7, TriedAt: now.Add(time.Hour), Ends: []End{{Server: 1, Weight: Likely, At: now.Add(time.Hour)}, {Server: 2, Weight: Likely, At: now.Add(time.Hour)}}}}
 	data, err := EncodeRecord(ahead)
@@ -43,7 +44,7 @@
 	require.False(t, b.Look(7, now.Add(DefaultPolicy.Keep)).Held)
 }
 
-func TestRecordsOfOtherWritersAreRefused(t *testing.T) {
+func TestInvalidRecordsAreRejected(t *testing.T) {
 	many, err := cbor.Marshal(make([]recordEntry, RecordMost+1))
 	require.NoError(t, err)
 	weight, err := cbor.Marshal([]recordEntry{{Print: 1, Ends: []recordEnd{{Weight: 9}}}})
--- a/quarantine/book_test.go
+++ b/quarantine/registry_test.go
@@ -13,34 +13,34 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// Two backend servers that surely ran a request hold it back; one is tried once the
-// others are back, and three hold it back without a trial.
-func TestHeldBackAfterTwoEnds(t *testing.T) {
+// Two ended backend servers that very likely ran a request quarantine it until a trial;
+// three quarantine it without trials.
+func TestRequestIsQuarantinedAfterTwoEnds(t *testing.T) {
 	b := NewBook(DefaultPolicy)
 	require.Equal(t, Verdict{}, b.Admit(1, start))
-	require.False(t, b.Ended(1, 10, Likely, start).Held, "one end may be another's fault")
-	require.False(t, b.Ended(1, 10, Likely, after(time.Second)).Held, "the same backend server counts once")
+	require.False(t, b.Ended(1, 10, Likely, start).Held, "another request may have ended it")
+	require.False(t, b.Ended(1, 10, Likely, after(time.Second)).Held, "each backend server counts once")
 	require.False(t, b.Admit(1, after(time.Second)).Trial)
 
 	v := b.Ended(1, 11, Likely, after(time.Second))
 	require.True(t, v.Held)
 	require.Equal(t, after(time.Second).Add(DefaultPolicy.TrialAfter), v.Until)
-	require.False(t, b.Admit(2, after(time.Second)).Held, "others are not")
+	require.False(t, b.Admit(2, after(time.Second)).Held, "other requests are not quarantined")
 
 	trial := b.Admit(1, v.Until)
 	require.True(t, trial.Trial)
 	require.True(t, b.Admit(1, v.Until.Add(time.Second)).Held, "one trial at a time")
-	require.True(t, b.Look(1, v.Until.Add(DefaultPolicy.TrialAfter)).Trial, "if the trial came to nothing")
+	require.True(t, b.Look(1, v.Until.Add(DefaultPolicy.TrialAfter)).Trial, "the trial had no result")
 
 	v = b.Ended(1, 12, Likely, v.Until)
 	require.True(t, v.Held)
 	require.Equal(t, 3, v.Ends)
 	require.True(t, b.Admit(1, v.Until.Add(-time.Second)).Held)
-	require.Equal(t, Verdict{Score: 6, Ends: 3}, b.Admit(1, v.Until), "forgotten after a while")
+	require.Equal(t, Verdict{Score: 6, Ends: 3}, b.Admit(1, v.Until), "the entry has expired")
 }
 
-// A request of which nothing says that it ran is held back after four ends.
-func TestPossibleEndsWeighHalf(t *testing.T) {
+// A request without evidence that it ran is quarantined after four ends.
+func TestPossibleEndsHaveHalfWeight(t *testing.T) {
 	b := NewBook(DefaultPolicy)
 	for s := range Server(3) {
 		require.False(t, b.Ended(1, s, Possible, start).Held)
@@ -48,11 +48,11 @@
 	require.True(t, b.Ended(1, 3, Possible, start).Held)
 }
 
-// A backend server that outlives a request clears it of what ended before, also when an
-// older word on that comes again, and not of what ends later.
+// A request that was served is cleared of earlier ends, also when an older report of them
+// arrives again, but not of later ends.
 func TestServedRequestIsCleared(t *testing.T) {
 	b, other := NewBook(DefaultPolicy), NewBook(DefaultPolicy)
-	require.False(t, b.Served(1, start), "nothing was known against it")
+	require.False(t, b.Served(1, start), "no end was known")
 	b.Ended(1, 10, Likely, start)
 	b.Ended(1, 11, Likely, start)
 	old, _ := b.Since(0, 9)
@@ -68,8 +68,8 @@
 	require.True(t, b.Ended(1, 13, Likely, after(12*time.Second)).Held)
 }
 
-// Whoever asks for changes gets each entry once, and all of them in the end.
-func TestChangesAreToldOnce(t *testing.T) {
+// A caller of Since receives each changed entry once, and eventually all of them.
+func TestChangesAreReturnedOnce(t *testing.T) {
 	b := NewBook(DefaultPolicy)
 	changed := b.Changed()
 	for p := range Fingerprint(5) {
@@ -85,12 +85,11 @@
 	require.Empty(t, none)
 	b.Join(second, after(time.Millisecond))
 	none, _ = b.Since(at, 3)
-	require.Empty(t, none, "what is known is no news")
+	require.Empty(t, none, "known entries are not changes")
 }
 
-// A full book forgets suspects before those that are held back, and stays within its
-// bound.
-func TestFullBookKeepsWhatIsHeldBack(t *testing.T) {
+// A full table evicts suspects before quarantined requests, and stays within its bound.
+func TestFullTableKeepsQuarantinedRequests(t *testing.T) {
 	p := DefaultPolicy
 	p.Most = 64
 	b := NewBook(p)
@@ -106,15 +105,16 @@
 	require.Zero(t, b.Size())
 }
 
-// Books that have told each other everything say the same, whatever the order.
-func TestBooksBecomeAlike(t *testing.T) {
+// Tables that have exchanged all entries make the same decisions, whatever the order of the
+// exchange.
+func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		books := []*Book{NewBook(DefaultPolicy), NewBook(DefaultPolicy), NewBook(DefaultPolicy)}
+		tables := []*Book{NewBook(DefaultPolicy), NewBook(DefaultPolicy), NewBook(DefaultPolicy)}
 		prints := rapid.Custom(func(t *rapid.T) Fingerprint { return Fingerprint(rapid.IntRange(1, 3).Draw(t, "print")) })
 		now := start
 		for range rapid.IntRange(0, 20).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 5).Draw(t, "pause")) * time.Second)
-			b := books[rapid.IntRange(0, 2).Draw(t, "book")]
+			b := tables[rapid.IntRange(0, 2).Draw(t, "book")]
 			print := prints.Draw(t, "of")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
@@ -125,22 +125,22 @@
 				b.Admit(print, now)
 			default:
 				entries, _ := b.Since(0, 99)
-				books[rapid.IntRange(0, 2).Draw(t, "to")].Join(entries, now)
+				tables[rapid.IntRange(0, 2).Draw(t, "to")].Join(entries, now)
 			}
 		}
 		for range 2 {
-			for _, from := range rapid.Permutation(books).Draw(t, "order") {
+			for _, from := range rapid.Permutation(tables).Draw(t, "order") {
 				entries, _ := from.Since(0, 99)
-				for _, to := range books {
+				for _, to := range tables {
 					to.Join(entries, now)
 				}
 			}
 		}
 		for print := range Fingerprint(4) {
-			want := books[0].Look(print, now)
-			require.Equal(t, want, books[1].Look(print, now))
-			require.Equal(t, want, books[2].Look(print, now))
+			want := tables[0].Look(print, now)
+			require.Equal(t, want, tables[1].Look(print, now))
+			require.Equal(t, want, tables[2].Look(print, now))
 		}
-		require.False(t, slices.ContainsFunc(books, func(b *Book) bool { return b.Size() > 3 }))
+		require.False(t, slices.ContainsFunc(tables, func(b *Book) bool { return b.Size() > 3 }))
 	})
 }
