--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,11 +1,9 @@
-// Package boottime has the clock that goes on while a VM is suspended. The steady clock
-// of package time stands still meanwhile, so what it measures is younger than it seems
-// once the VM wakes: keys that were taken away, leases that others hold by now, requests
-// whose callers have left.
+// Package boottime provides a clock that advances while a VM is suspended. The steady clock
+// of package time does not, so after a resume it underestimates the age of keys, leases
+// and requests.
 //
-// Of two uses of time one must not be mixed up with the other: what must expire goes by
-// this clock; how long this process waits for another one goes by the steady clock,
-// less its stalls (package stall).
+// Use this clock for what must expire. For how long this process waits for another one,
+// use the steady clock less the stalls of this process (package stall).
 package boottime
 
 import (
@@ -15,15 +13,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the present time on the clock that counts suspended time, for comparison
-// with other times of it. Where the system has no such clock it is the steady clock, and
-// a suspension goes unnoticed: the time of day may jump for other reasons.
+// Now returns the current time of the clock that counts suspensions, for comparison with
+// other times of this clock. On systems without such a clock it is the steady clock, and
+// suspensions are not detected; the time of day is no substitute since it may be adjusted.
 func Now() time.Time { return time.Now().Add(Suspended()) }
 
-// Since returns how long ago a time of this clock was.
+// Since returns the time elapsed since a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how long it is until a time of this clock.
+// Until returns the time until a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
 // Later returns the later of two times.
@@ -34,26 +32,26 @@
 	return b
 }
 
-// Suspended returns for how long the VM has been suspended since this process started.
-func Suspended() time.Duration { return max(0, suspended()-atStart) + time.Duration(pretended.Load()) }
+// Suspended returns how long the VM has been suspended since this process started.
+func Suspended() time.Duration { return max(0, suspended()-atStart) + time.Duration(simulated.Load()) }
 
-// pretended is what tests add to the time for which the VM was suspended.
-var pretended atomic.Int64
+// simulated is the suspension added by tests, in nanoseconds.
+var simulated atomic.Int64
 
-// Pretend has the VM look as if it had just been suspended for a time, in tests: as in a
-// suspension, no other test may run meanwhile.
-func Pretend(d time.Duration) { pretended.Add(int64(d)) }
+// Pretend simulates a suspension of the VM that has just ended, for tests. It affects the
+// whole process, so no other test may run at the same time.
+func Pretend(d time.Duration) { simulated.Add(int64(d)) }
 
 var atStart = suspended()
 
-// readTries is how often both clocks are read: what passes between the two counts as
-// suspended, and a process that is stopped just there passes that once.
-const readTries = 2
+// readAttempts is how often both clocks are read. The time between the two reads counts as
+// suspended; the minimum removes the effect of a process stopped between them once.
+const readAttempts = 2
 
-// suspended returns for how long the VM has been suspended since it started.
+// suspended returns how long the VM has been suspended since it started.
 func suspended() time.Duration {
 	least, known := time.Duration(0), false
-	for range readTries {
+	for range readAttempts {
 		steady, ok := read(unix.CLOCK_MONOTONIC)
 		since, also := read(unix.CLOCK_BOOTTIME)
 		if !ok || !also {
--- a/boottime/boottime_test.go
+++ b/boottime/boottime_test.go
@@ -7,16 +7,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestClockGoesOnWhileSuspended(t *testing.T) {
+func TestClockAdvancesWhileSuspended(t *testing.T) {
 	before, steady, already := Now(), time.Now(), Suspended()
 	Pretend(5 * time.Second)
 	require.GreaterOrEqual(t, Since(before), 5*time.Second)
 	require.Less(t, time.Since(steady), 5*time.Second)
 	require.LessOrEqual(t, Until(before.Add(5*time.Second)), time.Duration(0))
-	require.Less(t, Suspended()-already-5*time.Second, 10*time.Millisecond, "this VM is not")
+	require.Less(t, Suspended()-already-5*time.Second, 10*time.Millisecond, "this VM is not suspended")
 }
 
-// BenchmarkNow gives what the clock costs beyond time.Now.
+// BenchmarkNow measures the cost of Now.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		_ = Now()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -25,8 +25,8 @@
 	return out
 }
 
-// Under outages, lost and late writes there is never more than one holder at a
-// moment, and fencing numbers only grow.
+// With outages, lost and delayed writes there is at most one holder at any time, and
+// fencing numbers only increase.
 func TestOneHolder(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -56,14 +56,14 @@
 			held += holders
 		}
 		store.SetFaults(memstore.Faults{})
-		require.Greater(t, held, 2000, "hardly ever held")
+		require.Greater(t, held, 2000, "the lease was rarely held")
 		cancel()
 		time.Sleep(time.Minute)
 	})
 }
 
-// A holder that is paused past its lease does not think that it still holds it,
-// and its successor has a higher fencing number.
+// A holder that is paused beyond its lease no longer holds it, and its successor has a
+// higher fencing number.
 func TestPausedHolder(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	a, b := New("a", ttl), New("b", ttl)
@@ -89,7 +89,7 @@
 	require.Greater(t, fb, fa)
 }
 
-// A planned stop hands the lease over at once; a crash within a period and a bit.
+// A planned stop hands the lease over without waiting for its expiry.
 func TestHandover(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -135,9 +135,8 @@
 	b.ReportMetric(float64(worst.Milliseconds()), "takeover_ms")
 }
 
-// Reads that are now newer, now older than the one before do not keep an expired
-// lease alive.
-func TestOldReadsDoNotProlongALease(t *testing.T) {
+// Stale and out-of-order reads do not prolong an expired lease.
+func TestStaleReadsDoNotProlongALease(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New("d1", ttl)
 	lease := func(version store.Position) store.Object {
@@ -150,12 +149,12 @@
 	}
 	require.Equal(t, Acquire, c.Next(now))
 	_, version := c.Propose(Acquire, 1)
-	require.EqualValues(t, 10, version, "the newest that was seen")
+	require.EqualValues(t, 10, version, "the newest version that was read")
 }
 
-// After another daemon's write came first, reads that still show the object as it
-// was before lead to no further write; one that was removed is written again.
-func TestOldReadsAfterALostWriteAreNotActedOn(t *testing.T) {
+// After a conflicting write, stale reads of the previous object cause no write. An object
+// that was removed is written again.
+func TestStaleReadsAfterAConflictCauseNoWrite(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := New("d1", ttl)
 	released := store.Object{Version: 7, Spec: Spec{Fencing: 1, TTL: time.Millisecond}.Encode()}
@@ -171,7 +170,7 @@
 	c.Seen(store.Object{Version: 8, Spec: Spec{Holder: "d2", Fencing: 2, TTL: ttl}.Encode()}, now)
 	require.Equal(t, Wait, c.Next(now.Add(time.Millisecond)))
 	c.Lost(now)
-	now = now.Add(oldReads * ttl)
+	now = now.Add(staleReadPeriods * ttl)
 	c.Seen(store.Object{}, now)
 	require.Equal(t, Acquire, c.Next(now))
 }
--- a/lease/keeper.go
+++ b/lease/manager.go
@@ -14,55 +14,55 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Store is what a keeper needs of the platform's store.
+// Store is the part of the platform's store that a keeper uses.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (store.Object, error)
-	// Put returns store.ErrConflict when the object's version is not ifVersion any
-	// more and store.ErrAmbiguous when the answer was lost.
+	// Put returns store.ErrConflict when the object's version is no longer ifVersion, and
+	// store.ErrAmbiguous when the answer was lost.
 	Put(ctx context.Context, kind, name string, spec []byte, ifVersion store.Position) (store.Position, error)
 }
 
-// Keeper tries to hold a lease and keeps it. Its times count those in which the VM was
-// suspended: a holder that wakes holds nothing any more that others have taken over. It
-// is safe for concurrent use.
+// Keeper acquires a lease and renews it. Its times include those in which the VM was
+// suspended, so that a resumed holder does not hold a lease that has expired. It is safe
+// for concurrent use.
 type Keeper struct {
 	name   string
 	store  Store
 	logger log.Logger
 	kind   string
 
-	mu sync.Mutex
-	c  *Candidate
+	mu        sync.Mutex // guards candidate
+	candidate *Candidate
 }
 
-// NewKeeper returns a keeper of the lease with a name; Run must be called.
+// NewKeeper returns a keeper of the named lease; Run must be called.
 func NewKeeper(kind, name, self string, ttl time.Duration, store Store, logger log.Logger) *Keeper {
-	return &Keeper{kind: kind, name: name, store: store, logger: logger, c: New(self, ttl)}
+	return &Keeper{kind: kind, name: name, store: store, logger: logger, candidate: New(self, ttl)}
 }
 
-// Held returns the fencing number if this daemon holds the lease right now.
+// Held returns the fencing number if this daemon holds the lease now.
 func (k *Keeper) Held() (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.c.Held(boottime.Now())
+	return k.candidate.Held(boottime.Now())
 }
 
 // Holder returns the lease as last seen.
 func (k *Keeper) Holder() Spec {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.c.Holder()
+	return k.candidate.Holder()
 }
 
-// Run keeps trying until ctx ends, then gives the lease up.
+// Run acquires and renews the lease until ctx ends, then releases it.
 func (k *Keeper) Run(ctx context.Context) {
-	period := k.c.ttl / 10
+	period := k.candidate.ttl / 10
 	t := time.NewTicker(period)
 	defer t.Stop()
 	for {
 		pause := time.Duration(0)
 		if !k.step(ctx) {
-			pause = k.c.ttl / failedPause // a store that is away is not asked at every tick
+			pause = k.candidate.ttl / retryFraction // do not retry a failed store at every tick
 		}
 		select {
 		case <-ctx.Done():
@@ -79,17 +79,17 @@
 	}
 }
 
-// failedPause is the part of the period for which a keeper waits after a failed
-// call to the store.
-const failedPause = 3
+// retryFraction is the inverse of the fraction of the period to wait after a failed call
+// to the store.
+const retryFraction = 3
 
 func (k *Keeper) next() Action {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.c.Next(boottime.Now())
+	return k.candidate.Next(boottime.Now())
 }
 
-// step does what is due and returns whether the store answered.
+// step performs the next action and reports whether the store answered.
 func (k *Keeper) step(ctx context.Context) (answered bool) {
 	switch a := k.next(); a {
 	case Read:
@@ -107,43 +107,43 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.c.Seen(o, boottime.Now())
+	k.candidate.Seen(o, boottime.Now())
 	return true
 }
 
-// write makes one attempt. An answer that was lost is settled by reading back:
-// the nonce says whether the stored lease is this very write.
+// write makes one attempt. After a lost answer it reads the lease back and compares the
+// nonce to find out whether the write was applied.
 func (k *Keeper) write(ctx context.Context, a Action) (answered bool) {
 	k.mu.Lock()
-	spec, ifVersion := k.c.Propose(a, rand.Uint64())
-	era := k.c.version.Era()
+	spec, ifVersion := k.candidate.Propose(a, rand.Uint64())
+	era := k.candidate.version.Era()
 	k.mu.Unlock()
-	asked := boottime.Now()
+	requestedAt := boottime.Now()
 	version, err := k.store.Put(ctx, k.kind, k.name, spec.Encode(), ifVersion)
 	if errors.Is(err, store.ErrAmbiguous) {
-		o, gerr := k.store.Get(ctx, k.kind, k.name)
-		if gerr != nil {
-			return false // unknown until a later read; the holder's time runs on
+		o, getErr := k.store.Get(ctx, k.kind, k.name)
+		if getErr != nil {
+			return false // unknown until a later read; the lease may expire meanwhile
 		}
 		if Decode(o.Spec).Nonce == spec.Nonce {
 			version, err = o.Version, nil
 		}
 	}
 	if err == nil && version.Era() != era {
-		// The store came back from a copy in between: what was waited out, and the
-		// fencing number, are of the era before.
+		// The store was restored from a copy in between: the expiry that was awaited and
+		// the fencing number are of the previous era.
 		err = store.ErrConflict
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	switch {
 	case err == nil:
-		k.c.Written(spec, version, asked, boottime.Now())
+		k.candidate.Written(spec, version, requestedAt, boottime.Now())
 		if a == Acquire {
 			_ = level.Info(k.logger).Log("msg", "lease acquired", "lease", k.name, "fencing", spec.Fencing)
 		}
 	case errors.Is(err, store.ErrConflict):
-		k.c.Lost(boottime.Now())
+		k.candidate.Lost(boottime.Now())
 		_ = level.Info(k.logger).Log("msg", "lease lost", "lease", k.name)
 	default:
 		return false
@@ -151,17 +151,17 @@
 	return true
 }
 
-// release lets others take over at once. It writes an expired lease with the
-// same fencing number; a crash before it only costs the others a period.
+// release lets other daemons take over at once. It writes an expired lease with the same
+// fencing number. Without it, as after a crash, the others wait for one period.
 func (k *Keeper) release() {
 	if _, ok := k.Held(); !ok {
 		return
 	}
 	k.mu.Lock()
-	spec, ifVersion := k.c.Propose(Renew, 0)
+	spec, ifVersion := k.candidate.Propose(Renew, 0)
 	spec.TTL = time.Millisecond
 	spec.Holder = ""
-	k.c.Released()
+	k.candidate.Released()
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -14,21 +14,21 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-var histories = flag.Int("histories", 1000, "generated histories of a lease in a store that comes back from copies")
+var histories = flag.Int("histories", 1000, "generated histories of a lease in a store that is restored from copies")
 
-// In a store that comes back from older copies, beside outages, lost and late writes,
-// there is never more than one holder at a moment, and no two holdings have the same
-// fencing number.
+// In a store that is restored from older copies, with outages, lost and delayed writes,
+// there is at most one holder at any time, and no two holders have the same fencing
+// number.
 func TestOneHolderThroughRestores(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		for seed := range *histories {
-			playRestores(t, rand.New(rand.NewPCG(uint64(seed), 31)))
+			runRestores(t, rand.New(rand.NewPCG(uint64(seed), 31)))
 		}
 	})
 }
 
-// playRestores plays one history of half a minute.
-func playRestores(t *testing.T, rng *rand.Rand) {
+// runRestores simulates one history of half a minute.
+func runRestores(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	s := memstore.New()
 	ks := keepers(s, 3)
@@ -62,8 +62,8 @@
 				continue
 			}
 			holders++
-			by, known := holderOf[fencing]
-			require.True(t, !known || by == i, "fencing number %d of two holders", fencing)
+			holder, known := holderOf[fencing]
+			require.True(t, !known || holder == i, "fencing number %d of two holders", fencing)
 			require.GreaterOrEqual(t, fencing, highest)
 			holderOf[fencing], highest = i, fencing
 		}
@@ -71,14 +71,14 @@
 	}
 }
 
-// A lease that the copy lacks, or shows as given up, may be held by a daemon that took it
-// since: it is waited out.
-func TestLeaseThatACopyLacksIsWaitedOut(t *testing.T) {
+// A lease that a restored copy lacks, or shows as released, may be held by a daemon that
+// acquired it later. It is acquired only after a whole period.
+func TestLeaseMissingFromACopyIsWaitedOut(t *testing.T) {
 	now := time.Unix(1000, 0)
-	givenUp := Spec{Fencing: 4, TTL: time.Millisecond}.Encode()
+	released := Spec{Fencing: 4, TTL: time.Millisecond}.Encode()
 	for name, copied := range map[string]store.Object{
 		"missing":  {Version: store.At(2, 0)},
-		"given up": {Version: store.At(2, 70), Spec: givenUp},
+		"given up": {Version: store.At(2, 70), Spec: released},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := New("d1", ttl)
@@ -91,7 +91,7 @@
 			c.Seen(copied, now.Add(ttl+time.Millisecond))
 			require.Equal(t, Acquire, c.Next(now.Add(ttl+time.Millisecond)))
 			spec, _ := c.Propose(Acquire, 1)
-			require.Greater(t, spec.Fencing, uint64(5), "of the holder that the store has lost")
+			require.Greater(t, spec.Fencing, uint64(5), "fencing number of the holder that the store has lost")
 		})
 	}
 }
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -1,11 +1,10 @@
-// Package stall tells when this process was kept from running: stopped, without its
-// share of the processor, or its VM suspended. Whoever judges others by how long they
-// said nothing must not count that time, since what they said lies unread in the
-// sockets. Where applying a configuration kept a daemon from running for 50 ms, it took
-// a dozen sound backend servers for dead within 11 ms and threw away the streams there.
+// Package stall detects when this process was kept from running: stopped, without
+// processor time, or with its VM suspended. Time-outs for other processes must exclude
+// that time, since their messages wait unread in the sockets. Otherwise a short stall
+// makes healthy backend servers look dead.
 //
-// A Monitor notices stalls by a heartbeat of its own; timers and time-outs made from it
-// run out after so much time in which the process ran.
+// A Monitor detects stalls by its own heartbeat. Timers and time-outs made from it expire
+// after the given time of running.
 package stall
 
 import (
@@ -16,54 +15,55 @@
 	"github.com/snowspoke/snowspoke/boottime"
 )
 
-// Times of the heartbeat.
+// Parameters of the heartbeat.
 const (
-	// beat is the period of the heartbeat: forty times a second take 0.03% of a core.
-	beat = 25 * time.Millisecond
-	// lateFrom is how late a beat must be to show a stall: less is usual where others
-	// use the processor.
-	lateFrom = 10 * time.Millisecond
-	// settle is the least time for which the process must run behind a stall before it
-	// judges anybody: what lies in the sockets is read first.
-	settle = 20 * time.Millisecond
-	// kept is the number of stalls that are remembered: at the share of a core that ends
-	// every tenth of a second, more than six seconds.
-	kept = 64
+	// heartbeatInterval is the period of the heartbeat.
+	heartbeatInterval = 25 * time.Millisecond
+	// minStall is the delay of a heartbeat from which it counts as a stall. Shorter delays
+	// are normal on a busy processor.
+	minStall = 10 * time.Millisecond
+	// settleTime is the least time for which the process must run after a stall before a
+	// timer expires, so that messages in the sockets are read first.
+	settleTime = 20 * time.Millisecond
+	// maxStalls is the number of stalls that are stored. It covers more than six seconds
+	// with a stall every tenth of a second, as under a CPU quota.
+	maxStalls = 64
 )
 
-// Monitor notices stalls of this process. A nil Monitor never does. It is safe for
+// Monitor detects stalls of this process. A nil Monitor detects none. It is safe for
 // concurrent use.
 type Monitor struct {
 	suspended func() time.Duration
 
-	mu       sync.Mutex
-	beatAt   time.Time // of the last beat, the zero time while not running
-	asleep   time.Duration
-	stalls   [kept]span
-	next     int // where the next one goes
-	observer func(time.Duration)
-	woken    []func(suspended time.Duration)
+	mu            sync.Mutex
+	lastBeat      time.Time       // of the last heartbeat, the zero time while not running
+	lastSuspended time.Duration   // value of suspended at the last heartbeat
+	stalls        [maxStalls]span // a ring
+	next          int             // index of the next one
+	observer      func(time.Duration)
+	onWake        []func(suspended time.Duration)
 }
 
-// OnWake has f called after each suspension of the VM with its length. It is called
-// before Run.
+// OnWake registers f to be called after each suspension of the VM with its length. It must
+// be called before Run.
 func (m *Monitor) OnWake(f func(suspended time.Duration)) {
 	if m == nil {
 		return
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.woken = append(m.woken, f)
+	m.onWake = append(m.onWake, f)
 }
 
-// span is a time in which the process did not run. A VM that is suspended lengthens
-// none of the spans of the steady clock: lost is that time.
+// span is a period in which the process did not run. The steady clock does not advance
+// while a VM is suspended; lost is that time.
 type span struct {
 	from, to time.Time
-	lost     time.Duration // beyond to less from
+	lost     time.Duration // in addition to to - from
 }
 
-// New returns a monitor; Run must be called. observe is told each stall, nil for nobody.
+// New returns a monitor; Run must be called. observe is called with the length of each
+// stall and may be nil.
 func New(observe func(time.Duration)) *Monitor {
 	if observe == nil {
 		observe = func(time.Duration) {}
@@ -71,9 +71,9 @@
 	return &Monitor{suspended: boottime.Suspended, observer: observe}
 }
 
-// Run beats until ctx ends.
+// Run sends heartbeats until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
-	t := time.NewTimer(beat)
+	t := time.NewTimer(heartbeatInterval)
 	defer t.Stop()
 	m.start()
 	for {
@@ -83,7 +83,7 @@
 			return
 		case <-t.C:
 			m.tick(time.Now())
-			t.Reset(beat)
+			t.Reset(heartbeatInterval)
 		}
 	}
 }
@@ -91,52 +91,51 @@
 func (m *Monitor) start() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.beatAt, m.asleep = time.Now(), m.suspended()
+	m.lastBeat, m.lastSuspended = time.Now(), m.suspended()
 }
 
 func (m *Monitor) stop() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.beatAt = time.Time{}
+	m.lastBeat = time.Time{}
 }
 
 func (m *Monitor) tick(now time.Time) {
 	m.mu.Lock()
 	late := m.late(now)
-	asleep := m.suspended()
-	lost := asleep - m.asleep
-	if lost < lateFrom {
+	suspended := m.suspended()
+	lost := suspended - m.lastSuspended
+	if lost < minStall {
 		lost = 0
 	}
 	if late > 0 || lost > 0 {
 		m.stalls[m.next] = span{from: now.Add(-late), to: now, lost: lost}
-		m.next = (m.next + 1) % kept
+		m.next = (m.next + 1) % maxStalls
 	}
-	m.beatAt, m.asleep = now, asleep
-	woken := m.woken
+	m.lastBeat, m.lastSuspended = now, suspended
+	callbacks := m.onWake
 	m.mu.Unlock()
 	if late+lost > 0 {
 		m.observer(late + lost)
 	}
 	if lost > 0 {
-		for _, f := range woken {
+		for _, f := range callbacks {
 			f(lost)
 		}
 	}
 }
 
-// late returns by how much the next beat is late, 0 if that is within what is usual.
+// late returns the delay of the next heartbeat, 0 if it is below minStall.
 func (m *Monitor) late(now time.Time) time.Duration {
-	late := now.Sub(m.beatAt) - beat
-	if m.beatAt.IsZero() || late < lateFrom {
+	late := now.Sub(m.lastBeat) - heartbeatInterval
+	if m.lastBeat.IsZero() || late < minStall {
 		return 0
 	}
 	return late
 }
 
-// Held returns for how much of the time from since to now the process was kept from
-// running. The part of it in which a VM was suspended is not among that time by the
-// steady clock.
+// Held returns for how long the process was kept from running between since and now. It
+// excludes suspensions of the VM, which the steady clock does not count.
 func (m *Monitor) Held(since, now time.Time) time.Duration {
 	if m == nil {
 		return 0
@@ -147,14 +146,14 @@
 	for _, s := range m.stalls {
 		held += s.within(since, now)
 	}
-	if late := m.late(now); late > 0 { // the beat has not come yet
+	if late := m.late(now); late > 0 { // the heartbeat is still due
 		held += span{from: now.Add(-late), to: now}.within(since, now)
 	}
 	return held
 }
 
-// Stalled reports whether the process was kept from running at some time from since to
-// now, or its VM was suspended.
+// Stalled reports whether the process was kept from running, or its VM was suspended, at
+// some time between since and now.
 func (m *Monitor) Stalled(since, now time.Time) bool {
 	if m.Held(since, now) > 0 {
 		return true
@@ -169,9 +168,10 @@
 			return true
 		}
 	}
-	return m.suspended()-m.asleep >= lateFrom
+	return m.suspended()-m.lastSuspended >= minStall
 }
 
+// within returns the part of the span between since and now.
 func (s span) within(since, now time.Time) time.Duration {
 	from, to := s.from, s.to
 	if from.Before(since) {
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -11,50 +11,50 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// monitored returns a monitor whose heartbeat is driven by hand.
-func monitored(suspended *time.Duration) *Monitor {
+// newManualMonitor returns a monitor whose heartbeat the test drives.
+func newManualMonitor(suspended *time.Duration) *Monitor {
 	m := New(nil)
 	m.suspended = func() time.Duration { return *suspended }
 	m.start()
 	return m
 }
 
-func TestStallsAreCounted(t *testing.T) {
+func TestStallsAreDetected(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		var asleep time.Duration
-		m := monitored(&asleep)
+		var suspended time.Duration
+		m := newManualMonitor(&suspended)
 		began := time.Now()
-		time.Sleep(beat)
+		time.Sleep(heartbeatInterval)
 		m.tick(time.Now())
-		require.Zero(t, m.Held(began, time.Now()), "a beat in time")
-		time.Sleep(beat + lateFrom/2)
+		require.Zero(t, m.Held(began, time.Now()), "a heartbeat in time")
+		time.Sleep(heartbeatInterval + minStall/2)
 		m.tick(time.Now())
-		require.Zero(t, m.Held(began, time.Now()), "a little late is usual")
+		require.Zero(t, m.Held(began, time.Now()), "a short delay is no stall")
 		stalled := time.Now()
-		time.Sleep(beat + 200*time.Millisecond)
-		require.Equal(t, 200*time.Millisecond, m.Held(began, time.Now()), "it shows before the beat has come")
+		time.Sleep(heartbeatInterval + 200*time.Millisecond)
+		require.Equal(t, 200*time.Millisecond, m.Held(began, time.Now()), "it shows before the heartbeat")
 		m.tick(time.Now())
 		require.Equal(t, 200*time.Millisecond, m.Held(began, time.Now()))
-		require.Equal(t, 100*time.Millisecond, m.Held(stalled.Add(125*time.Millisecond), time.Now()), "only what lies in the span")
+		require.Equal(t, 100*time.Millisecond, m.Held(stalled.Add(125*time.Millisecond), time.Now()), "only the part after since")
 		require.Zero(t, m.Held(time.Now(), time.Now()))
-		for range 2 * kept {
-			time.Sleep(beat + 20*time.Millisecond)
+		for range 2 * maxStalls {
+			time.Sleep(heartbeatInterval + 20*time.Millisecond)
 			m.tick(time.Now())
 		}
-		require.Equal(t, kept*20*time.Millisecond, m.Held(began, time.Now()), "the last ones are remembered")
+		require.Equal(t, maxStalls*20*time.Millisecond, m.Held(began, time.Now()), "the last maxStalls are stored")
 		require.Zero(t, (*Monitor)(nil).Held(began, time.Now()))
 	})
 }
 
 // The steady clock does not show that a VM was suspended.
-func TestSuspensionIsSeen(t *testing.T) {
+func TestSuspensionIsDetected(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		var asleep time.Duration
-		m := monitored(&asleep)
+		var suspended time.Duration
+		m := newManualMonitor(&suspended)
 		began := time.Now()
 		require.False(t, m.Stalled(began, time.Now()))
-		asleep = 5 * time.Second
-		require.True(t, m.Stalled(began, time.Now()), "before the beat has come")
+		suspended = 5 * time.Second
+		require.True(t, m.Stalled(began, time.Now()), "before the heartbeat")
 		m.tick(time.Now())
 		require.True(t, m.Stalled(began, time.Now()))
 		time.Sleep(time.Millisecond)
@@ -62,15 +62,15 @@
 	})
 }
 
-// A timer that was held up runs out once the process has run for its time, and one
-// that was not as any other.
-func TestTimersCountTimeThatTheProcessRan(t *testing.T) {
+// A stalled timer expires once the process has run for its duration; without stalls it
+// expires as usual.
+func TestTimersCountRunningTime(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		var asleep time.Duration
-		m := monitored(&asleep)
+		var suspended time.Duration
+		m := newManualMonitor(&suspended)
 		beats := func(n int) {
 			for range n {
-				time.Sleep(beat)
+				time.Sleep(heartbeatInterval)
 				m.tick(time.Now())
 			}
 		}
@@ -83,14 +83,14 @@
 
 		began = time.Now()
 		timer.Reset(60 * time.Millisecond)
-		time.Sleep(beat + time.Second) // 25 ms run, a second does not
+		time.Sleep(heartbeatInterval + time.Second) // the process runs for 25 ms of it
 		m.tick(time.Now())
 		beats(4)
 		require.Equal(t, time.Second+60*time.Millisecond, time.Duration(firedAt.Load()).Round(time.Millisecond))
 
 		ctx, cancel := m.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
-		time.Sleep(beat + 500*time.Millisecond)
+		time.Sleep(heartbeatInterval + 500*time.Millisecond)
 		m.tick(time.Now())
 		time.Sleep(time.Millisecond)
 		require.NoError(t, ctx.Err())
@@ -99,21 +99,20 @@
 	})
 }
 
-// A timer that was started anew just as it ran out does not call for the time before: a
-// daemon that ran again after a stall read its source's answer and left it in the same
-// moment, as silent.
-func TestTimerStartedAnewAsItRunsOut(t *testing.T) {
+// A timer that is reset while its previous expiry is pending does not call the function for
+// that expiry.
+func TestTimerResetDuringExpiry(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		var asleep time.Duration
-		m := monitored(&asleep)
+		var suspended time.Duration
+		m := newManualMonitor(&suspended)
 		var calls atomic.Int64
 		timer := m.AfterFunc(time.Second, func() { calls.Add(1) })
 		defer timer.Stop()
 		timer.Reset(time.Second)
-		timer.fire() // of the time before, which comes behind
+		timer.fire() // of the previous period, pending
 		require.Zero(t, calls.Load())
 		for range 60 {
-			time.Sleep(beat)
+			time.Sleep(heartbeatInterval)
 			m.tick(time.Now())
 		}
 		require.EqualValues(t, 1, calls.Load())
@@ -138,11 +137,11 @@
 		cancel()
 		<-done
 		time.Sleep(time.Second)
-		require.Zero(t, m.Held(began, time.Now()), "it notices nothing once it has ended")
+		require.Zero(t, m.Held(began, time.Now()), "it detects nothing after it has ended")
 	})
 }
 
-// BenchmarkBeat gives what the heartbeat costs: forty a second.
+// BenchmarkBeat measures the cost of one heartbeat.
 func BenchmarkBeat(b *testing.B) {
 	m := New(nil)
 	m.start()
--- a/stall/timer.go
+++ b/stall/timer.go
@@ -17,8 +17,8 @@
 	d     time.Duration
 }
 
-// AfterFunc returns a timer that calls f in a goroutine of its own once the process has
-// run for d. Stalls count neither among d nor does f follow one at once.
+// AfterFunc returns a timer that calls f in its own goroutine once the process has run for
+// d. Stalls do not count towards d, and f is not called immediately after one.
 func (m *Monitor) AfterFunc(d time.Duration, f func()) *Timer {
 	t := &Timer{monitor: m, call: f, since: time.Now(), d: d}
 	t.mu.Lock()
@@ -34,8 +34,8 @@
 	t.call()
 }
 
-// due reports whether the process has run for the time; if not, the timer goes on. That
-// may also be as it was started anew while this call was on its way.
+// due reports whether the process has run for the duration. Otherwise it re-arms the timer,
+// also if Reset was called while this call was pending.
 func (t *Timer) due(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -44,11 +44,11 @@
 	if left <= 0 {
 		return true
 	}
-	t.timer.Reset(max(left, settle))
+	t.timer.Reset(max(left, settleTime))
 	return false
 }
 
-// Reset starts the timer anew.
+// Reset restarts the timer.
 func (t *Timer) Reset(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,15 +56,15 @@
 	t.timer.Reset(d)
 }
 
-// Stop stops the timer; f may be running already.
+// Stop stops the timer. f may already be running.
 func (t *Timer) Stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.timer.Stop()
 }
 
-// WithTimeout returns a context that ends with context.DeadlineExceeded as its cause
-// once the process has run for d.
+// WithTimeout returns a context that ends with the cause context.DeadlineExceeded once the
+// process has run for d.
 func (m *Monitor) WithTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	if m == nil {
 		return context.WithTimeout(ctx, d)
