--- a/health/cooldown.go
+++ b/health/cooldown.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// CooldownConfig says for how long a backend server gets no work after what
-// requests showed about it.
+// CooldownConfig sets how long a backend server gets no work after refusals and failures.
 type CooldownConfig struct {
-	Refused    time.Duration // after a refusal: it was full
-	Failed     time.Duration // after a sign that it is dead, times the signs in a row
-	FailedMost time.Duration // bounds the time after signs in a row
+	Refused    time.Duration // after a refusal for lack of capacity
+	Failed     time.Duration // after a failure, multiplied by the number of consecutive failures
+	FailedMost time.Duration // upper bound of the time after consecutive failures
 }
 
-// Cooldowns keeps which backend servers get no work for a while, by name. It is
-// safe for concurrent use.
+// Cooldowns holds the backend servers that get no work for a while, by name. It is safe for
+// concurrent use.
 type Cooldowns struct {
 	cfg CooldownConfig
 
@@ -25,8 +24,8 @@
 
 type cooldown struct {
 	until    time.Time
-	failures int  // signs of its death in a row
-	ended    bool // its process is surely gone
+	failures int  // consecutive
+	ended    bool // the process is known to have ended
 }
 
 // NewCooldowns returns an empty table.
@@ -34,7 +33,7 @@
 	return &Cooldowns{cfg: cfg, servers: map[string]cooldown{}}
 }
 
-// Refuse notes that a backend server refused work.
+// Refuse records that a backend server refused work.
 func (c *Cooldowns) Refuse(name string, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,20 +44,20 @@
 	c.servers[name] = s
 }
 
-// Fail notes a sign that a backend server is dead. It returns whether this is
-// news.
+// Fail records a failure of a backend server. It returns false if the server was already
+// cooling down.
 func (c *Cooldowns) Fail(name string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[name]
-	news := !now.Before(s.until)
+	isNew := !now.Before(s.until)
 	s.failures++
 	s.until = now.Add(min(c.cfg.FailedMost, c.cfg.Failed*time.Duration(s.failures)))
 	c.servers[name] = s
-	return news
+	return isNew
 }
 
-// End notes that the process of a backend server is surely gone.
+// End records that the process of a backend server has ended for certain.
 func (c *Cooldowns) End(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,15 +66,15 @@
 	c.servers[name] = s
 }
 
-// Ended reports whether the process of a backend server is surely gone, other than one
-// that only looks dead.
+// Ended reports whether the process of a backend server has ended for certain, as opposed
+// to Dead.
 func (c *Cooldowns) Ended(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers[name].ended
 }
 
-// Serve notes that a backend server did its work.
+// Serve records that a backend server completed work.
 func (c *Cooldowns) Serve(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,15 +86,15 @@
 	c.servers[name] = s
 }
 
-// Cooling reports whether a backend server shall get no work now.
+// Cooling reports whether a backend server must not get work now.
 func (c *Cooldowns) Cooling(name string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.servers[name].until)
 }
 
-// Back returns when a backend server that refused work is asked again, the zero time
-// if it may be asked now or looks dead.
+// Back returns when a backend server that refused work may get work again, the zero time if
+// it may now or has failed.
 func (c *Cooldowns) Back(name string, now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +105,7 @@
 	return s.until
 }
 
-// Dead reports whether signs of its death keep a backend server from work now.
+// Dead reports whether a backend server is cooling down because of failures.
 func (c *Cooldowns) Dead(name string, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +113,7 @@
 	return s.failures > 0 && now.Before(s.until)
 }
 
-// Prune forgets backend servers that are not known any more.
+// Prune removes backend servers that are no longer known.
 func (c *Cooldowns) Prune(known func(name string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/health/cooldown_test.go
+++ b/health/cooldown_test.go
@@ -9,18 +9,18 @@
 
 var testCooldowns = CooldownConfig{Refused: time.Second, Failed: 4 * time.Second, FailedMost: 8 * time.Second}
 
-func TestRefusalsAndSignsOfDeathCool(t *testing.T) {
+func TestRefusalsAndFailuresCoolDown(t *testing.T) {
 	c := NewCooldowns(testCooldowns)
 	now := time.Unix(1000, 0)
 	require.False(t, c.Cooling("a", now))
 	c.Refuse("a", now)
 	require.True(t, c.Cooling("a", now))
-	require.False(t, c.Dead("a", now), "full is not dead")
+	require.False(t, c.Dead("a", now), "a refusal is not a failure")
 	require.False(t, c.Cooling("a", now.Add(time.Second)))
 
-	require.True(t, c.Fail("b", now), "news")
-	require.False(t, c.Fail("b", now.Add(time.Second)), "known")
-	require.True(t, c.Dead("b", now.Add(8*time.Second)), "the second sign counts twice")
+	require.True(t, c.Fail("b", now), "first failure")
+	require.False(t, c.Fail("b", now.Add(time.Second)), "already cooling down")
+	require.True(t, c.Dead("b", now.Add(8*time.Second)), "the second failure lasts twice as long")
 	require.False(t, c.Dead("b", now.Add(9*time.Second)))
 	for range 5 {
 		c.Fail("b", now)
@@ -28,10 +28,10 @@
 	require.False(t, c.Dead("b", now.Add(8*time.Second)), "bounded")
 	c.Serve("b")
 	require.False(t, c.Dead("b", now))
-	require.True(t, c.Cooling("b", now), "one answer that was under way does not end it")
+	require.True(t, c.Cooling("b", now), "a late answer does not end a cooldown")
 }
 
-// A refusal does not cut a longer cooldown short.
+// A refusal does not shorten a longer cooldown.
 func TestRefusalDoesNotShortenACooldown(t *testing.T) {
 	c := NewCooldowns(testCooldowns)
 	now := time.Unix(1000, 0)
@@ -40,7 +40,7 @@
 	require.True(t, c.Dead("a", now.Add(3*time.Second)))
 }
 
-func TestCooldownsOfTheGoneAreForgotten(t *testing.T) {
+func TestUnknownServersArePruned(t *testing.T) {
 	c := NewCooldowns(testCooldowns)
 	c.Fail("gone", time.Unix(1000, 0))
 	c.Fail("here", time.Unix(1000, 0))
--- a/health/detector.go
+++ b/health/detector.go
@@ -1,5 +1,5 @@
-// Package health decides which backend servers and links are fit for new work.
-// It is pure: observations and a clock in, transitions and reasons out.
+// Package health decides which backend servers and links are fit for new work. It does no
+// I/O: callers pass in observations and times and receive transitions and reasons.
 package health
 
 import (
@@ -12,9 +12,9 @@
 // The states.
 const (
 	Healthy State = iota // full weight
-	Suspect              // one strong sign of failure; no new work until a probe
+	Suspect              // one strong sign of failure; no new work until a probe succeeds
 	Ejected              // no new work until EjectFor has passed and a probe succeeds
-	Ramping              // back, with a growing weight
+	Ramping              // in service again, with a growing weight
 )
 
 // String returns the state's name.
@@ -22,7 +22,7 @@
 	return [...]string{"healthy", "suspect", "ejected", "ramping"}[s]
 }
 
-// legal lists the transitions; everything else is a fault of the detector.
+// legal lists the permitted transitions; any other is a bug in the detector.
 var legal = map[State][]State{
 	Healthy: {Suspect, Ejected},
 	Suspect: {Healthy, Ramping, Ejected},
@@ -48,9 +48,9 @@
 	Success     Signal = iota // a request was served
 	Unreachable               // a connection could not be made
 	Lost                      // a connection broke while a request ran
-	Failed                    // the engine said that the backend server failed
+	Failed                    // the engine reported that the backend server failed
 	Stalled                   // no token came within the adaptive bound
-	Refused                   // the engine refused without running: busy, not ill
+	Refused                   // the engine refused without running: busy, not faulty
 	ProbeOK
 	ProbeFailed
 )
@@ -64,17 +64,17 @@
 	return s == Unreachable || s == Lost || s == Failed || s == Stalled || s == ProbeFailed
 }
 
-// Config holds the detector's limits.
+// Config holds the thresholds of the detector.
 type Config struct {
-	FailuresToEject int           // failures in a row, probes aside, that eject
-	EjectFor        time.Duration // first ejection; doubles with each one
+	FailuresToEject int           // consecutive failures, except probes, that eject
+	EjectFor        time.Duration // first ejection; doubles with each further one
 	MaxEjectFor     time.Duration
-	ProbeEvery      time.Duration // of suspect and ejected backend servers
-	RampFor         time.Duration // from least to full weight
-	LeastWeight     float64       // where the ramp begins
+	ProbeEvery      time.Duration // for suspect and ejected backend servers
+	RampFor         time.Duration // from LeastWeight to full weight
+	LeastWeight     float64       // at the start of the ramp
 }
 
-// DefaultConfig returns limits for engines that answer within milliseconds.
+// DefaultConfig returns thresholds for engines that answer within milliseconds.
 func DefaultConfig() Config {
 	return Config{
 		FailuresToEject: 3, EjectFor: 2 * time.Second, MaxEjectFor: time.Minute,
@@ -87,26 +87,25 @@
 	BackendServer string
 	From, To      State
 	Signal        Signal
-	KeptInService bool // unfit, but the last capacity of some layers
+	KeptInService bool // unfit, but needed as the last capacity for some layers
 }
 
-// record is what the detector keeps of one backend server.
+// record is the state of one backend server.
 type record struct {
 	state     State
-	failures  int // in a row
+	failures  int // consecutive
 	ejections int
 	until     time.Time // end of the ejection
 	since     time.Time // start of the ramp
 	probed    time.Time
-	kept      bool
+	kept      bool // see Transition.KeptInService
 }
 
-// Detector keeps the health of all backend servers. It is not safe for
-// concurrent use.
+// Detector tracks the health of all backend servers. It is not safe for concurrent use.
 type Detector struct {
 	cfg Config
-	// last reports whether a backend server is the last capacity of something;
-	// such a one stays in service, however ill.
+	// last reports whether a backend server is the last capacity for some layers. Such a
+	// server stays in service regardless of its health.
 	last    func(server string) bool
 	records map[string]*record
 }
@@ -125,7 +124,7 @@
 	return r
 }
 
-// Forget drops a backend server that has left the configuration.
+// Forget removes a backend server that has left the configuration.
 func (d *Detector) Forget(server string) { delete(d.records, server) }
 
 // State returns the backend server's state.
@@ -155,7 +154,7 @@
 	return min(1, d.cfg.LeastWeight+(1-d.cfg.LeastWeight)*done)
 }
 
-// Observe takes a signal and returns the transition it causes, if any.
+// Observe processes a signal and returns the transition that it causes, if any.
 func (d *Detector) Observe(server string, s Signal, now time.Time) (Transition, bool) {
 	r := d.record(server)
 	from := r.state
@@ -187,9 +186,9 @@
 		return Ejected
 	}
 	if s == Stalled {
-		// Every hop of the route answered, so any of them may be slow, or none
-		// ill: under overload this must not take capacity away. Only stalls in a
-		// row, with no request served between them, eject.
+		// Every hop of the route answered, so any of them may be slow, or all are
+		// overloaded, where ejection would remove needed capacity. Only
+		// consecutive stalls without a served request eject.
 		return r.state
 	}
 	return Suspect
@@ -203,9 +202,9 @@
 	return r.state
 }
 
-// afterProbe lets a suspect back that answers at once, and an ejected one when
-// its time is over. A probe says that the process lives, not that it serves:
-// the count of failures is kept until a request succeeds.
+// afterProbe returns a suspect to service at once, and an ejected backend server after its
+// ejection. A probe shows that the process is alive, not that it serves requests: the count
+// of failures is kept until a request succeeds.
 func (d *Detector) afterProbe(r *record, now time.Time) State {
 	switch r.state {
 	case Suspect:
@@ -267,8 +266,8 @@
 	return due
 }
 
-// Ramping returns the backend servers whose weight is still growing and moves
-// those that have finished to Healthy.
+// Ramping returns the backend servers whose weight is growing and moves those that have
+// completed the ramp to Healthy.
 func (d *Detector) Ramping(now time.Time) []string {
 	var out []string
 	for name, r := range d.records {
--- a/health/gap.go
+++ b/health/gap.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Gap estimates the time between events as a mean and a mean deviation, in the
-// way that TCP estimates round trips (RFC 6298), and bounds the next one.
+// Gap estimates the time between events by its mean and mean deviation, as TCP estimates
+// round-trip times (RFC 6298), and bounds the next one.
 type Gap struct {
 	mean, dev float64 // seconds
 	n         int
@@ -16,16 +16,16 @@
 const (
 	gapGain    = 0.125
 	gapDevGain = 0.25
-	gapDevs    = 8.0 // deviations above the mean that are still waited for
-	gapWarmUp  = 4   // observations before the bound is trusted
-	// unusualMeans and unusualDevs, in means and mean deviations, are the gap from
-	// which on the next event is late. Deviations alone took every tenth pause of a
-	// calm day for unusual: gaps are skewed, since prompts are read between them.
+	gapDevs    = 8.0 // deviations above the doubled mean in Bound
+	gapWarmUp  = 4   // observations before the bound is used
+	// unusualMeans and unusualDevs, in means and mean deviations, set the gap from which
+	// the next event is late. The mean is included since gaps are skewed: prompts are
+	// processed between them.
 	unusualMeans = 1.5
 	unusualDevs  = 4.0
 )
 
-// Observe takes one gap.
+// Observe adds one gap.
 func (g *Gap) Observe(d time.Duration) {
 	x := d.Seconds()
 	g.n++
@@ -38,7 +38,7 @@
 	g.mean += gapGain * (x - g.mean)
 }
 
-// Warm reports whether enough was observed to trust the bound.
+// Warm reports whether there are enough observations for the bound.
 func (g *Gap) Warm() bool { return g.n >= gapWarmUp }
 
 // Bound returns how long to wait for the next event, within [floor, ceil].
@@ -50,9 +50,8 @@
 	return min(ceil, max(floor, b))
 }
 
-// Unusual returns the gap from which on the next event is late beyond what the
-// spread of the gaps explains, within [least, most]; unknown while too little was
-// observed.
+// Unusual returns the gap from which the next event is late beyond the normal spread, within
+// [least, most], or unknown while there are too few observations.
 func (g *Gap) Unusual(least, most, unknown time.Duration) time.Duration {
 	if !g.Warm() {
 		return unknown
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -10,8 +10,8 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Only legal transitions happen, the last capacity stays in service, and a
-// backend server that answers well again is back within the longest ejection.
+// Only legal transitions happen, the last capacity stays in service, and a backend server
+// that answers again is back in service within the longest ejection.
 func TestDetector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		last := rapid.Bool().Draw(t, "last")
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestHalfDeadServerIsEjected(t *testing.T) {
+func TestServerThatOnlyAnswersProbesIsEjected(t *testing.T) {
 	d := NewDetector(DefaultConfig(), func(string) bool { return false })
 	now := t0
 	// Its probes answer, its requests fail.
@@ -58,9 +58,9 @@
 	require.Empty(t, d.DueProbes(now))
 }
 
-// Stalls count only in a row: overload must not take capacity away, and an engine
-// that answers probes but serves nothing must not keep its place.
-func TestStallsInARowEject(t *testing.T) {
+// Only consecutive stalls eject: overload must not remove capacity, but an engine that
+// answers probes and serves no requests must be ejected.
+func TestConsecutiveStallsEject(t *testing.T) {
 	d := NewDetector(DefaultConfig(), func(string) bool { return false })
 	for range 20 {
 		d.Observe("b", Stalled, t0)
@@ -74,7 +74,7 @@
 	require.Equal(t, Ejected, d.State("b"))
 }
 
-func TestGapBoundFollows(t *testing.T) {
+func TestGapBoundFollowsObservations(t *testing.T) {
 	var g Gap
 	require.Equal(t, time.Second, g.Bound(0, time.Second))
 	for range 100 {
@@ -87,7 +87,7 @@
 	require.Greater(t, g.Bound(0, time.Second), 150*time.Millisecond)
 }
 
-func TestUnusualGapFollows(t *testing.T) {
+func TestUnusualGapFollowsObservations(t *testing.T) {
 	var g Gap
 	const least, most, unknown = 10 * time.Millisecond, 500 * time.Millisecond, 200 * time.Millisecond
 	require.Equal(t, unknown, g.Unusual(least, most, unknown))
@@ -102,8 +102,8 @@
 	require.Greater(t, g.Unusual(least, most, unknown), 100*time.Millisecond, "spread counts")
 }
 
-// A link that slows a hundredfold is degraded after few samples, tried again
-// after the hold, put back at once if it is still slow, and restored when fast.
+// A link that slows down a hundredfold is degraded after few samples, gets a trial after
+// the hold time, is degraded again at once if still slow, and restored when fast.
 func TestLink(t *testing.T) {
 	cfg := DefaultLinkConfig()
 	var l Link
@@ -135,15 +135,15 @@
 	require.Equal(t, 1.0, l.Factor(cfg))
 }
 
-// A link whose usual time was guessed from others, and that never shows it, is in
-// the end taken as it is.
+// A link with a seeded baseline that it never reaches takes its own time as the baseline
+// after maxSeededTrials trials.
 func TestSeededLink(t *testing.T) {
 	cfg := DefaultLinkConfig()
 	var l Link
 	l.Seed(time.Millisecond)
 	now := t0
 	require.True(t, l.Observe(cfg, 100*time.Millisecond, now))
-	for range seededTrials {
+	for range maxSeededTrials {
 		require.True(t, l.Degraded())
 		now = now.Add(cfg.HoldFor)
 		require.True(t, l.Tick(cfg, now))
@@ -153,20 +153,20 @@
 	require.InDelta(t, 100, l.Baseline().Milliseconds(), 1)
 }
 
-// A slight slowness is believed only when it stays, a great one at once.
+// A small slowdown degrades a link only if it persists, a large one at once.
 func TestLinkEvidence(t *testing.T) {
 	cfg := DefaultLinkConfig()
-	var slight, great Link
+	var small, large Link
 	for range 20 {
-		slight.Observe(cfg, time.Millisecond, t0)
-		great.Observe(cfg, time.Millisecond, t0)
+		small.Observe(cfg, time.Millisecond, t0)
+		large.Observe(cfg, time.Millisecond, t0)
 	}
-	require.True(t, great.Observe(cfg, 100*time.Millisecond, t0))
-	require.False(t, slight.Observe(cfg, 4*time.Millisecond, t0))
-	require.False(t, slight.Observe(cfg, time.Millisecond, t0))
-	require.False(t, slight.Observe(cfg, 4*time.Millisecond, t0))
-	require.False(t, slight.Observe(cfg, 4*time.Millisecond, t0))
-	require.True(t, slight.Observe(cfg, 5*time.Millisecond, t0))
+	require.True(t, large.Observe(cfg, 100*time.Millisecond, t0))
+	require.False(t, small.Observe(cfg, 4*time.Millisecond, t0))
+	require.False(t, small.Observe(cfg, time.Millisecond, t0))
+	require.False(t, small.Observe(cfg, 4*time.Millisecond, t0))
+	require.False(t, small.Observe(cfg, 4*time.Millisecond, t0))
+	require.True(t, small.Observe(cfg, 5*time.Millisecond, t0))
 }
 
 func BenchmarkPolicyDetector(b *testing.B) {
--- a/health/link.go
+++ b/health/link.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// LinkConfig holds the limits of the link detector.
+// LinkConfig holds the thresholds of the link detector.
 type LinkConfig struct {
 	Degraded   float64       // ratio to the baseline from which a link is degraded
-	Restored   float64       // ratio below which it is restored; lower, against flapping
+	Restored   float64       // ratio below which it is restored; lower than Degraded, against flapping
 	Evidence   float64       // sum of the logarithms of slow samples that makes a link degraded
-	Samples    int           // fast samples in a row that restore a link
-	HoldFor    time.Duration // least time a link stays degraded before it is tried again
-	TrialShare float64       // share of its capacity that a tried link gets
+	Samples    int           // consecutive fast samples that restore a link
+	HoldFor    time.Duration // minimum time for which a link stays degraded before a trial
+	TrialShare float64       // share of its capacity that a link gets during a trial
 }
 
-// DefaultLinkConfig returns limits for links that differ a hundredfold.
+// DefaultLinkConfig returns thresholds for links whose speeds differ by a factor of up to a
+// hundred.
 func DefaultLinkConfig() LinkConfig {
 	return LinkConfig{Degraded: 4, Restored: 2, Evidence: 3, Samples: 3, HoldFor: 5 * time.Second, TrialShare: 0.05}
 }
 
-// Link detects that one link between two hops has become slow. It compares the
-// time on the link with the link's own baseline, so a slow backend server,
-// whose token time is reported apart, does not make its links look slow.
+// Link detects that a link between two hops has become slow. It compares transfer times
+// with the link's own baseline. They exclude the token time of the backend servers, which
+// is reported separately.
 type Link struct {
-	baseline float64 // seconds, follows improvements at once and slowness not at all while degraded
+	baseline float64 // seconds; follows improvements at once, and slowdowns not at all while degraded
 	slow     float64 // evidence of slowness
-	fast     int
+	fast     int     // consecutive fast samples while degraded
 	degraded bool
 	ratio    float64
 	since    time.Time
 	trial    bool
 	seeded   bool // the baseline was taken from other links
-	failed   int  // trials in a row that found the link still slow
+	failed   int  // consecutive trials that found the link still slow
 }
 
-// seededTrials is how often a link with a seeded baseline is found slow until
-// that is taken for its usual time: it may never have been faster.
-const seededTrials = 3
+// maxSeededTrials is the number of failed trials after which a link with a seeded baseline
+// takes its current time as the baseline, since it may never have been faster.
+const maxSeededTrials = 3
 
 // baselineGain is the weight of a sample in a healthy link's baseline.
 const baselineGain = 0.02
 
-// Observe takes the time of one transfer and reports whether the factor changed.
+// Observe adds the time of one transfer and reports whether the factor changed.
 func (l *Link) Observe(cfg LinkConfig, d time.Duration, now time.Time) (changed bool) {
 	x := d.Seconds()
 	if x <= 0 {
@@ -65,8 +66,8 @@
 		l.baseline = math.Min(x, l.baseline+baselineGain*(x-l.baseline))
 		return false
 	}
-	// A sample at the limit counts for 1, one a hundred times the baseline for
-	// more than 5: great slowness is believed at once, slight only when it stays.
+	// Evidence grows with the logarithm of the ratio: a large slowdown degrades the
+	// link at once, a small one only if it persists.
 	l.slow += 1 + math.Log2(ratio/cfg.Degraded)
 	if l.slow < cfg.Evidence {
 		return false
@@ -93,7 +94,7 @@
 		return false
 	}
 	l.restore()
-	l.seeded = false // it has shown the time itself
+	l.seeded = false // the link itself has shown this baseline
 	return true
 }
 
@@ -105,7 +106,7 @@
 // failTrial ends a trial that found the link still slow.
 func (l *Link) failTrial(x float64, now time.Time) bool {
 	l.failed++
-	if l.seeded && l.failed >= seededTrials {
+	if l.seeded && l.failed >= maxSeededTrials {
 		l.baseline, l.seeded = x, false
 		l.restore()
 		return true
@@ -115,8 +116,8 @@
 	return true
 }
 
-// Tick begins a trial when the link has been degraded long enough, and reports
-// whether the factor changed.
+// Tick starts a trial when the link has been degraded for HoldFor, and reports whether the
+// factor changed.
 func (l *Link) Tick(cfg LinkConfig, now time.Time) (changed bool) {
 	if !l.degraded || l.trial || now.Sub(l.since) < cfg.HoldFor {
 		return false
@@ -125,7 +126,7 @@
 	return true
 }
 
-// Factor returns the share of its capacity that the link should count for.
+// Factor returns the fraction of its capacity that the link counts for.
 func (l *Link) Factor(cfg LinkConfig) float64 {
 	if !l.degraded {
 		return 1
@@ -137,17 +138,17 @@
 	return f
 }
 
-// Baseline returns the link's usual time, 0 when nothing is known yet.
+// Baseline returns the link's baseline time, 0 while unknown.
 func (l *Link) Baseline() time.Duration { return time.Duration(l.baseline * float64(time.Second)) }
 
-// Seed sets the usual time of a link that has carried nothing yet.
+// Seed sets the baseline of a link without transfers.
 func (l *Link) Seed(d time.Duration) {
 	if l.baseline == 0 {
 		l.baseline, l.seeded = d.Seconds(), true
 	}
 }
 
-// Ratio returns how slow a transfer is against the baseline.
+// Ratio returns the ratio of a transfer time to the baseline.
 func (l *Link) Ratio(d time.Duration) float64 {
 	if l.baseline == 0 {
 		return 1
@@ -155,8 +156,8 @@
 	return d.Seconds() / l.baseline
 }
 
-// GroupLinkConfig returns limits for all links at one end: they count as slow
-// together only on much evidence, as one slow link among them must not do it.
+// GroupLinkConfig returns thresholds for all links at one end taken together. They need more
+// evidence, so that a single slow link among them does not degrade the group.
 func GroupLinkConfig() LinkConfig {
 	c := DefaultLinkConfig()
 	c.Evidence = 12
