--- a/lease/manager.go
+++ b/lease/manager.go
@@ -14,7 +14,7 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Store is the part of the platform's store that a keeper uses.
+// Store is the part of the platform's store that the manager of a lease uses.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (store.Object, error)
 	// Put returns store.ErrConflict when the object's version is no longer ifVersion, and
@@ -35,7 +35,7 @@
 	candidate *Candidate
 }
 
-// NewKeeper returns a keeper of the named lease; Run must be called.
+// NewKeeper returns the manager of the named lease; Run must be called.
 func NewKeeper(kind, name, self string, ttl time.Duration, store Store, logger log.Logger) *Keeper {
 	return &Keeper{kind: kind, name: name, store: store, logger: logger, candidate: New(self, ttl)}
 }
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -37,7 +37,7 @@
 	lowRateFactor = 1.5
 	lowRateSlack  = 3.0
 	// assumedDaemons is the number of daemons assumed to share a limit while the fleet
-	// is unknown. It exceeds the size of real fleets.
+	// is unknown. It is high so that the assumed share is small.
 	assumedDaemons = 100
 	// windowRetryInterval is the wait after a denial because of the window.
 	windowRetryInterval = slot
@@ -72,7 +72,7 @@
 	buckets   map[string]*bucket       // by incarnation
 }
 
-// contribution is another daemon's part, with the calls that this daemon has sent.
+// contribution is another daemon's part, with the calls sent by that daemon.
 type contribution struct {
 	until          time.Time
 	sent           map[string]int // within the window, as last reported
