--- a/forward/admit.go
+++ b/forward/admit.go
@@ -11,19 +11,18 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// startHold is how long a request waits for a daemon that was just started to know
-// the configuration and the backend servers, which takes it half a second. When all
-// daemons were killed their callers come back within milliseconds of the start, and
-// a second refusal would be their last: 176 of 3,200 requests of a day. Callers
-// leave a daemon that has not read their request after a second.
-const startHold = 900 * time.Millisecond
+// maxStartHold bounds the wait of a request until a daemon that has just started knows
+// the configuration and the backend servers. After a restart of all daemons, callers
+// retry within milliseconds and do not retry a second refusal. They leave a daemon that
+// has not read their request within a second.
+const maxStartHold = 900 * time.Millisecond
 
-// AwaitStart waits, but no longer than a caller does, until requests can be told
-// apart and sent.
+// AwaitStart blocks until the configuration and the backend servers are known, the
+// request's deadline is near, or maxStartHold has passed.
 func (f *Forwarder) AwaitStart(ctx context.Context, deadline time.Time) {
-	until := earlier(boottime.Now().Add(startHold), deadline.Add(-leastLeft))
+	until := earlier(boottime.Now().Add(maxStartHold), deadline.Add(-minTimeLeft))
 	for !f.inv.Complete() && boottime.Now().Before(until) {
-		if !wait.For(ctx, holdStep) {
+		if !wait.For(ctx, pollInterval) {
 			return
 		}
 	}
@@ -36,7 +35,7 @@
 	return b
 }
 
-// Admission is what the configuration in force says of a request.
+// Admission is the route and the caller of a request by the configuration in force.
 type Admission struct {
 	Route     *site.Route
 	Service   string
@@ -44,7 +43,7 @@
 	Limits    site.Limits
 }
 
-// Admit looks a request up in the configuration in force; key is what the caller
+// Admit resolves a request by the configuration in force. key is the one that the caller
 // presented, "" for none.
 func (f *Forwarder) Admit(host, path, key string) (Admission, error) {
 	c := f.inv.View().Config
@@ -59,8 +58,8 @@
 	if !c.NeedsKey(route) {
 		return a, nil
 	}
-	most := time.Duration(f.keysFreshFor.Load())
-	if age := f.inv.Age(boottime.Now()); most > 0 && age > most {
+	maxAge := time.Duration(f.maxKeyAge.Load())
+	if age := f.inv.Age(boottime.Now()); maxAge > 0 && age > maxAge {
 		return Admission{}, apierror.New(apierror.ConfigUnavailable, "keys may have been taken away, the configuration was last read %s ago",
 			age.Round(time.Millisecond))
 	}
@@ -71,10 +70,10 @@
 	return a, nil
 }
 
-// Refuse logs a request that is refused before it is carried.
+// Refuse logs and counts a request that is refused before Do.
 func (f *Forwarder) Refuse(requestID string, err error) {
 	e := apierror.From(err)
-	f.observe.Finished(string(e.Kind), 0)
+	f.observer.Finished(string(e.Kind), 0)
 	f.log.Add("refuse", "request", requestID, "result", string(e.Kind), "detail", e.Detail,
 		"config_age", f.inv.Age(boottime.Now()).Round(time.Millisecond))
 }
--- a/forward/backend.go
+++ b/forward/backend.go
@@ -1,7 +1,6 @@
-// Package forward carries opaque requests to backend servers and their answers
-// back, byte for byte. A request has one life: it is admitted, sent along a path,
-// its events are handed on once and in order, and a stream that stands still or
-// breaks goes on over other backend servers.
+// Package forward sends opaque requests to backend servers and returns their answers
+// unchanged. A request is admitted and sent along a path, its events are delivered once
+// and in order, and a stream that stalls or breaks is resumed over other backend servers.
 package forward
 
 import (
@@ -15,17 +14,18 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// ErrOrderRefused says that a backend server refused an order.
+// ErrOrderRefused is returned when a backend server refuses an order.
 var ErrOrderRefused = errors.New("forward: order refused")
 
-// ErrReborn says that a backend server has started again since: what it says is of
-// another incarnation.
+// ErrReborn is returned when an answer comes from a later incarnation of a backend server
+// than the one addressed.
 var ErrReborn = errors.New("forward: backend server has started again")
 
-// errUnknownServer says that a backend server is not known any more.
+// errUnknownServer is returned for a backend server that is not, or no longer, in the
+// inventory.
 var errUnknownServer = errors.New("forward: unknown backend server")
 
-// Outgoing is a request as one backend server shall receive it.
+// Outgoing is a request as it is sent to one backend server.
 type Outgoing struct {
 	Request   *Request
 	Server    *site.BackendServer
@@ -33,79 +33,80 @@
 	Left      time.Duration
 	LastEvent string // ID of the last event that the caller has, "" for none
 	Priority  int    // 0 is the most urgent
-	Fresh     bool   // on a new connection, or one that was used a moment ago
-	Permitted bool   // the call is counted already, by its permit
-	IdleMost  int    // idle connections that may be kept to the backend server
+	Fresh     bool   // use a new connection, or one that was used recently
+	Permitted bool   // the permit has counted the call already
+	IdleMost  int    // maximum number of idle connections kept to the backend server
 }
 
 // IdleMost bounds the idle connections of one daemon to one backend server.
 const IdleMost = 64
 
-// idlePart returns how many idle connections a daemon may keep to one backend server: an
-// even part of those that it takes from all daemons beside one for each of its slots, 0 for
-// any number. One that has more resets connections, and 300 daemons that each kept as many
-// as it can use itself might have ten times what it takes.
-func idlePart(takes, slots, daemons int) int {
-	if takes <= 0 {
+// idleShare returns how many idle connections a daemon may keep to one backend server: an
+// even share of the maxConns connections that it accepts, 0 for unlimited, less one for
+// each of its slots. A server resets connections beyond that number, so the bound must
+// hold for all daemons together.
+func idleShare(maxConns, slots, daemons int) int {
+	if maxConns <= 0 {
 		return IdleMost
 	}
-	return min(IdleMost, max(1, (takes-slots)/max(1, daemons)))
+	return min(IdleMost, max(1, (maxConns-slots)/max(1, daemons)))
 }
 
-// Answer is the head of a backend server's answer. Body must be closed; it gives
-// io.EOF only when the answer is whole.
+// Answer is the head of a backend server's answer. Body must be closed; it returns io.EOF
+// only if the answer is complete.
 type Answer struct {
 	Status  int
 	Header  http.Header
 	Body    io.ReadCloser
-	NotRun  bool   // the backend server says that the request did not run
-	AtFault string // address of the backend server that a refusal is about, "" if not told
-	Sealed  bool   // it carries the backend server's signature
-	Length  int64  // of the body, -1 if not known
+	NotRun  bool   // the backend server reports that the request did not run
+	AtFault string // address of the backend server that caused a refusal, "" if unknown
+	Sealed  bool   // carries the backend server's signature
+	Length  int64  // of the body, -1 if unknown
 }
 
-// Stall names a stream that stands still and the address of the hop at fault.
+// Stall identifies a stalled stream and the address of the hop at fault.
 type Stall struct {
 	RequestID string
 	Address   string
 }
 
-// Report is what a backend server tells of itself.
+// Report is the state that a backend server reports.
 type Report struct {
 	Held    site.Range
-	Busy    bool // an order is under way
+	Busy    bool // an order is in progress
 	Orders  uint64
 	Waiting int
 	Running int
 	KVUsed  float64 // tokens x layers
 	KVTotal float64
-	Pace    float64 // above 1 when it is slow
+	Pace    float64 // slowdown, above 1 for a slow server
 	Stalled []Stall
 }
 
-// CallKind is what reaches a backend server from a daemon.
+// CallKind is the kind of a call from a daemon to a backend server.
 type CallKind string
 
-// The kinds of calls.
+// Kinds of calls.
 const (
-	CallRequest CallKind = "request" // a caller's, also one that is sent again
+	CallRequest CallKind = "request" // a caller's request, including retries
 	CallReport  CallKind = "report"
-	CallOrder   CallKind = "order" // also one that moves a stream
+	CallOrder   CallKind = "order" // including those that move a stream
 )
 
-// LimitWord is what one answer of a backend server says of the requests that it takes from
-// all daemons together.
+// LimitWord is what one answer of a backend server states about its limit on the requests
+// of all daemons together.
 type LimitWord struct {
 	Server    string // ID
 	Call      CallKind
-	RequestID string // "" unless the call is a caller's request
+	RequestID string // empty unless Call is CallRequest
 	Ran       bool   // the backend server ran the request
-	Named     bool   // the answer names a limit
+	Named     bool   // the answer names a limit, which is Rate
 	Rate      float64
 	SentAt    time.Time // on the clock of package boottime
 }
 
-// Backends calls backend servers. Errors of Send wrap those of package execution.
+// Backends makes calls to backend servers. Errors of Send wrap those of package
+// execution.
 type Backends interface {
 	Send(ctx context.Context, o *Outgoing) (*Answer, error)
 	Report(ctx context.Context, s *site.BackendServer) (Report, error)
@@ -116,7 +117,7 @@
 	Repath(ctx context.Context, head *site.BackendServer, requestID string, p site.Path) error
 }
 
-// HopError says which hop of a path an error is about.
+// HopError is an error caused by a particular hop of a path.
 type HopError struct {
 	Address string
 	Err     error
@@ -125,31 +126,31 @@
 // Error implements error.
 func (e *HopError) Error() string { return e.Address + ": " + e.Err.Error() }
 
-// Unwrap returns the error itself.
+// Unwrap returns the wrapped error.
 func (e *HopError) Unwrap() error { return e.Err }
 
-// Request is a caller's request. Header holds what is passed on.
+// Request is a caller's request. Header holds the headers that are passed on.
 type Request struct {
 	ID        string
 	Method    string
-	Target    string // path and query exactly as the caller sent them
+	Target    string // path and query as sent by the caller
 	Host      string
 	Header    http.Header
 	Body      []byte
 	Route     *site.Route
 	Service   string
 	Workspace *site.Workspace // nil on public routes
-	Received  time.Time       // this and the next on the clock of package boottime
-	Deadline  time.Time       // of the caller
+	Received  time.Time       // Received and Deadline are on the clock of package boottime
+	Deadline  time.Time       // set by the caller
 	Model     string
 	Prompt    float64 // tokens
-	MaxAnswer float64 // most tokens out
-	Hint      float64 // the caller's guess of the tokens out, 0 for none
-	LastEvent string  // the caller goes on after this event
+	MaxAnswer float64 // maximum number of output tokens
+	Hint      float64 // the caller's estimate of the output tokens, 0 for none
+	LastEvent string  // ID of the event after which the caller resumes
 }
 
-// Fingerprint names the request by what its caller asks for: the same for each attempt
-// of it, at any daemon.
+// Fingerprint identifies the content of the request. It is the same for each attempt, at
+// any daemon.
 func (r *Request) Fingerprint() quarantine.Fingerprint {
 	workspace := ""
 	if r.Workspace != nil {
@@ -158,13 +159,13 @@
 	return quarantine.FingerprintOf([]byte(workspace), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body)
 }
 
-// Sink takes the answer. Its methods are called from one goroutine; an error
-// means that the caller is gone.
+// Sink receives the answer. Its methods are called from one goroutine; an error means
+// that the caller is gone.
 type Sink interface {
 	// Head begins a stream.
 	Head(status int, h http.Header) error
-	// Events hands on whole events, byte for byte.
+	// Events writes complete events, byte for byte.
 	Events(p []byte) error
-	// Whole hands on a whole answer.
+	// Whole writes a complete answer.
 	Whole(status int, h http.Header, body []byte) error
 }
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -13,14 +13,14 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// BenchmarkPlainRequest measures what a daemon does for a plain request beside sockets,
-// before 3 backend servers: without a limit, and where all three have named one.
+// BenchmarkPlainRequest measures a plain request without network, with three backend
+// servers that have no limit or each name one.
 func BenchmarkPlainRequest(b *testing.B) {
 	for _, limited := range []bool{false, true} {
 		b.Run(fmt.Sprintf("limits=%t", limited), func(b *testing.B) {
-			f := plainForwarder(3, &scripted{})
+			f := plainForwarder(3, &scriptedBackends{})
 			if limited {
-				f.permits = everyPermit{}
+				f.permits = allPermits{}
 				for id := range f.inv.View().Servers {
 					f.HearLimit(LimitWord{Server: id, Call: CallReport, Named: true, Rate: 1e9, SentAt: boottime.Now()})
 				}
@@ -31,22 +31,22 @@
 				err := f.Do(context.Background(), &Request{
 					ID: "r", Service: "cards", Received: now, Deadline: now.Add(3 * time.Second),
 					Route: &site.Route{Repeat: site.Safe, MaxAttempts: 2, Timeout: 3 * time.Second},
-				}, &taken{})
+				}, &recordingSink{})
 				require.NoError(b, err)
 			}
 		})
 	}
 }
 
-// everyPermit grants all. It implements Permits.
-type everyPermit struct{}
+// allPermits grants all permits. It implements Permits.
+type allPermits struct{}
 
-func (everyPermit) Permit(context.Context, quota.PermitRequest) quota.Decision {
+func (allPermits) Permit(context.Context, quota.PermitRequest) quota.Decision {
 	return quota.Decision{Granted: true}
 }
 
-// BenchmarkChoice measures the choice of a path before 41 cards, without a limit and with
-// two heads that have no room for the request.
+// BenchmarkChoice measures the selection of a path among 41 servers, without limits and
+// with two heads whose limits are reached.
 func BenchmarkChoice(b *testing.B) {
 	for _, denied := range []int{0, 2} {
 		b.Run(fmt.Sprintf("denied=%d", denied), func(b *testing.B) {
--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -10,49 +10,44 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// conditions keeps which backend servers are slow or crowded by their own word, as the
-// daemons of the fleet tell each other, and which this daemon suspects of it.
+// conditions holds the slow and saturated backend servers, as they report and as daemons
+// send each other, and those that this daemon suspects of being slow.
 //
-// A card that takes twelve times as long holds up all streams that pass it, and a daemon
-// that sees two requests a second does not find out by them which of eleven hops it is: the
-// hops of a stream whose events come late again and again are suspects, one daemon of the
-// fleet asks them, and all take the answer. With 28 of 222 cards slowed so for nine seconds,
-// 415 requests were late in eight of them instead of 1,246.
+// A daemon that sees few requests cannot tell which hop of a stream is slow. If events of
+// a stream are repeatedly late, all its hops become suspects, one daemon of the fleet
+// asks them for reports, and all daemons use the result.
 //
-// A first hop fills up within a second, while what the daemons know of each other's loads
-// is several seconds old and leaves out requests of daemons that have ended: after a start
-// of 73 daemons some heads had 30 to 90 requests waiting and others room, by turns, for
-// twenty seconds. With the cards' own word 0.84 to 0.98 of the worth of these seconds was
-// served instead of 0.66 to 0.92 (worth +0.021 +- 0.008 over five days).
+// A first hop may fill up within a second, while the loads that daemons send each other
+// are several seconds old and omit requests of daemons that have ended. Reports of the
+// backend servers correct them.
 //
 // It is safe for concurrent use.
 type conditions struct {
 	mu        sync.Mutex
-	known     map[string]relay.Condition // slow and crowded ones, by their own word
-	version   int                        // grows when the slow ones change
-	suspects  map[string]bool            // not told yet
+	known     map[string]relay.Condition // slow and saturated ones, as they report
+	version   int                        // incremented when a slowdown changes
+	suspects  map[string]bool            // not sent yet
 	suspected map[string]time.Time
-	usual     float64 // pause between two events over the predicted step, on average
-	pauses    int     // of which usual was learnt
+	baseline  float64 // average ratio of the pause between two events to the predicted step
+	samples   int     // number of pauses observed
 }
 
 // Bounds of suspicion.
 const (
-	// lateFactor is how many times the usual pause, for the predicted step, makes a pause
-	// late, and lateInRow how many such make a stream's hops suspects. One alone is often
-	// late, since prompts are read between events: suspected at each, the cards of a
-	// site of 41 were asked 2,000 times a day, which cost more than it gained.
-	lateFactor = 1.6
-	lateInRow  = 3
-	// usualGain is the weight of a new pause in what is usual, once usualFrom have been
-	// seen: at a hundred events a second it takes five seconds to get used to others.
-	usualGain = 0.002
-	usualFrom = 50
-	// suspectAgain is the time after which a backend server is suspected again: the
-	// daemon that asks looks after slow ones by itself.
-	suspectAgain = time.Second
-	// suspectsMost bounds the suspects that wait to be told.
-	suspectsMost = 64
+	// lateFactor is the multiple of the average ratio above which a pause is late, and
+	// lateThreshold the number of consecutive late pauses that make a stream's hops
+	// suspects. A single pause is often late, because prompts are read between events.
+	lateFactor    = 1.6
+	lateThreshold = 3
+	// baselineGain is the weight of a new pause in the average after the first
+	// minSamples.
+	baselineGain = 0.002
+	minSamples   = 50
+	// resuspectInterval is the minimum time between two suspicions of one backend server.
+	// Slow ones are checked by the daemon that asks.
+	resuspectInterval = time.Second
+	// maxSuspects bounds the suspects that are not sent yet.
+	maxSuspects = 64
 )
 
 func newConditions() *conditions {
@@ -60,22 +55,22 @@
 }
 
 // of returns the condition of a backend server, the zero Condition if it is not known to
-// be slow or crowded.
+// be slow or saturated.
 func (s *conditions) of(id string) relay.Condition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.known[id]
 }
 
-// changes returns a number that grows when the slow ones change.
-func (s *conditions) changes() int {
+// slowVersion returns a number that grows whenever a slowdown changes.
+func (s *conditions) slowVersion() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// late learns from a pause between two events of a stream, over the predicted step of
-// its path, and reports whether it was late.
+// late updates the average with a pause between two events and reports whether the pause
+// was late. stepMS is the predicted step of the path, 0 if unknown.
 func (s *conditions) late(pause time.Duration, stepMS float64) bool {
 	if stepMS <= 0 {
 		return false
@@ -83,23 +78,23 @@
 	ratio := float64(pause) / float64(time.Millisecond) / stepMS
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pauses++
-	if s.pauses <= usualFrom {
-		s.usual += (ratio - s.usual) / float64(s.pauses)
+	s.samples++
+	if s.samples <= minSamples {
+		s.baseline += (ratio - s.baseline) / float64(s.samples)
 		return false
 	}
-	most := lateFactor * s.usual
-	s.usual += usualGain * (min(most, ratio) - s.usual)
-	return ratio > most
+	threshold := lateFactor * s.baseline
+	s.baseline += baselineGain * (min(threshold, ratio) - s.baseline)
+	return ratio > threshold
 }
 
-// suspect notes the hops of a stream whose events come late.
+// suspect adds the hops of a stream whose events are late to the suspects.
 func (s *conditions) suspect(path site.Path, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, h := range path {
 		id := h.Server.ID
-		if now.Sub(s.suspected[id]) < suspectAgain || len(s.suspects) >= suspectsMost {
+		if now.Sub(s.suspected[id]) < resuspectInterval || len(s.suspects) >= maxSuspects {
 			continue
 		}
 		s.suspected[id] = now
@@ -141,10 +136,10 @@
 		s.version++
 	}
 	s.mu.Unlock()
-	l.noteConditions(known, changed)
+	l.onConditions(known, changed)
 }
 
-// slowdowns returns how many times longer the slow ones take.
+// slowdowns returns the slowdown factors of the slow backend servers.
 func slowdowns(known map[string]relay.Condition) map[string]float64 {
 	out := map[string]float64{}
 	for id, c := range known {
@@ -155,17 +150,17 @@
 	return out
 }
 
-// noteConditions writes what this daemon believes now of slow backend servers, if that
-// has changed, and how many are crowded.
+// noteConditions logs the slow backend servers if they have changed, and the number of
+// saturated ones if that has.
 func (f *Forwarder) noteConditions(known map[string]relay.Condition, slowChanged bool) {
-	crowded := 0
+	saturated := 0
 	for _, c := range known {
 		if c.Waiting > 0 || c.Full > 0 {
-			crowded++
+			saturated++
 		}
 	}
-	if n := int64(crowded); f.crowded.Swap(n) != n {
-		f.log.Add("crowded", "backends", crowded)
+	if n := int64(saturated); f.saturated.Swap(n) != n {
+		f.log.Add("crowded", "backends", saturated)
 	}
 	if !slowChanged {
 		return
@@ -179,14 +174,14 @@
 	f.log.Add("slow", "backends", len(slow), "worst", worst, "slowdown", slow[worst])
 }
 
-// Condition implements relay.Asker: it asks a backend server how it is.
+// Condition implements relay.Asker: it asks a backend server for a report.
 func (f *Forwarder) Condition(ctx context.Context, id string) (relay.Condition, error) {
 	s := f.inv.View().Servers[id]
 	if s == nil {
 		return relay.Condition{}, errUnknownServer
 	}
 	if _, limited := f.limits.Of(id); limited {
-		return relay.Condition{}, ErrNoPermit // its limit bounds what it gets
+		return relay.Condition{}, ErrNoPermit // reports would use up its limit
 	}
 	r, err := f.ask(ctx, s)
 	c := relay.Condition{Slowdown: r.Pace, Waiting: r.Waiting}
@@ -196,20 +191,20 @@
 	return c, err
 }
 
-// crowdedAbove is the share of a backend server's memory, or of a first hop's slots, as
-// far as the daemons know what they have sent there, from which it is asked how it is.
-// What they know is seconds old, and leaves out requests of daemons that have ended.
-const crowdedAbove = 0.7
+// saturationThreshold is the known use of a backend server's memory, or of a first hop's
+// slots, as a fraction, from which the server is asked for a report. Known loads are
+// seconds old and omit requests of daemons that have ended.
+const saturationThreshold = 0.7
 
-// startUnknown is how long after a start of a daemon that ran before any backend server
-// may be crowded: those that a daemon ended under go on with its requests, which nobody
-// counts, for as long as these last.
-const startUnknown = 8 * time.Second
+// startupGrace is the time after the start of a daemon during which any backend server
+// may be saturated: those that ran requests of a previous process still run them, and no
+// daemon counts these.
+const startupGrace = 8 * time.Second
 
-// MaybeCrowded implements relay.Asker. Where nothing was told of the others' loads, as
-// after a start of all daemons, any may be. Later only those of services whose requests
-// are too few for each daemon to know by them: on sites of eight daemons asking gained
-// nothing (-0.004 +- 0.003 of worth over 25 days and seeds).
+// MaybeCrowded implements relay.Asker. While the loads of other daemons are unknown, as
+// after a restart of the fleet, it returns all backend servers of the own failure domain.
+// Later it returns the nearly full ones of services that have too few requests for each
+// daemon to know their load.
 func (f *Forwarder) MaybeCrowded() []string {
 	now, daemons := time.Now(), float64(max(1, f.fleet.Daemons()))
 	unknown, view := f.loadsUnknown(now), f.inv.View()
@@ -218,7 +213,7 @@
 	}
 	var out []string
 	for name, svc := range view.Config.Services {
-		if svc.Engine == nil || !f.wordCounts(name, now) {
+		if svc.Engine == nil || !f.useReportedMemory(name, now) {
 			continue
 		}
 		for _, s := range view.OfService(name) {
@@ -226,8 +221,8 @@
 				continue
 			}
 			load := f.loads.Of(s.ID, daemons, now)
-			most := max(load.KVUsed/max(1, svc.Engine.KVRoom(s.Kind, s.Held.Len())), load.Heads/float64(max(1, s.Slots)))
-			if unknown || most >= crowdedAbove {
+			usage := max(load.KVUsed/max(1, svc.Engine.KVRoom(s.Kind, s.Held.Len())), load.Heads/float64(max(1, s.Slots)))
+			if unknown || usage >= saturationThreshold {
 				out = append(out, s.ID)
 			}
 		}
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -15,65 +15,63 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// A request may make the process that runs it end, wherever it is sent. Whether it may
-// be sent again is therefore decided by what the fleet has seen of the request, not by
-// this attempt: a caller comes back at another daemon under a new ID. Without that one
-// request ended 13 to 17 first hops within a minute, three of them in 0.6 s, and each
-// took with it the 20 to 130 streams of others.
+// A request may crash the process that runs it, on any backend server. Whether it may be
+// sent again therefore depends on its history in the whole fleet: the caller may retry it
+// at another daemon under a new ID.
 
-// Times of a request at a backend server that ends.
+// Times by which the end of a backend server is attributed to a request.
 const (
-	// beginsWithin is the time from the head of an answer within which the end of its
-	// backend server is put down to the request: those that end their backend server do
-	// so as they begin to run, 40 to 110 ms later on cards of usual speed. Most others
-	// that were there have run for longer.
-	beginsWithin = 500 * time.Millisecond
-	// outlives is the time from the head of an answer after which its backend server has
-	// shown that the request does not end it.
-	outlives = time.Second
-	// heldSpread is the time over which callers of requests that are held back return.
-	heldSpread = 500 * time.Millisecond
+	// attributionWindow is the time after the head of an answer within which the end of
+	// the backend server is attributed to the request. A request that crashes its backend
+	// server does so when it begins to run; most others have run for longer.
+	attributionWindow = 500 * time.Millisecond
+	// survivalThreshold is the time after the head of an answer at which the request is
+	// known not to crash its backend server.
+	survivalThreshold = time.Second
+	// quarantineSpread is the range of the random delay added to the retry times of
+	// quarantined requests.
+	quarantineSpread = 500 * time.Millisecond
 )
 
-// errHeldBack ends a send of a request that is held back from now on.
-var errHeldBack = errors.New("forward: held back, backend servers ended as they ran the request")
+// errQuarantined ends a send of a request that has become quarantined.
+var errQuarantined = errors.New("forward: held back, backend servers ended as they ran the request")
 
-// sendStage is how far a send had come.
+// sendStage is the progress of a send.
 type sendStage string
 
 // The stages of a send.
 const (
-	stageSent    sendStage = "sent"    // nothing came back
-	stageBegun   sendStage = "begun"   // the head of the answer came not long ago
-	stageRunning sendStage = "running" // it had run for longer than it takes to end a backend server
+	stageSent    sendStage = "sent"    // no answer yet
+	stageBegun   sendStage = "begun"   // the head of the answer was received within attributionWindow
+	stageRunning sendStage = "running" // running for longer than attributionWindow
 )
 
-// progress is what is known of one send.
+// progress is the state of one send.
 type progress struct {
-	headAt time.Time // zero before the head of the answer came
+	headAt time.Time // zero until the head of the answer is received
 }
 
-// stage returns how far the send had come after so much time since the head of the answer.
+// stage returns the stage of the send at a time since the head of the answer.
 func (p progress) stage(sinceHead time.Duration) sendStage {
 	switch {
 	case p.headAt.IsZero():
 		return stageSent
-	case sinceHead <= beginsWithin:
+	case sinceHead <= attributionWindow:
 		return stageBegun
 	}
 	return stageRunning
 }
 
-// sinceHead returns the time from the head of the answer to another one, less that for
-// which this process did not run: what came meanwhile is only read then, and a request
-// that ended its backend server at once would look as if that had outlived it.
+// sinceHead returns the time from the head of the answer to at, less the time for which
+// this process did not run. An end during that time is noticed late, and the backend
+// server would seem to have survived the request.
 func (r *run) sinceHead(at time.Time) time.Duration {
 	return at.Sub(r.progress.headAt) - r.f.stalls.Held(r.progress.headAt, at)
 }
 
-// weight returns how much the end of the backend server at a stage speaks against the
-// request, 0 for nothing. The head of a stream comes as it begins to run; a plain
-// answer says nothing before it is whole.
+// weight returns how strongly the end of a backend server at a stage counts against the
+// request, 0 for not at all. The head of a stream is received when it begins to run; that
+// of a plain answer only when it is complete.
 func (st sendStage) weight(stream bool) quarantine.Weight {
 	switch {
 	case st == stageBegun, st == stageSent && !stream:
@@ -84,33 +82,33 @@
 	return 0
 }
 
-// lostContact reports whether a send ended because nothing more came from its backend
-// server, which this daemon had not given up.
+// lostContact reports whether a send ended because the backend server stopped responding,
+// rather than because this daemon ended it.
 func lostContact(err error) bool {
-	given := errors.Is(err, errSilent) || errors.Is(err, errElsewhere) || errors.Is(err, errHeadDead) || errors.Is(err, errHeldBack)
-	return !given && (errors.Is(err, execution.ErrLost) || errors.Is(err, errBroken))
+	abandoned := errors.Is(err, errSilent) || errors.Is(err, errResumeElsewhere) || errors.Is(err, errHeadDead) || errors.Is(err, errQuarantined)
+	return !abandoned && (errors.Is(err, execution.ErrLost) || errors.Is(err, errBroken))
 }
 
-// hasEnded reports whether an error of a probe says that the backend server's process
-// is gone: its VM is there, and nobody listens. Silence says nothing of the kind.
+// hasEnded reports whether an error of a probe shows that the process of the backend
+// server is gone: its VM responds, but refuses connections. A timeout does not show that.
 func hasEnded(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// serverOf names a backend server among those that ended.
-func serverOf(s *site.BackendServer) quarantine.Server {
+// quarantineServer returns the quarantine ID of a backend server.
+func quarantineServer(s *site.BackendServer) quarantine.Server {
 	return quarantine.Server(xxhash.Sum64String(s.ID))
 }
 
-// streams reports whether the request is a stream of an engine.
-func (r *run) streams() bool { return r.engine != nil && r.req.Route.Repeat == site.Stream }
+// isStream reports whether the request is a stream of a service with an engine.
+func (r *run) isStream() bool { return r.engine != nil && r.req.Route.Repeat == site.Stream }
 
-// admit refuses a request that is held back.
+// admit refuses a quarantined request.
 func (r *run) admit(now time.Time) error {
-	v := r.f.quarantine.Admit(r.print, now)
+	v := r.f.quarantine.Admit(r.fingerprint, now)
 	switch {
 	case v.Held:
 		r.logQuarantine("held back", v)
-		r.f.observe.HeldBack()
-		wait := v.Until.Sub(now) + rand.N(heldSpread)
+		r.f.observer.HeldBack()
+		wait := v.Until.Sub(now) + rand.N(quarantineSpread)
 		return apierror.New(apierror.Quarantined, "%d backend servers ended as they ran it", v.Ends).WithRetryAfter(wait)
 	case v.Trial:
 		r.logQuarantine("tried", v)
@@ -118,12 +116,12 @@
 	return nil
 }
 
-// judge learns from how a send ended what the request does to backend servers, and
-// returns once that is known: whether it is sent again depends on it.
-func (r *run) judge(ctx context.Context, head *site.BackendServer, err error) {
+// recordOutcome updates the quarantine with the outcome of a send. It returns after a
+// probe that the decision to send the request again depends on.
+func (r *run) recordOutcome(ctx context.Context, head *site.BackendServer, err error) {
 	now := time.Now()
 	if err == nil || errors.Is(err, errFailed) {
-		r.outlived(now)
+		r.recordSurvival(now)
 		return
 	}
 	if !lostContact(err) {
@@ -132,47 +130,47 @@
 	since := r.sinceHead(now)
 	stage := r.progress.stage(since)
 	if stage == stageRunning {
-		if since >= outlives {
-			r.outlived(now)
+		if since >= survivalThreshold {
+			r.recordSurvival(now)
 		}
-		// Whether the head has ended decides how often the stream may be sent again.
+		// The probe updates whether the head counts as an attempt.
 		go func() { _ = r.f.probe(context.WithoutCancel(ctx), head) }()
 		return
 	}
-	r.blame(ctx, head, stage)
+	r.attributeEnd(ctx, head, stage)
 }
 
-// outlived notes that a backend server outlived the request.
-func (r *run) outlived(now time.Time) {
-	if r.f.quarantine.Served(r.print, now) {
-		r.f.log.Add("quarantine", "request", r.req.ID, "fingerprint", r.print, "outcome", "cleared")
+// recordSurvival records that a backend server survived the request.
+func (r *run) recordSurvival(now time.Time) {
+	if r.f.quarantine.Served(r.fingerprint, now) {
+		r.f.log.Add("quarantine", "request", r.req.ID, "fingerprint", r.fingerprint, "outcome", "cleared")
 	}
 }
 
-// blame puts the end of a backend server, if it has ended, down to the request, and
-// reports whether the request is held back from now on.
-func (r *run) blame(ctx context.Context, s *site.BackendServer, stage sendStage) (held bool) {
+// attributeEnd records the end of a backend server, if it has ended, against the request,
+// and reports whether the request is now quarantined.
+func (r *run) attributeEnd(ctx context.Context, s *site.BackendServer, stage sendStage) (quarantined bool) {
 	if !hasEnded(r.f.probe(context.WithoutCancel(ctx), s)) {
 		return false
 	}
-	v := r.f.quarantine.Ended(r.print, serverOf(s), stage.weight(r.streams()), time.Now())
-	r.f.log.Add("ended", "server", s.ID, "address", s.Address, "request", r.req.ID, "fingerprint", r.print, "stage", string(stage),
+	v := r.f.quarantine.Ended(r.fingerprint, quarantineServer(s), stage.weight(r.isStream()), time.Now())
+	r.f.log.Add("ended", "server", s.ID, "address", s.Address, "request", r.req.ID, "fingerprint", r.fingerprint, "stage", string(stage),
 		"ends", v.Ends, "score", v.Score, "held", v.Held)
-	r.f.observe.EndedUnder()
+	r.f.observer.EndedUnder()
 	return v.Held
 }
 
-// heldBack reports whether a request that may have run is not sent again.
-func (r *run) heldBack() bool {
-	v := r.f.quarantine.Look(r.print, time.Now())
+// isQuarantined reports whether a request that may have run must not be sent again.
+func (r *run) isQuarantined() bool {
+	v := r.f.quarantine.Look(r.fingerprint, time.Now())
 	if v.Held {
 		r.logQuarantine("not sent again", v)
-		r.f.observe.HeldBack()
+		r.f.observer.HeldBack()
 	}
 	return v.Held
 }
 
 func (r *run) logQuarantine(outcome string, v quarantine.Verdict) {
-	r.f.log.Add("quarantine", "request", r.req.ID, "fingerprint", r.print, "outcome", outcome, "ends", v.Ends, "score", v.Score,
+	r.f.log.Add("quarantine", "request", r.req.ID, "fingerprint", r.fingerprint, "outcome", outcome, "ends", v.Ends, "score", v.Score,
 		"until", v.Until.UTC().Format(time.RFC3339))
 }
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -25,18 +25,18 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Requests that end the cards that run them, in the lab.
+// Crashing requests, which end the servers that run them.
 const (
-	crashPrefix = "crash "               // of their bodies
-	crashDelay  = 60 * time.Millisecond  // from the head of the answer to the end of the card
-	crashBack   = 3 * time.Second        // until the card holds its layers again
-	crashVisit  = 2 * time.Second        // between two visits of one such request
-	crashAgain  = 100 * time.Millisecond // after a visit that reached no card
-	crashLength = 16 * time.Second       // of a play: eight visits
-	newsTakes   = 900 * time.Millisecond // until all daemons know what one has seen
+	crashPrefix        = "crash "               // prefix of their bodies
+	crashDelay         = 60 * time.Millisecond  // from the head of the answer to the end of the server
+	restartDelay       = 3 * time.Second        // until the server holds its layers again
+	crashInterval      = 2 * time.Second        // between two attempts of one such request
+	crashRetryInterval = 100 * time.Millisecond // after an attempt that reached no server
+	crashRunLength     = 16 * time.Second       // length of a run: eight attempts
+	propagationDelay   = 900 * time.Millisecond // until all daemons know what one has observed
 )
 
-// crashBody returns the body of a request that ends its card, "" for any other.
+// crashBody returns the body of a crashing request, or one that no request has.
 func (l *lab) crashBody(r *Request) string {
 	if bytes.HasPrefix(r.Body, []byte(crashPrefix)) {
 		return string(r.Body)
@@ -44,7 +44,7 @@
 	return "no such body"
 }
 
-// crash answers a request by a head, and ends its card a moment later.
+// crash returns an answer whose body ends the server after crashDelay.
 func (l *lab) crash(ctx context.Context, s *site.BackendServer, r *Request, a *Answer) (*Answer, error) {
 	l.mu.Lock()
 	l.arrivals[string(r.Body)] = append(l.arrivals[string(r.Body)], time.Now())
@@ -68,62 +68,62 @@
 
 func (c *crashingAnswer) Close() error { return nil }
 
-// restart ends a card, which is back after a while as another incarnation.
+// restart ends a server, which returns after restartDelay as another incarnation.
 func (l *lab) restart(s *site.BackendServer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.cards[s.ID].killed {
+	if l.servers[s.ID].killed {
 		return
 	}
-	l.cards[s.ID].killed = true
+	l.servers[s.ID].killed = true
 	l.ended++
-	time.AfterFunc(crashBack, func() { l.revive(s) })
+	time.AfterFunc(restartDelay, func() { l.revive(s) })
 }
 
 func (l *lab) revive(s *site.BackendServer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	again := *s
-	again.Incarnation = site.Incarnation{Name: s.RegisteredName(), Born: max(1, s.Incarnation.Born) + 1}
-	again.ID = again.Incarnation.ID()
-	again.Address = again.ID
+	revived := *s
+	revived.Incarnation = site.Incarnation{Name: s.RegisteredName(), Born: max(1, s.Incarnation.Born) + 1}
+	revived.ID = revived.Incarnation.ID()
+	revived.Address = revived.ID
 	servers := map[string]*site.BackendServer{}
 	for id, other := range l.view.Servers {
 		if id != s.ID {
 			servers[id] = other
 		}
 	}
-	servers[again.ID] = &again
-	l.cards[again.ID] = &labCard{id: again.ID}
+	servers[revived.ID] = &revived
+	l.servers[revived.ID] = &labServer{id: revived.ID}
 	l.view = inventory.NewView(l.view.Config, servers)
 }
 
-// tellEachOther joins the books of all daemons, newsTakes after something was noted.
-func (l *lab) tellEachOther(ctx context.Context) {
-	told := make([]uint64, len(l.forward))
-	for wait.For(ctx, newsTakes/3) {
-		var news []quarantine.Entry
+// shareQuarantine merges the quarantines of all daemons, each entry propagationDelay
+// after it was recorded.
+func (l *lab) shareQuarantine(ctx context.Context) {
+	versions := make([]uint64, len(l.forward))
+	for wait.For(ctx, propagationDelay/3) {
+		var updates []quarantine.Entry
 		for i, f := range l.forward {
 			var entries []quarantine.Entry
-			entries, told[i] = f.quarantine.Since(told[i], 1<<20)
-			news = append(news, entries...)
+			entries, versions[i] = f.quarantine.Since(versions[i], 1<<20)
+			updates = append(updates, entries...)
 		}
-		if len(news) == 0 {
+		if len(updates) == 0 {
 			continue
 		}
-		time.AfterFunc(2*newsTakes/3, func() {
+		time.AfterFunc(2*propagationDelay/3, func() {
 			for _, f := range l.forward {
-				f.quarantine.Join(news, time.Now())
+				f.quarantine.Join(updates, time.Now())
 			}
 		})
 	}
 }
 
-// visit sends one request that ends its card again and again, at another daemon each
-// time, until ctx ends. Where it met a card that had just ended it has ended none, and
-// comes to the next daemon soon after.
-func (l *lab) visit(ctx context.Context, body string, at int) {
-	pause := crashVisit
+// sendCrashing sends one crashing request repeatedly, at another daemon each time, until
+// ctx ends. An attempt that reached no server is repeated sooner.
+func (l *lab) sendCrashing(ctx context.Context, body string, at int) {
+	pause := crashInterval
 	for n := at; wait.For(ctx, pause); n += 7 {
 		now := time.Now()
 		req := &Request{
@@ -131,32 +131,31 @@
 			Route: &site.Route{Repeat: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
 		}
 		err := l.forward[n%len(l.forward)].Do(ctx, req, &labCaller{lab: l, sent: now})
-		pause = crashVisit
+		pause = crashInterval
 		if apierror.Is(err, apierror.BackendRefused) || apierror.Is(err, apierror.NoRoute) {
-			pause = crashAgain
+			pause = crashRetryInterval
 		}
 		if apierror.Is(err, apierror.Quarantined) {
 			l.mu.Lock()
-			l.heldBack-- // only others are counted
+			l.quarantined-- // only other requests are counted
 			l.mu.Unlock()
 		}
 	}
 }
 
-// crashResult is what became of a fleet under requests that end its cards.
+// crashResult is the outcome of a run with crashing requests.
 type crashResult struct {
-	ended    int // cards
-	most     int // arrivals of one such request
-	late     int // arrivals of one, once all could know of the third end
-	whole    int // of other requests
-	lost     int // other requests, refused or cut
-	heldBack int // other requests, or attempts of them, that were held back
+	ended       int // servers
+	maxArrivals int // maximum arrivals of one crashing request
+	late        int // maximum arrivals of one after all daemons know of the third end
+	whole       int // other requests that were answered completely
+	lost        int // other requests, refused or cut
+	quarantined int // other requests and attempts that were quarantined
 }
 
-// underCrashes plays so many requests that end their cards before so many daemons, and
-// unrelated ends of cards so many times a minute, beside 30 streams a
-// second.
-func underCrashes(p quarantine.Policy, daemons, requests int, unrelated float64) crashResult {
+// runWithCrashes runs 30 streams per second with a number of crashing requests, and with
+// unrelated ends of servers at a rate per minute.
+func runWithCrashes(p quarantine.Policy, daemons, requests int, unrelated float64) crashResult {
 	l := newFleetLab(1, daemons)
 	l.arrivals = map[string][]time.Time{}
 	for _, f := range l.forward {
@@ -164,27 +163,27 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { l.tellEachOther(ctx) })
+	wg.Go(func() { l.shareQuarantine(ctx) })
 	for n := range requests {
-		wg.Go(func() { l.visit(ctx, fmt.Sprint(crashPrefix, n), n*11) })
+		wg.Go(func() { l.sendCrashing(ctx, fmt.Sprint(crashPrefix, n), n*11) })
 	}
 	if unrelated > 0 {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(1, 2))
 			for wait.For(ctx, time.Duration(float64(time.Minute)/unrelated)) {
-				l.restart(l.anyCard(rng))
+				l.restart(l.anyServer(rng))
 			}
 		})
 	}
-	l.run(30, crashLength)
+	l.run(30, crashRunLength)
 	cancel()
 	wg.Wait()
-	r := crashResult{ended: l.ended, whole: l.whole, lost: l.refused + l.cut, heldBack: l.heldBack}
+	r := crashResult{ended: l.ended, whole: l.whole, lost: l.refused + l.cut, quarantined: l.quarantined}
 	for _, at := range l.arrivals {
-		r.most = max(r.most, len(at))
+		r.maxArrivals = max(r.maxArrivals, len(at))
 		late := 0
 		for _, t := range at[min(3, len(at)):] {
-			if t.Sub(at[2]) > crashDelay+newsTakes {
+			if t.Sub(at[2]) > crashDelay+propagationDelay {
 				late++
 			}
 		}
@@ -193,13 +192,13 @@
 	return r
 }
 
-// anyCard returns a card that runs.
-func (l *lab) anyCard(rng *rand.Rand) *site.BackendServer {
+// anyServer returns a random running server.
+func (l *lab) anyServer(rng *rand.Rand) *site.BackendServer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var running []*site.BackendServer
 	for id, s := range l.view.Servers {
-		if !l.cards[id].killed {
+		if !l.servers[id].killed {
 			running = append(running, s)
 		}
 	}
@@ -207,53 +206,50 @@
 	return running[rng.IntN(len(running))]
 }
 
-// One request that ends the cards that run it costs a fleet two or three cards, however
-// many daemons it meets, and three such requests two or three each. Without a memory of
-// them, in plays of half a minute, one cost 13 to 19 cards and three cost 20 to 23; of 892
-// other streams 142 to 581 and 531 to 848 were lost, instead of 5 to 104 and 7 to 268 (8,
-// 60 and 300 daemons). Of the others 1 to 10 were held back, which were where two ended.
-func TestFleetUnderRequestsThatEndCards(t *testing.T) {
-	forgets := quarantine.DefaultPolicy
-	forgets.HoldFrom, forgets.HoldAll = 1000, 1000
+// A crashing request ends at most three servers, regardless of the number of daemons, and
+// far fewer than without a quarantine. Few other requests are quarantined.
+func TestFleetQuarantinesCrashingRequests(t *testing.T) {
+	noQuarantine := quarantine.DefaultPolicy
+	noQuarantine.HoldFrom, noQuarantine.HoldAll = 1000, 1000
 	for _, c := range []struct{ daemons, requests int }{{3, 1}, {8, 3}, {300, 1}} {
 		t.Run(fmt.Sprintf("daemons=%d/requests=%d", c.daemons, c.requests), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
-				r := underCrashes(quarantine.DefaultPolicy, c.daemons, c.requests, 0)
-				without := underCrashes(forgets, c.daemons, c.requests, 0)
-				t.Logf("%+v, without a memory %+v", r, without)
-				assert.LessOrEqual(t, r.most, 3)
+				r := runWithCrashes(quarantine.DefaultPolicy, c.daemons, c.requests, 0)
+				without := runWithCrashes(noQuarantine, c.daemons, c.requests, 0)
+				t.Logf("%+v, without a quarantine %+v", r, without)
+				assert.LessOrEqual(t, r.maxArrivals, 3)
 				assert.Zero(t, r.late)
 				assert.LessOrEqual(t, r.ended, 3*c.requests)
 				assert.LessOrEqual(t, 3*r.ended, without.ended)
 				assert.Less(t, r.lost, without.lost)
-				assert.LessOrEqual(t, r.heldBack, 30, "of 470")
+				assert.LessOrEqual(t, r.quarantined, 30, "of 470")
 			})
 		})
 	}
 }
 
-// Cards that end for reasons of their own have nobody held back: which requests are there
-// is chance, and chance seldom meets the same one twice as it has just begun.
-func TestUnrelatedEndsHoldNobodyBack(t *testing.T) {
+// Servers that end for unrelated reasons cause no request, or very few, to be
+// quarantined.
+func TestUnrelatedCrashesQuarantineFewRequests(t *testing.T) {
 	for _, c := range []struct {
-		perMinute float64
-		heldBack  int
+		perMinute   float64
+		quarantined int
 	}{{1, 0}, {10, 0}, {50, 2}} {
 		t.Run(fmt.Sprint(c.perMinute), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
-				r := underCrashes(quarantine.DefaultPolicy, 8, 0, c.perMinute)
+				r := runWithCrashes(quarantine.DefaultPolicy, 8, 0, c.perMinute)
 				t.Logf("%+v", r)
-				require.LessOrEqual(t, r.heldBack, c.heldBack)
+				require.LessOrEqual(t, r.quarantined, c.quarantined)
 			})
 		})
 	}
 }
 
-// A request that is held back is refused at once as not run, and says when to return; it
-// is sent when a trial is due, and clears itself if a backend server outlives it.
-func TestHeldBackRequestIsToldWhenToReturn(t *testing.T) {
+// A quarantined request is refused at once as not run, with a retry time. It is sent when
+// a trial is due, and is cleared if a backend server survives it.
+func TestQuarantinedRequestGetsRetryTime(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		b := &scripted{}
+		b := &scriptedBackends{}
 		f := plainForwarder(3, b)
 		now := time.Now()
 		req := func() *Request {
@@ -262,19 +258,19 @@
 				Route: &site.Route{Repeat: site.Safe, MaxAttempts: 3, Timeout: 3 * time.Second},
 			}
 		}
-		print := req().Fingerprint()
-		f.quarantine.Ended(print, 1, quarantine.Likely, now)
-		f.quarantine.Ended(print, 2, quarantine.Likely, now)
-		err := apierror.From(f.Do(context.Background(), req(), &taken{}))
+		fingerprint := req().Fingerprint()
+		f.quarantine.Ended(fingerprint, 1, quarantine.Likely, now)
+		f.quarantine.Ended(fingerprint, 2, quarantine.Likely, now)
+		err := apierror.From(f.Do(context.Background(), req(), &recordingSink{}))
 		require.Equal(t, apierror.Quarantined, err.Kind)
 		require.True(t, err.NotRun())
 		require.Equal(t, http.StatusServiceUnavailable, err.Answer().Status)
 		require.GreaterOrEqual(t, err.RetryAfter, quarantine.DefaultPolicy.TrialAfter)
 		require.Zero(t, b.ran)
 		time.Sleep(err.RetryAfter)
-		require.NoError(t, f.Do(context.Background(), req(), &taken{}))
+		require.NoError(t, f.Do(context.Background(), req(), &recordingSink{}))
 		require.Equal(t, 1, b.ran)
-		require.Zero(t, f.quarantine.Look(print, time.Now()).Ends)
+		require.Zero(t, f.quarantine.Look(fingerprint, time.Now()).Ends)
 	})
 }
 
--- a/forward/crossing.go
+++ b/forward/crossing.go
@@ -9,81 +9,79 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Use of the pipes between failure domains. All daemons share them, one prompt at
-// a time; beyond their rate everything that crosses waits behind it.
+// Utilization of the links between failure domains. All daemons share them; a link
+// transfers one prompt at a time and queues the rest.
 const (
-	// pipeUse is the part of the pipes' time that new requests take. Above one they
-	// queue for a while; a bound of 0.6 refused what would have been served late.
-	pipeUse = 1.3
-	// crossBurst is how many prompts a daemon sends across at once.
+	// linkUtilization is the fraction of the links' capacity that new requests use. It
+	// exceeds 1, so that short queues form rather than requests be refused.
+	linkUtilization = 1.3
+	// crossBurst is the number of prompts that a daemon may send across at once.
 	crossBurst = 6
 )
 
-// crossings bounds the prompts that this daemon sends across failure domains. It
-// is safe for concurrent use.
+// crossings limits the prompts that this daemon sends across failure domains. It is safe
+// for concurrent use.
 type crossings struct {
 	mu     sync.Mutex
 	bucket admission.Bucket
 }
 
-// crossStuck is how long a stream may wait for its first event until the pipes that its
-// prompt goes through count as stuck. This answers pipes that have become slow: with one
-// eight times slower, 218 of 290 requests that were sent through one within four seconds
-// were left by their callers after two seconds without an event, and each had been sent
-// behind the others. Where pipes carry what they should, nine in ten have their first
-// event within half a second.
-const crossStuck = 700 * time.Millisecond
+// stuckThreshold is the wait of a stream for its first event from which the links that
+// its prompt crosses count as stuck. It detects links that have become slow; most first
+// events arrive well within it.
+const stuckThreshold = 700 * time.Millisecond
 
-// domainPair names the pipe between two failure domains.
+// domainPair identifies the link between two failure domains.
 type domainPair struct{ a, b string }
 
-func pairOf(x, y string) domainPair { return domainPair{min(x, y), max(x, y)} }
+func newDomainPair(x, y string) domainPair { return domainPair{min(x, y), max(x, y)} }
 
-// pipesOf returns the pipes that a prompt goes through on a path, one for each crossing.
-func pipesOf(p site.Path) []domainPair {
+// linksOf returns the cross-domain links that a prompt passes on a path, one for each
+// crossing.
+func linksOf(p site.Path) []domainPair {
 	var out []domainPair
 	for i := 1; i < len(p); i++ {
 		x, y := p[i-1].Server.FailureDomain, p[i].Server.FailureDomain
 		if x != y {
-			out = append(out, pairOf(x, y))
+			out = append(out, newDomainPair(x, y))
 		}
 	}
 	return out
 }
 
-// stuckMost is how long a stream stays stuck at most: callers give up two seconds after
-// they have sent it.
-const stuckMost = 2 * time.Second
+// maxStuck is the maximum time for which a waiting stream marks links as stuck. Callers
+// give up two seconds after they have sent a request.
+const maxStuck = 2 * time.Second
 
-// pipeFree returns how long the pipes of a path stay stuck at most, 0 if none is.
-func (f *Forwarder) pipeFree(path site.Path, now time.Time) time.Duration {
-	since := f.live.stuckSince(pipesOf(path), now)
+// linksFreeIn returns the maximum time until no link of a path is stuck, 0 if none is.
+func (f *Forwarder) linksFreeIn(path site.Path, now time.Time) time.Duration {
+	since := f.live.stuckSince(linksOf(path), now)
 	if since.IsZero() {
 		return 0
 	}
-	return max(retryAfter, since.Add(stuckMost).Sub(now))
+	return max(defaultRetryAfter, since.Add(maxStuck).Sub(now))
 }
 
-// mayCross takes the crossings of a path out of this daemon's share of the pipes. It
+// mayCross takes the crossings of a path from this daemon's share of the links. It
 // returns false while one of them is stuck.
 func (f *Forwarder) mayCross(e *site.Engine, prompt float64, path site.Path, now time.Time) bool {
-	n := len(pipesOf(path))
+	n := len(linksOf(path))
 	if n == 0 {
 		return true
 	}
-	if f.pipeFree(path, now) > 0 {
+	if f.linksFreeIn(path, now) > 0 {
 		return false
 	}
 	each := pipeline.PipeReadMS(e, prompt)
 	if each <= 0 {
 		return true
 	}
-	rate := pipeUse * pipes(e) * 1000 / each / float64(max(1, f.fleet.Daemons()))
+	rate := linkUtilization * linkCount(e) * 1000 / each / float64(max(1, f.fleet.Daemons()))
 	f.crossings.mu.Lock()
 	defer f.crossings.mu.Unlock()
 	ok, _ := f.crossings.bucket.Take(rate/float64(n), crossBurst, now)
 	return ok
 }
 
-// pipes returns the number of pipes between failure domains: one a pair.
-func pipes(e *site.Engine) float64 { return float64(max(1, len(e.Delays))) }
+// linkCount returns the number of cross-domain links, one for each pair.
+func linkCount(e *site.Engine) float64 { return float64(max(1, len(e.Delays))) }
--- a/forward/deadlines.go
+++ b/forward/deadlines.go
@@ -8,10 +8,9 @@
 	"github.com/snowspoke/snowspoke/boottime"
 )
 
-// deadlines ends requests whose time is up. Timers stand still while the VM is
-// suspended: after that the deadlines that have passed meanwhile are looked for, so that
-// no backend server is given time that the caller does not have. It is safe for
-// concurrent use.
+// deadlines cancels requests whose deadline has passed. Timers stop while the VM is
+// suspended, so the deadlines are checked again on resume; no backend server is given
+// time that the caller does not have. It is safe for concurrent use.
 type deadlines struct {
 	mu  sync.Mutex
 	all map[*deadline]struct{}
@@ -24,41 +23,42 @@
 
 func newDeadlines() *deadlines { return &deadlines{all: map[*deadline]struct{}{}} }
 
-// with returns a context that ends with context.DeadlineExceeded as its cause at a time.
-func (d *deadlines) with(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
+// withDeadline returns a context that is canceled at a time with context.DeadlineExceeded
+// as its cause.
+func (d *deadlines) withDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithTimeout(ctx, boottime.Until(at))
 	ctx, end := context.WithCancelCause(ctx)
-	one := &deadline{at: at, end: end}
+	entry := &deadline{at: at, end: end}
 	d.mu.Lock()
-	d.all[one] = struct{}{}
+	d.all[entry] = struct{}{}
 	d.mu.Unlock()
 	return ctx, func() {
 		d.mu.Lock()
-		delete(d.all, one)
+		delete(d.all, entry)
 		d.mu.Unlock()
 		end(context.Canceled)
 		stop()
 	}
 }
 
-// passed ends the requests whose deadline has passed, and returns how many there were.
-func (d *deadlines) passed() int {
+// expire cancels the requests whose deadline has passed and returns their number.
+func (d *deadlines) expire() int {
 	now := boottime.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := 0
-	for one := range d.all {
-		if !now.Before(one.at) {
-			one.end(context.DeadlineExceeded)
+	for entry := range d.all {
+		if !now.Before(entry.at) {
+			entry.end(context.DeadlineExceeded)
 			n++
 		}
 	}
 	return n
 }
 
-// wake is called when the VM has been suspended for a time.
-func (f *Forwarder) wake(suspended time.Duration) {
+// onWake is called after a suspension of the VM.
+func (f *Forwarder) onWake(suspended time.Duration) {
 	f.loads.forgetOthers()
-	f.log.Add("woken", "suspended", suspended.Round(time.Millisecond), "deadlines_passed", f.deadlines.passed(),
+	f.log.Add("woken", "suspended", suspended.Round(time.Millisecond), "deadlines_passed", f.deadlines.expire(),
 		"config_age", f.inv.Age(boottime.Now()).Round(time.Millisecond))
 }
--- a/forward/events.go
+++ b/forward/events.go
@@ -5,14 +5,14 @@
 	"strconv"
 )
 
-// event is one whole event of a stream as its bytes came.
+// event is one complete event of a stream, unparsed.
 type event struct {
 	raw []byte
 	id  string // "" if it has none
 }
 
-// nextEvent takes the first whole event off a buffer; ok is false when there is
-// none. An event ends with an empty line.
+// nextEvent splits the first complete event off a buffer; ok is false if there is none.
+// An event ends with an empty line.
 func nextEvent(buf []byte) (ev event, rest []byte, ok bool) {
 	for at := 0; ; {
 		i := bytes.IndexByte(buf[at:], '\n')
@@ -31,8 +31,8 @@
 	}
 }
 
-// after reports whether an event ID comes after the last one handed on. IDs are
-// rising numbers; others are taken as they come.
+// after reports whether an event ID follows the last one delivered. Numeric IDs must
+// increase; events with other IDs are always delivered.
 func after(id, last string) bool {
 	if id == "" || last == "" {
 		return true
--- a/forward/events_test.go
+++ b/forward/events_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEventsAreCutAtEmptyLines(t *testing.T) {
+func TestNextEventSplitsAtEmptyLines(t *testing.T) {
 	for name, c := range map[string]struct {
 		in, raw, id, rest string
 		ok                bool
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestOnlyLaterEventsAreHandedOn(t *testing.T) {
+func TestOnlyLaterEventsAreForwarded(t *testing.T) {
 	require.True(t, after("5", "4"))
 	require.True(t, after("10", "9"))
 	require.False(t, after("4", "4"))
@@ -38,7 +38,7 @@
 	require.True(t, after("a", "b"))
 }
 
-// FuzzEvents checks that no byte is lost or made up, however a stream is cut.
+// FuzzEvents checks that no byte is lost or added, wherever a stream is split.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: x\n\nid: 2\n\nrest", 7)
 	f.Fuzz(func(t *testing.T, stream string, cut int) {
@@ -64,24 +64,25 @@
 	})
 }
 
-// blocked is an output that takes nothing.
-type blocked struct{ asked int }
+// countingWriter discards its input and counts writes.
+type countingWriter struct{ writes int }
 
-func (b *blocked) Write(p []byte) (int, error) {
-	b.asked++
+func (b *countingWriter) Write(p []byte) (int, error) {
+	b.writes++
 	return len(p), nil
 }
 
 func TestLogIsBoundedAndNeverBlocks(t *testing.T) {
-	out := &blocked{}
+	out := &countingWriter{}
 	l := NewLog(out)
 	for i := range 10000 {
-		// Each line of a kind of its own: the bound on lines of one kind comes first.
+		// Each line has its own kind, so that the limit on lines of one kind does not
+		// apply.
 		l.Add(fmt.Sprint("route", i), "request", "0123456789abcdef", "path", strings.Repeat("x", 100))
 	}
-	require.Zero(t, out.asked, "lines are written together")
+	require.Zero(t, out.writes, "lines are written together")
 	require.Positive(t, l.dropped)
-	require.LessOrEqual(t, len(l.buf), logBytes)
+	require.LessOrEqual(t, len(l.buf), maxBufferedBytes)
 	l.Flush()
 	require.Contains(t, string(l.buf), "log lines dropped")
 }
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -19,7 +19,7 @@
 	"github.com/snowspoke/snowspoke/stall"
 )
 
-// Inventory gives what is known of the site.
+// Inventory provides the cached state of the site.
 type Inventory interface {
 	View() *inventory.View
 	Age(now time.Time) time.Duration
@@ -27,77 +27,78 @@
 	Complete() bool
 }
 
-// Fleet tells how many daemons share the load.
+// Fleet provides the number and distribution of the daemons that share the load.
 type Fleet interface {
-	Daemons() int // 0 while not known
-	// Shares returns the part of the daemons in each failure domain.
+	Daemons() int // 0 while unknown
+	// Shares returns the fraction of the daemons in each failure domain.
 	Shares() map[string]float64
 }
 
-// Observer counts what happens to requests.
+// Observer receives the events that metrics count.
 type Observer interface {
 	Finished(kind string, d time.Duration)
 	FirstEvent(d time.Duration)
 	Recovered(cause string, gap time.Duration)
-	// LoadsAge is told how old the loads of the other daemons were as they came.
+	// LoadsAge reports the age of the other daemons' loads on arrival.
 	LoadsAge(age time.Duration)
-	// LoadsRefused is told how many loads were dropped as impossible.
+	// LoadsRefused reports loads that were dropped as impossible.
 	LoadsRefused(n int)
-	// EndedUnder is told that a backend server ended while it may have run a request.
+	// EndedUnder reports that a backend server ended while it may have run a request.
 	EndedUnder()
-	// HeldBack is told that a request is not sent because of that.
+	// HeldBack reports that a quarantined request was not sent.
 	HeldBack()
-	// Limits is told how many limits of backend servers are known, as that changes.
+	// Limits reports the number of known limits of backend servers when it changes.
 	Limits(known int)
-	// LimitReached is told that a request is refused since limits leave no room for it.
+	// LimitReached reports that a request was refused because of limits.
 	LimitReached()
 }
 
-// Options are the settings of a forwarder.
+// Options configures a Forwarder.
 type Options struct {
 	FailureDomain string
-	RetryRatio    float64 // retries of all daemons together, as a share of requests
-	RetrySlack    float64 // retries beyond the ratio in a window, of all daemons
+	RetryRatio    float64 // retries of the whole fleet as a fraction of its requests
+	RetrySlack    float64 // retries of the whole fleet allowed per window beyond the ratio
 	RetryWindow   time.Duration
-	// Restarted says that another process may have run here within the window, whose
-	// retries count as well.
+	// Restarted says that a previous process may have spent retries within the window.
 	Restarted bool
-	// KeysFreshFor is how long after the last good read of the configuration keys
-	// are still taken, 0 for ever.
+	// KeysFreshFor is the maximum age of the configuration at which its keys are
+	// accepted, 0 for no maximum.
 	KeysFreshFor time.Duration
 }
 
-// Parts are what a forwarder works with.
+// Parts holds the dependencies of a Forwarder.
 type Parts struct {
 	Inventory Inventory
 	Fleet     Fleet
 	Backends  Backends
 	Log       *Log
 	Observer  Observer
-	// Stalls are those of this process, which no backend server is judged by; nil for none.
+	// Stalls records when this process did not run, so that such times do not count
+	// against backend servers; nil for none.
 	Stalls *stall.Monitor
-	// Quarantine is shared with the other daemons, nil for one of its own.
+	// Quarantine is shared with the other daemons; nil for a private one.
 	Quarantine *quarantine.Book
-	// Limits are those that backend servers have named, Sends what was sent to each, and
-	// Permits gives permits; all nil for a daemon that shares limits with nobody.
+	// Limits holds the limits that backend servers have named, Sends the calls made to
+	// each, and Permits grants permits. All are nil for a daemon that does not share
+	// limits.
 	Limits  *quota.Limits
 	Sends   *quota.Sends
 	Permits Permits
 }
 
-// Forwarder carries requests. It is safe for concurrent use.
+// Forwarder forwards requests to backend servers. It is safe for concurrent use.
 type Forwarder struct {
 	opts       Options
 	inv        Inventory
 	fleet      Fleet
 	backends   Backends
 	log        *Log
-	observe    Observer
+	observer   Observer
 	loads      *Loads
 	health     *health.Cooldowns
 	budget     *admission.Budget
-	reports    *recent[Report]
-	probes     *recent[struct{}]
+	reports    *resultCache[Report]
+	probes     *resultCache[struct{}]
 	silences   *silences
 	live       *liveStreams
 	quarantine *quarantine.Book
@@ -110,21 +111,21 @@
 	permits    Permits
 	denials    *quota.Denials
 
-	started      time.Time    // earlier by a window where nothing ran before
-	keysFreshFor atomic.Int64 // see Options
-	requests     atomic.Int64
-	crowded      atomic.Int64 // backend servers that were crowded when last told
+	started   time.Time    // set one window back if no process ran before
+	maxKeyAge atomic.Int64 // time.Duration, see Options.KeysFreshFor
+	requests  atomic.Int64
+	saturated atomic.Int64 // number of saturated backend servers in the last conditions received
 }
 
-// defaultRetryWindow is that of a site which sets none.
+// defaultRetryWindow is used when Options.RetryWindow is not set.
 const defaultRetryWindow = 10 * time.Second
 
-// cooldowns are the times for which a backend server gets no work. One that is
-// full has room again after about as long as some request takes to end; the
-// record of a dead one lapses after three heartbeats, a few seconds.
+// cooldowns are the times for which a backend server gets no new work. A full one has
+// capacity again after about the time that a request takes to end. The record of a dead
+// one expires after three heartbeats, a few seconds.
 var cooldowns = health.CooldownConfig{Refused: 250 * time.Millisecond, Failed: 4 * time.Second, FailedMost: 8 * time.Second}
 
-// New returns a forwarder.
+// New returns a Forwarder.
 func New(o Options, p Parts) *Forwarder {
 	if o.RetryWindow <= 0 {
 		o.RetryWindow = defaultRetryWindow
@@ -134,59 +135,59 @@
 	}
 	if p.Limits == nil {
 		p.Limits, p.Sends = quota.NewLimits(), quota.NewSends()
-		p.Permits = alone{quota.NewPool(aloneName, p.Limits, p.Sends), aloneName}
+		p.Permits = localPermits{quota.NewPool(localDaemonName, p.Limits, p.Sends), localDaemonName}
 	}
 	f := &Forwarder{
 		limits: p.Limits, sends: p.Sends, permits: p.Permits, denials: quota.NewDenials(), quarantine: p.Quarantine, stalls: p.Stalls, deadlines: newDeadlines(),
-		started: time.Now(), opts: o, inv: p.Inventory, fleet: p.Fleet, log: p.Log, observe: p.Observer,
+		started: time.Now(), opts: o, inv: p.Inventory, fleet: p.Fleet, log: p.Log, observer: p.Observer,
 		loads: NewLoads(), health: health.NewCooldowns(cooldowns), budget: admission.NewBudget(o.RetryRatio, o.RetrySlack, o.RetryWindow),
-		reports: newRecent[Report](reportAge), probes: newRecent[struct{}](probeAge), silences: newSilences(), live: newLiveStreams(), splits: newSplits(),
+		reports: newResultCache[Report](reportAge), probes: newResultCache[struct{}](probeAge), silences: newSilences(), live: newLiveStreams(), splits: newSplits(),
 	}
 	f.backends = metered{p.Backends, f}
-	f.keysFreshFor.Store(int64(o.KeysFreshFor))
-	f.loads.observe = f.noteLoadsAge
-	f.loads.refused = f.noteRefusedLoads
-	f.loads.noteConditions = f.noteConditions
-	f.stalls.OnWake(f.wake)
+	f.maxKeyAge.Store(int64(o.KeysFreshFor))
+	f.loads.onAge = f.noteLoadsAge
+	f.loads.onRefused = f.noteRefusedLoads
+	f.loads.onConditions = f.noteConditions
+	f.stalls.OnWake(f.onWake)
 	if !o.Restarted {
 		f.started = f.started.Add(-o.RetryWindow)
 	}
 	return f
 }
 
-// InFlight returns the requests that are being carried.
+// InFlight returns the number of requests in progress.
 func (f *Forwarder) InFlight() int { return f.loads.InFlight() }
 
-// Loads returns the loads that this daemon causes and knows.
+// Loads returns the loads that this daemon causes and those received from others.
 func (f *Forwarder) Loads() *Loads { return f.loads }
 
-// SetBounds changes the bounds on retries and on the age of keys.
-func (f *Forwarder) SetBounds(ratio, slack float64, keysFreshFor time.Duration) {
+// SetBounds changes the retry ratio and slack and the maximum age of keys.
+func (f *Forwarder) SetBounds(ratio, slack float64, maxKeyAge time.Duration) {
 	f.budget.Set(ratio, slack)
-	f.keysFreshFor.Store(int64(keysFreshFor))
+	f.maxKeyAge.Store(int64(maxKeyAge))
 }
 
-// Failed reports whether a backend server looks dead to this daemon's requests.
+// Failed reports whether this daemon considers a backend server dead.
 func (f *Forwarder) Failed(id string) bool { return f.health.Dead(id, time.Now()) }
 
-// Do carries a request and hands its answer to the sink. An error is an
-// *apierror.Error whose statement about execution is true; if the sink has
-// taken a head already, the answer must be cut off.
+// Do forwards a request and writes its answer to the sink. Its errors are of type
+// *apierror.Error and state correctly whether the request ran. If Sink.Head was called
+// before, the caller's connection must be cut.
 func (f *Forwarder) Do(ctx context.Context, req *Request, sink Sink) error {
-	until := req.Deadline
-	if t := req.Route.Timeout; t > 0 && req.Received.Add(t).Before(until) {
-		until = req.Received.Add(t)
+	deadline := req.Deadline
+	if t := req.Route.Timeout; t > 0 && req.Received.Add(t).Before(deadline) {
+		deadline = req.Received.Add(t)
 	}
-	ctx, cancel := f.deadlines.with(ctx, until)
+	ctx, cancel := f.deadlines.withDeadline(ctx, deadline)
 	defer cancel()
-	if f.requests.Add(1)%forgetEvery == 0 {
-		f.forget(f.inv.View().Servers)
+	if f.requests.Add(1)%pruneInterval == 0 {
+		f.prune(f.inv.View().Servers)
 	}
 	f.loads.begin()
 	defer f.loads.end()
 	f.budget.Earn(time.Now())
 	r := &run{
-		f: f, req: req, sink: sink, until: until, lastEvent: req.LastEvent, print: req.Fingerprint(),
+		f: f, req: req, sink: sink, deadline: deadline, lastEvent: req.LastEvent, fingerprint: req.Fingerprint(),
 		life: execution.New(req.Route.Repeatable()),
 	}
 	err := r.admit(time.Now())
@@ -197,11 +198,11 @@
 	return err
 }
 
-// forgetEvery is the number of requests after which what is known of backend
-// servers that are gone is forgotten.
-const forgetEvery = 1000
+// pruneInterval is the number of requests between two removals of state of backend
+// servers that are gone.
+const pruneInterval = 1000
 
-func (f *Forwarder) forget(known map[string]*site.BackendServer) {
+func (f *Forwarder) prune(known map[string]*site.BackendServer) {
 	f.loads.Prune(known)
 	f.loads.conditions.prune(known)
 	f.health.Prune(func(id string) bool { return known[id] != nil })
@@ -209,10 +210,10 @@
 	f.probes.prune(known)
 	f.silences.prune(known)
 	f.quarantine.Forget(time.Now())
-	there := func(id string) bool { return known[id] != nil }
-	f.limits.Forget(there, boottime.Now())
-	f.observe.Limits(f.limits.Size())
-	f.sends.Forget(there)
+	exists := func(id string) bool { return known[id] != nil }
+	f.limits.Forget(exists, boottime.Now())
+	f.observer.Limits(f.limits.Size())
+	f.sends.Forget(exists)
 }
 
 func (f *Forwarder) finish(r *run, err error) {
@@ -222,82 +223,79 @@
 		kind, detail = string(e.Kind), e.Error()
 	}
 	took := boottime.Since(r.req.Received)
-	f.observe.Finished(kind, took)
-	f.log.Add("finish", "request", r.req.ID, "fingerprint", r.print, "route", r.req.Route.Name, "service", r.req.Service, "result", kind,
+	f.observer.Finished(kind, took)
+	f.log.Add("finish", "request", r.req.ID, "fingerprint", r.fingerprint, "route", r.req.Route.Name, "service", r.req.Service, "result", kind,
 		"attempts", r.sends, "last_event", r.lastEvent, "took", took.Round(time.Millisecond),
-		"first_in", r.firstIn.Round(time.Millisecond), "longest_pause", r.longest.Round(time.Millisecond), "detail", detail)
+		"first_in", r.firstEventAfter.Round(time.Millisecond), "longest_pause", r.longestPause.Round(time.Millisecond), "detail", detail)
 }
 
-// candidates returns the backend servers of a service that may take work, as
-// the choice of a path sees them. They begin anywhere: of equals the first is
-// taken, and daemons must not all take the same.
+// candidates returns the backend servers of a service that may take work, with their
+// loads. The order starts at a random server: the first of several equal candidates is
+// selected, and daemons must not all select the same one.
 func (f *Forwarder) candidates(view *inventory.View, service string, engine *site.Engine, now time.Time) []pipeline.Candidate {
 	daemons := float64(max(1, f.fleet.Daemons()))
 	servers := view.OfService(service)
 	out := make([]pipeline.Candidate, 0, len(servers))
 	var waits map[string]time.Duration
 	if engine != nil {
-		waits = f.live.waits(now)
+		waits = f.live.firstEventWaits(now)
 	}
-	begin, wordCounts := rand.IntN(max(1, len(servers))), f.wordCounts(service, now)
+	start, useReportedMemory := rand.IntN(max(1, len(servers))), f.useReportedMemory(service, now)
 	for i := range servers {
-		s := servers[(begin+i)%len(servers)]
-		if !f.takesWork(s, engine, now) {
+		s := servers[(start+i)%len(servers)]
+		if !f.isUsable(s, engine, now) {
 			continue
 		}
 		if engine != nil && f.health.Cooling(s.ID, now) {
 			continue
 		}
 		load := f.loads.Of(s.ID, daemons, now)
-		if !wordCounts {
+		if !useReportedMemory {
 			load.Full = 0
 		}
-		load.WaitMS = max(0, float64(waits[s.ID]-queueFrom)/float64(time.Millisecond))
+		load.WaitMS = max(0, float64(waits[s.ID]-queueWaitThreshold)/float64(time.Millisecond))
 		out = append(out, pipeline.Candidate{Server: s, Load: load})
 	}
 	return out
 }
 
-// loadsUnknown reports whether this daemon knows little of what the others have sent, or
-// their predecessors.
+// loadsUnknown reports whether the loads caused by other daemons, or by previous
+// processes, are largely unknown.
 func (f *Forwarder) loadsUnknown(now time.Time) bool {
-	return f.loads.newsAge(now) == 0 || now.Sub(f.started) < startUnknown
+	return f.loads.othersLoadAge(now) == 0 || now.Sub(f.started) < startupGrace
 }
 
-// wordCounts reports whether the word of a service's backend servers on their memory counts:
-// where the loads are unknown, or the service's requests too few for each daemon to spread
-// them by itself. Daemons that see many requests spread them evenly by what they have sent.
-// The word is half a second old and the same for all, so that they all go to the same
-// backend servers at once: at one and a half times the load of a site of six daemons that
-// cost 0.03 of what was served in time.
-func (f *Forwarder) wordCounts(service string, now time.Time) bool {
+// useReportedMemory reports whether the memory use that backend servers report is used:
+// if the other daemons' loads are unknown, or if each daemon sees too few requests to
+// spread them by itself. Otherwise daemons spread requests by what they have sent. The
+// reports are half a second old and the same for all daemons, which would make all of
+// them select the same backend servers at once.
+func (f *Forwarder) useReportedMemory(service string, now time.Time) bool {
 	return f.loadsUnknown(now) || f.splits.needed(service)
 }
 
-// takesWork reports whether a backend server may be on a path: it is not leaving,
-// holds layers where the service has an engine, and is not known to have failed.
-func (f *Forwarder) takesWork(s *site.BackendServer, engine *site.Engine, now time.Time) bool {
+// isUsable reports whether a backend server may be part of a path: it is not draining,
+// holds layers if the service has an engine, and is not known to have failed.
+func (f *Forwarder) isUsable(s *site.BackendServer, engine *site.Engine, now time.Time) bool {
 	return !s.Draining && (engine == nil || s.Held.Len() > 0) && !f.health.Dead(s.ID, now)
 }
 
-// queueFrom is the wait for a first event from which on it counts against a head:
-// less is what reading a prompt takes. Loads that other daemons told are a second
-// old; with what the own streams wait for, requests went to a head with all slots
-// taken and 90 requests waiting for 12 s no more: served in time 0.844 instead of
-// 0.836, worth 0.594 instead of 0.570 over three days of trouble at 59 daemons.
-const queueFrom = 100 * time.Millisecond
+// queueWaitThreshold is the wait for a first event above which it counts against a head.
+// Shorter waits are within the time to read a prompt. The waits of this daemon's own
+// streams are more recent than the loads received from other daemons.
+const queueWaitThreshold = 100 * time.Millisecond
 
-// chooseJitter is the share by which costs vary at random: daemons that see the
-// same loads, which are up to a second old, must not all choose the same path.
-const chooseJitter = 0.25
+// costJitter is the fraction by which path costs vary at random: daemons with the same
+// cached loads must not all select the same path.
+const costJitter = 0.25
 
 func (f *Forwarder) query(req *Request, engine *site.Engine) *pipeline.Query {
-	return &pipeline.Query{Engine: engine, Tokens: tokensOf(req, engine), Near: f.opts.FailureDomain, Jitter: chooseJitter}
+	return &pipeline.Query{Engine: engine, Tokens: estimateTokens(req, engine), Near: f.opts.FailureDomain, Jitter: costJitter}
 }
 
-// tokensOf estimates the size of a request: the caller's hint is right at the
-// median only, so it counts half.
-func tokensOf(req *Request, engine *site.Engine) pipeline.Tokens {
+// estimateTokens estimates the size of a request. The caller's hint is accurate only at
+// the median, so it is averaged with the typical answer.
+func estimateTokens(req *Request, engine *site.Engine) pipeline.Tokens {
 	t := pipeline.Usual(engine)
 	if req.Prompt > 0 {
 		t.Prompt = req.Prompt
--- a/forward/heads.go
+++ b/forward/heads.go
@@ -2,64 +2,65 @@
 
 import "sync"
 
-// heads are the first hops that a request was sent to, by ID. It is safe for concurrent
-// use: a stream's timer asks while the next send may begin.
-type heads struct {
+// triedHeads is the set of first hops that a request was sent to, by ID. It is safe for
+// concurrent use, since a stream's timer may read it while the next send begins.
+type triedHeads struct {
 	mu  sync.Mutex
 	ids map[string]headState
 }
 
-// headState says whether a head counts among those that a request may be sent to.
+// headState says whether a head counts against the maximum number of attempts.
 type headState uint8
 
 const (
-	headCounts     headState = iota
-	headEnded                // has surely ended since
-	headNotReached           // no send has reached it
+	headActive     headState = iota
+	headEnded                // has terminated since
+	headNotReached           // no send has reached the head
 )
 
-// add notes a send that may reach a head.
-func (h *heads) add(id string) {
+// add records a send that may reach a head.
+func (h *triedHeads) add(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.ids == nil {
 		h.ids = map[string]headState{}
 	}
-	h.ids[id] = headCounts
+	h.ids[id] = headActive
 }
 
-// drop notes that the only send to a head has not reached it.
-func (h *heads) drop(id string) {
+// drop records that the only send to a head has not reached it.
+func (h *triedHeads) drop(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ids[id] = headNotReached
 }
 
 // has reports whether a send may have reached a head.
-func (h *heads) has(id string) bool {
+func (h *triedHeads) has(id string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	state, known := h.ids[id]
 	return known && state != headNotReached
 }
 
-// count returns how many there are, with those that were not reached.
-func (h *heads) count() int {
+// count returns the number of heads, including those that were not reached.
+func (h *triedHeads) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.ids)
 }
 
-// living returns how many of them count, as ended told at any time.
-func (h *heads) living(hasEnded func(id string) bool) int {
+// countActive returns the number of heads that count as attempts. A head for which
+// hasEnded once returned true never counts again.
+func (h *triedHeads) countActive(hasEnded func(id string) bool) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
 	for id, state := range h.ids {
-		if state == headCounts && hasEnded(id) {
+		if state == headActive && hasEnded(id) {
 			h.ids[id] = headEnded
 		}
-		if h.ids[id] == headCounts {
+		if h.ids[id] == headActive {
 			n++
 		}
 	}
--- a/forward/idle_test.go
+++ b/forward/idle_test.go
@@ -8,19 +8,19 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// However many daemons there are, their idle connections to one backend server and those in
-// use leave it within what it takes, but for one that each may keep.
-func TestDaemonsShareTheConnectionsOfABackendServer(t *testing.T) {
+// The idle connections of all daemons and those in use stay within what a backend server
+// accepts, except for the one that each daemon may keep.
+func TestIdleShare(t *testing.T) {
 	for _, c := range []struct{ takes, slots, daemons, most int }{
 		{1138, 192, 8, IdleMost}, {1138, 192, 73, 12}, {1138, 192, 300, 3}, {110, 6, 8, 13}, {110, 6, 300, 1}, {100, 192, 8, 1}, {0, 192, 300, IdleMost}, {1138, 192, 0, IdleMost},
 	} {
-		require.Equal(t, c.most, idlePart(c.takes, c.slots, c.daemons), "%+v", c)
+		require.Equal(t, c.most, idleShare(c.takes, c.slots, c.daemons), "%+v", c)
 	}
 }
 
-// What a send may keep is told with it.
-func TestSendSaysHowManyConnectionsMayBeIdle(t *testing.T) {
-	f := plainForwarder(3, &scripted{})
+// A send carries the bound on idle connections.
+func TestOutgoingBoundsIdleConnections(t *testing.T) {
+	f := plainForwarder(3, &scriptedBackends{})
 	r := &run{f: f, req: plainRequest(site.Safe), maxConns: 20}
 	to := &target{path: site.Path{{Server: f.inv.View().Servers["b0"]}}}
 	require.Equal(t, 16, r.outgoing(to, 0).IdleMost)
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -18,53 +18,53 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// lab is a site of cards that are service-time models in virtual time, before one
-// forwarder that stands for all daemons, or those of many. Prompts are read one after the other at
-// each card; a token takes the predicted step of each hop under its load.
+// lab simulates a site of backend servers in virtual time, with one forwarder that stands
+// for all daemons, or several. Each server reads prompts one after the other; a token
+// takes the predicted step of each hop under its load.
 type lab struct {
 	engine  *site.Engine
 	view    *inventory.View
-	forward []*Forwarder // of the daemons; requests come to any of them
+	forward []*Forwarder // of the daemons; requests arrive at any of them
 	rng     *rand.Rand
 
-	slow float64 // factor on the time of every token
+	slow float64 // factor of the time of each token
 
 	mu      sync.Mutex
-	cards   map[string]*labCard
+	servers map[string]*labServer
 	streams map[string]*labStream
 
-	gaps      []time.Duration // between two events at the caller
-	recovered []time.Duration // over an interruption
-	inTime    int
-	whole     int
-	refused   int
-	cut       int
-	tokens    int
-	inFlight  int
-	mostIn    int
-	reached   int                    // connections made to probe a card
-	hopFaults int                    // sends that a head refused for a hop
-	arrivals  map[string][]time.Time // of requests that end cards, by body
-	ended     int                    // cards that were ended and started again
-	heldBack  int                    // requests, or attempts of them
+	gaps        []time.Duration // pauses between two events at the caller
+	recovered   []time.Duration // durations of interruptions
+	inTime      int
+	whole       int
+	refused     int
+	cut         int
+	tokens      int
+	inFlight    int
+	maxInFlight int
+	probes      int                    // connections made by probes
+	hopFaults   int                    // sends that a head refused because of another hop
+	arrivals    map[string][]time.Time // of crashing requests, by body
+	ended       int                    // servers that ended and were restarted
+	quarantined int                    // requests and attempts
 }
 
-type labCard struct {
+type labServer struct {
 	id       string
-	readFree time.Time // its last prompt has been read
+	readFree time.Time // time at which its last prompt has been read
 	streams  int
 	killed   bool // connections are refused
-	silent   bool // nothing answers
+	silent   bool // connections time out
 }
 
-func (c *labCard) dead() bool { return c.killed || c.silent }
+func (c *labServer) dead() bool { return c.killed || c.silent }
 
 // labStream is one send at its head. It implements io.ReadCloser.
 type labStream struct {
 	lab     *lab
 	ctx     context.Context
 	request *Request
-	next    int // event
+	next    int // next event
 	ready   time.Time
 
 	mu   sync.Mutex
@@ -72,15 +72,15 @@
 }
 
 const (
-	labEvents  = 86 // of a stream, two tokens each
-	labPrompt  = 800
-	labTokens  = 2 // of an event
-	labStall   = 2 * time.Second
-	labGapAim  = 200 * time.Millisecond
-	labService = "model"
+	labEvents     = 86 // per stream, two tokens each
+	labPrompt     = 800
+	labTokens     = 2 // per event
+	labCutTimeout = 2 * time.Second
+	labMaxPause   = 200 * time.Millisecond
+	labService    = "model"
 )
 
-// labEngine is a model of 80 layers on four kinds of cards.
+// labEngine returns a model of 80 layers on four kinds of accelerators.
 func labEngine() *site.Engine {
 	return &site.Engine{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 590000, StepMS: 0.85, PerRequestMS: 0.00382,
@@ -96,10 +96,10 @@
 	}
 }
 
-// newLab places the cards of three failure domains.
+// newLab returns a lab with layers placed in three failure domains.
 func newLab(seed uint64) *lab {
 	l := &lab{
-		engine: labEngine(), slow: 1, rng: rand.New(rand.NewPCG(seed, 1)), cards: map[string]*labCard{}, streams: map[string]*labStream{},
+		engine: labEngine(), slow: 1, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*labServer{}, streams: map[string]*labStream{},
 	}
 	var cards []pipeline.Card
 	for domain, kinds := range map[string]map[string]int{
@@ -119,7 +119,7 @@
 		s := *o.Server
 		s.Held = o.Layers
 		servers[s.ID] = &s
-		l.cards[s.ID] = &labCard{id: s.ID}
+		l.servers[s.ID] = &labServer{id: s.ID}
 	}
 	services := []*site.Service{{Name: labService, Engine: l.engine}}
 	l.view = inventory.NewView(site.NewConfig(1, site.Limits{}, nil, services, nil), servers)
@@ -132,7 +132,7 @@
 		Parts{Inventory: labInventory{l}, Fleet: fleet, Backends: l, Log: NewLog(io.Discard), Observer: l})
 }
 
-// labInventory shows the cards as they are now. It implements Inventory.
+// labInventory returns the current servers. It implements Inventory.
 type labInventory struct{ *lab }
 
 func (i labInventory) View() *inventory.View {
@@ -143,7 +143,8 @@
 func (i labInventory) Age(time.Time) time.Duration { return 0 }
 func (i labInventory) Complete() bool              { return true }
 
-// labFleet is a number of daemons, evenly in the failure domains. It implements Fleet.
+// labFleet is a number of daemons, spread evenly over the failure domains. It implements
+// Fleet.
 type labFleet int
 
 func (f labFleet) Daemons() int { return int(f) }
@@ -151,8 +152,8 @@
 	return map[string]float64{"a": 1.0 / 3, "b": 1.0 / 3, "c": 1.0 / 3}
 }
 
-// newFleetLab is a lab before many daemons that have just started and tell each other
-// nothing yet.
+// newFleetLab returns a lab with several daemons that have just started and exchange no
+// loads.
 func newFleetLab(seed uint64, daemons int) *lab {
 	l := newLab(seed)
 	l.forward = nil
@@ -162,8 +163,8 @@
 	return l
 }
 
-// bound returns how many usual requests the layout holds at once.
-func (l *lab) bound() int {
+// capacity returns the number of typical requests that the layout holds at once.
+func (l *lab) capacity() int {
 	var cards []pipeline.Card
 	for _, s := range l.view.Servers {
 		cards = append(cards, pipeline.Card{Server: s, Ordered: s.Held})
@@ -171,12 +172,13 @@
 	return pipeline.BoundOf(l.engine, cards).Requests
 }
 
-// kill ends the card that runs a layer for most streams, without a word if silent.
+// kill ends the server that runs a layer for the most streams. It times out if silent,
+// and refuses connections otherwise.
 func (l *lab) kill(layer int, silent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var busiest *labCard
-	for id, c := range l.cards {
+	var busiest *labServer
+	for id, c := range l.servers {
 		if l.view.Servers[id].Held.Has(layer) && (busiest == nil || c.streams > busiest.streams) {
 			busiest = c
 		}
@@ -184,7 +186,7 @@
 	busiest.killed, busiest.silent = !silent, silent
 }
 
-// run sends streams at a rate for a time and waits for all of them.
+// run sends streams at a rate for a duration and waits for all of them.
 func (l *lab) run(perSecond float64, length time.Duration) {
 	var wg sync.WaitGroup
 	end := time.Now().Add(length)
@@ -210,7 +212,7 @@
 	switch {
 	case err == nil:
 		l.whole++
-		if got.first <= req.Route.Objective && got.longest <= labGapAim {
+		if got.first <= req.Route.Objective && got.longest <= labMaxPause {
 			l.inTime++
 		}
 	case got.events > 0:
@@ -224,10 +226,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight += n
-	l.mostIn = max(l.mostIn, l.inFlight)
+	l.maxInFlight = max(l.maxInFlight, l.inFlight)
 }
 
-// labCaller takes a stream and measures its pauses. It implements Sink.
+// labCaller receives a stream and measures its pauses. It implements Sink.
 type labCaller struct {
 	lab        *lab
 	sent, last time.Time
@@ -273,7 +275,7 @@
 func (l *lab) HeldBack() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.heldBack++
+	l.quarantined++
 }
 
 // Limits implements Observer.
@@ -292,7 +294,7 @@
 // Send implements Backends.
 func (l *lab) Send(ctx context.Context, o *Outgoing) (*Answer, error) {
 	l.mu.Lock()
-	head := *l.cards[o.Server.ID]
+	head := *l.servers[o.Server.ID]
 	l.mu.Unlock()
 	if head.killed {
 		return nil, fmt.Errorf("%w: %w", execution.ErrNotSent, syscall.ECONNREFUSED)
@@ -328,25 +330,25 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, h := range p {
-		if l.cards[h.Server.ID].dead() {
+		if l.servers[h.Server.ID].dead() {
 			return h.Server.Address
 		}
 	}
 	return ""
 }
 
-// pass takes a stream over a path; hops that are new to it read all its tokens.
+// pass routes a stream over a path; new hops read all its tokens.
 func (l *lab) pass(s *labStream, p site.Path) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	had := map[string]site.Range{}
 	for _, h := range s.path {
 		had[h.Server.ID] = h.Layers
-		l.cards[h.Server.ID].streams--
+		l.servers[h.Server.ID].streams--
 	}
 	at := time.Now()
 	for _, h := range p {
-		c := l.cards[h.Server.ID]
+		c := l.servers[h.Server.ID]
 		c.streams++
 		if had[h.Server.ID] == h.Layers {
 			continue
@@ -370,13 +372,13 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// step predicts the time of one event under the present load.
+// step returns the duration of one event under the current load.
 func (l *lab) step(p site.Path) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ms := 0.0
 	for i, h := range p {
-		ms += pipeline.HopStepMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(l.cards[h.Server.ID].streams), pipeline.Usual(l.engine).Mean())
+		ms += pipeline.HopStepMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(l.servers[h.Server.ID].streams), pipeline.Usual(l.engine).Mean())
 		if i > 0 {
 			ms += pipeline.LinkMS(l.engine, p[i-1].Server.FailureDomain, h.Server.FailureDomain)
 		}
@@ -384,13 +386,13 @@
 	return milliseconds(l.slow * labTokens * ms)
 }
 
-// Read gives one event a call, when it is due. A stream whose hop is dead stands
-// still until it is moved, and is cut after a while.
+// Read returns one event when it is due. A stream with a dead hop stalls until it is
+// moved, and is cut after labCutTimeout.
 func (s *labStream) Read(buf []byte) (int, error) {
 	if s.next >= labEvents {
 		return 0, io.EOF
 	}
-	stood := time.Now()
+	stalledSince := time.Now()
 	for {
 		s.mu.Lock()
 		p, ready := s.path, s.ready
@@ -399,7 +401,7 @@
 			return 0, context.Cause(s.ctx)
 		}
 		at := s.lab.deadHop(p)
-		if at == p[0].Server.Address && s.lab.killed(at) || at != "" && time.Since(stood) > labStall {
+		if at == p[0].Server.Address && s.lab.killed(at) || at != "" && time.Since(stalledSince) > labCutTimeout {
 			return 0, syscall.ECONNRESET
 		}
 		s.mu.Lock()
@@ -416,7 +418,7 @@
 func (l *lab) killed(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cards[id].killed
+	return l.servers[id].killed
 }
 
 // Close implements io.Closer.
@@ -425,7 +427,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, h := range s.path {
-		l.cards[h.Server.ID].streams--
+		l.servers[h.Server.ID].streams--
 	}
 	s.path = nil
 	if l.streams[s.request.ID] == s {
@@ -442,14 +444,14 @@
 // Reach implements Backends.
 func (l *lab) Reach(ctx context.Context, s *site.BackendServer) error {
 	l.mu.Lock()
-	c := *l.cards[s.ID]
-	l.reached++
+	c := *l.servers[s.ID]
+	l.probes++
 	l.mu.Unlock()
 	if c.killed {
 		return syscall.ECONNREFUSED
 	}
 	if c.silent {
-		wait.For(ctx, 60*time.Millisecond) // two tries that overlap
+		wait.For(ctx, 60*time.Millisecond) // two overlapping attempts
 		return context.DeadlineExceeded
 	}
 	return nil
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -19,32 +19,32 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Times and rates of plays in which heads name limits.
+// Times and rates of tests in which heads name limits.
 const (
-	limitNews   = 100 * time.Millisecond // until all daemons know of a limit
-	limitAsk    = 3 * time.Millisecond   // for a permit
-	limitPoll   = 500 * time.Millisecond
-	limitLent   = 1500 * time.Millisecond
-	limitAfter  = 4 * time.Second // from the start of a play
-	limitLength = 14 * time.Second
-	limitWithin = 3 * time.Second // from when a limit is named until it must be kept
-	limitRate   = 36.0            // streams a second that callers want
+	limitPropagation  = 100 * time.Millisecond // until all daemons know a limit
+	permitLatency     = 3 * time.Millisecond   // latency of a permit
+	sharePollInterval = 500 * time.Millisecond
+	lendDuration      = 1500 * time.Millisecond
+	limitStart        = 4 * time.Second // from the start of the run until limits are named
+	limitRunLength    = 14 * time.Second
+	limitGrace        = 3 * time.Second // from the naming of a limit until it must be kept
+	limitRate         = 36.0            // streams that callers send per second
 )
 
-// limitedLab is a lab in which heads name limits, before daemons that keep them together.
+// limitedLab is a lab in which heads name limits that the daemons keep together.
 type limitedLab struct {
 	*lab
 	pools  []*quota.Pool
 	limits []*quota.Limits
 
-	mu        sync.Mutex
-	named     map[string]float64     // by head
-	sends     map[string][]time.Time // by head
-	refusals  []time.Duration        // from a request to its refusal for limits
-	returning int                    // refused callers that were told when to come back
+	mu            sync.Mutex
+	named         map[string]float64     // by head
+	sends         map[string][]time.Time // by head
+	refusals      []time.Duration        // from a request to its refusal for limits
+	withRetryTime int                    // refused callers that got a retry time
 }
 
-// limitedBackends are the cards as one daemon calls them.
+// limitedBackends makes calls on behalf of one daemon. It implements Backends.
 type limitedBackends struct {
 	*limitedLab
 	daemon int
@@ -72,7 +72,7 @@
 	return b.lab.Report(ctx, s)
 }
 
-// limitedPermits asks the first daemon. It implements Permits.
+// limitedPermits requests permits from the first daemon. It implements Permits.
 type limitedPermits struct {
 	*limitedLab
 	daemon int
@@ -80,11 +80,11 @@
 
 // Permit implements Permits.
 func (p limitedPermits) Permit(ctx context.Context, r quota.PermitRequest) quota.Decision {
-	wait.For(ctx, limitAsk)
-	return p.pools[0].Decide(daemonOf(p.daemon), r, boottime.Now())
+	wait.For(ctx, permitLatency)
+	return p.pools[0].Decide(daemonName(p.daemon), r, boottime.Now())
 }
 
-func daemonOf(n int) string { return fmt.Sprintf("daemon-%03d", n) }
+func daemonName(n int) string { return fmt.Sprintf("daemon-%03d", n) }
 
 func newLimitedLab(daemons int) *limitedLab {
 	l := &limitedLab{lab: newLab(1), named: map[string]float64{}, sends: map[string][]time.Time{}}
@@ -92,8 +92,8 @@
 	var names []string
 	for n := range daemons {
 		limits, sends := quota.NewLimits(), quota.NewSends()
-		l.limits, l.pools = append(l.limits, limits), append(l.pools, quota.NewPool(daemonOf(n), limits, sends))
-		names = append(names, daemonOf(n))
+		l.limits, l.pools = append(l.limits, limits), append(l.pools, quota.NewPool(daemonName(n), limits, sends))
+		names = append(names, daemonName(n))
 		l.forward = append(l.forward, New(
 			Options{FailureDomain: string(rune('a' + n%3)), RetryRatio: 0.2, RetrySlack: 200, RetryWindow: 10 * time.Second},
 			Parts{
@@ -107,46 +107,45 @@
 	return l
 }
 
-// discard takes the lines of a log.
+// discard is an io.Writer that drops its input.
 type discard struct{}
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// share has all daemons contribute to the first one and hear of each other's limits, until
-// ctx ends.
+// share makes all daemons contribute to the pool of the first one until ctx ends.
 func (l *limitedLab) share(ctx context.Context) {
-	for wait.For(ctx, limitPoll) {
+	for wait.For(ctx, sharePollInterval) {
 		now := boottime.Now()
 		for n := range l.forward[1:] {
-			l.pools[n+1].Lend(daemonOf(0), now.Add(limitLent), now)
+			l.pools[n+1].Lend(daemonName(0), now.Add(lendDuration), now)
 			sent := map[string]int{}
 			for _, limit := range l.limits[n+1].All() {
 				sent[limit.Server] = l.forward[n+1].sends.Recent(limit.Server, now)
 			}
-			l.pools[0].Polled(daemonOf(n + 1))
-			l.pools[0].Contribute(daemonOf(n+1), now.Add(limitLent), sent)
+			l.pools[0].Polled(daemonName(n + 1))
+			l.pools[0].Contribute(daemonName(n+1), now.Add(lendDuration), sent)
 		}
 	}
 }
 
-func (l *limitedLab) news(ctx context.Context) {
-	told := make([]uint64, len(l.limits))
-	for wait.For(ctx, limitNews) {
-		var news []quota.Word
+func (l *limitedLab) propagate(ctx context.Context) {
+	versions := make([]uint64, len(l.limits))
+	for wait.For(ctx, limitPropagation) {
+		var updates []quota.Word
 		for n, limits := range l.limits {
-			words, version := limits.Since(told[n])
-			told[n] = version
-			news = append(news, words...)
+			words, version := limits.Since(versions[n])
+			versions[n] = version
+			updates = append(updates, words...)
 		}
 		for _, limits := range l.limits {
-			for _, w := range news {
+			for _, w := range updates {
 				limits.Hear(w)
 			}
 		}
 	}
 }
 
-// limit has the busiest heads name a limit, a part of what they get, or name none any more.
+// limit makes the busiest heads name a limit, a fraction of their current rate.
 func (l *limitedLab) limit(heads int, part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -156,11 +155,11 @@
 	}
 	slices.SortFunc(all, func(x, y string) int { return len(l.sends[y]) - len(l.sends[x]) })
 	for _, id := range all[:heads] {
-		l.named[id] = part * float64(len(l.sends[id])) / limitAfter.Seconds()
+		l.named[id] = part * float64(len(l.sends[id])) / limitStart.Seconds()
 	}
 }
 
-// request sends a stream and notes how soon it is refused.
+// request sends a stream and records the time to its refusal.
 func (l *limitedLab) request(n int) {
 	now := time.Now()
 	req := &Request{
@@ -180,12 +179,12 @@
 		l.refused++
 		l.refusals = append(l.refusals, time.Since(now))
 		if e := apierror.From(err); e.NotRun() && e.RetryAfter > 0 {
-			l.returning++
+			l.withRetryTime++
 		}
 	}
 }
 
-// call sends streams for a time and waits for all of them.
+// call sends streams for a duration and waits for all of them.
 func (l *limitedLab) call(length time.Duration) {
 	var calls sync.WaitGroup
 	for n, end := 0, time.Now().Add(length); time.Now().Before(end); n++ {
@@ -195,9 +194,9 @@
 	calls.Wait()
 }
 
-// over returns by how many the calls to a head exceed what the users allow, at worst, in
+// excess returns the maximum number of calls to a head beyond those allowed, over the
 // windows that end at from or later.
-func (l *limitedLab) over(head string, from time.Time) float64 {
+func (l *limitedLab) excess(head string, from time.Time) float64 {
 	worst, at := -1e9, l.sends[head]
 	for i, end := range at {
 		if end.Before(from) {
@@ -209,9 +208,9 @@
 	return worst
 }
 
-// Two of three heads, or all, name a limit, a third of what they get. They get what they
-// asked for and no more, whoever of 3 to 300 daemons sends it; who cannot be served
-// elsewhere is told so at once, and when to come back.
+// Two or all of three heads name a limit of a third of their rate. They receive up to
+// that rate and no more, regardless of the number of daemons. Requests that cannot be
+// served elsewhere are refused at once with a retry time.
 func TestLimitsOfHeadsAreKeptAndUsed(t *testing.T) {
 	for _, c := range []struct {
 		daemons, heads int
@@ -223,28 +222,28 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				var wg sync.WaitGroup
 				wg.Go(func() { l.share(ctx) })
-				wg.Go(func() { l.news(ctx) })
+				wg.Go(func() { l.propagate(ctx) })
 				var named time.Time
 				wg.Go(func() {
-					wait.For(ctx, limitAfter)
+					wait.For(ctx, limitStart)
 					named = time.Now()
 					l.limit(c.heads, 1.0/3)
 				})
-				l.call(limitLength)
+				l.call(limitRunLength)
 				cancel()
 				wg.Wait()
 				require.Len(t, l.named, c.heads)
 				for head, rate := range l.named {
 					used := 0
 					for _, at := range l.sends[head] {
-						if at.After(named.Add(limitWithin)) {
+						if at.After(named.Add(limitGrace)) {
 							used++
 						}
 					}
-					allowed := rate * (limitLength - limitAfter - limitWithin).Seconds()
-					t.Logf("limit %.1f: %d of %.1f calls used, %+.1f over", rate, used, allowed, l.over(head, named.Add(limitWithin)))
-					assert.LessOrEqual(t, l.over(head, named.Add(limitWithin)), 0.0)
-					assert.GreaterOrEqual(t, float64(used+1), c.least*allowed, "but for a call that falls beside the seconds counted")
+					allowed := rate * (limitRunLength - limitStart - limitGrace).Seconds()
+					t.Logf("limit %.1f: %d of %.1f calls used, %+.1f over", rate, used, allowed, l.excess(head, named.Add(limitGrace)))
+					assert.LessOrEqual(t, l.excess(head, named.Add(limitGrace)), 0.0)
+					assert.GreaterOrEqual(t, float64(used+1), c.least*allowed, "one call may fall outside the interval")
 				}
 				slices.Sort(l.refusals)
 				t.Logf("whole %d, refused %d, cut %d", l.whole, l.refused, l.cut)
@@ -253,15 +252,15 @@
 				if len(l.refusals) > 0 {
 					assert.LessOrEqual(t, l.refusals[len(l.refusals)*9/10], 50*time.Millisecond, "refused at once")
 				}
-				assert.Equal(t, l.refused, l.returning)
+				assert.Equal(t, l.refused, l.withRetryTime)
 			})
 		})
 	}
 }
 
-// Once a backend server names no limit any more, all daemons know it, and so its load is
-// back, within a second.
-func TestLoadIsBackWithinASecondOfTheEndOfALimit(t *testing.T) {
+// After a backend server stops naming a limit, all daemons drop the limit within a
+// second.
+func TestLoadReturnsWithinASecondOfTheEndOfALimit(t *testing.T) {
 	for _, daemons := range []int{8, 300} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
@@ -269,11 +268,11 @@
 				ctx, cancel := context.WithCancel(context.Background())
 				var wg sync.WaitGroup
 				wg.Go(func() { l.share(ctx) })
-				wg.Go(func() { l.news(ctx) })
+				wg.Go(func() { l.propagate(ctx) })
 				wg.Go(func() {
-					wait.For(ctx, limitAfter)
+					wait.For(ctx, limitStart)
 					l.limit(2, 1.0/3)
-					wait.For(ctx, limitAfter)
+					wait.For(ctx, limitStart)
 					l.mu.Lock()
 					clear(l.named)
 					l.mu.Unlock()
@@ -282,7 +281,7 @@
 						assert.Zero(t, limits.Size())
 					}
 				})
-				l.call(2*limitAfter + 2*time.Second)
+				l.call(2*limitStart + 2*time.Second)
 				cancel()
 				wg.Wait()
 			})
@@ -290,18 +289,18 @@
 	}
 }
 
-// Reports on streams that stand still are many; they leave what a limit allows to requests.
-// An order comes before them.
+// Reports on stalled streams leave the capacity of a limit to requests; orders precede
+// both.
 func TestReportsLeaveTheLimitToRequests(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		const rate, length = 4.0, 20 * time.Second
 		limits, sends := quota.NewLimits(), quota.NewSends()
-		pool := quota.NewPool(aloneName, limits, sends)
-		pool.SetFleet([]string{aloneName}, boottime.Now())
+		pool := quota.NewPool(localDaemonName, limits, sends)
+		pool.SetFleet([]string{localDaemonName}, boottime.Now())
 		l := newLab(1)
 		f := New(Options{}, Parts{
 			Inventory: labInventory{l}, Fleet: labFleet(1), Backends: l, Log: NewLog(discard{}), Observer: l,
-			Limits: limits, Sends: sends, Permits: alone{pool, aloneName},
+			Limits: limits, Sends: sends, Permits: localPermits{pool, localDaemonName},
 		})
 		var head *site.BackendServer
 		for _, s := range l.view.Servers {
--- a/forward/linelimit.go
+++ b/forward/linelimit.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// Bounds of the lines of one kind. A daemon of the target size carries 26 requests a
-// second with some five lines each. Where a source was left again and again in a storm of
-// configurations, 295 daemons wrote 129,210 lines on backend servers in 34 s.
+// Bounds of the lines of one kind. A storm of configuration changes can otherwise log
+// each backend server many times a second.
 const (
 	linesPerSecond = 100
-	linesBurst     = 400 // a list of all backend servers, once
+	linesBurst     = 400 // enough for one list of all backend servers
 )
 
-// lineLimit bounds the lines of each kind and counts what was left out. It is not safe
-// for concurrent use.
+// lineLimit limits the rate of lines of each kind and counts omitted lines. It is not
+// safe for concurrent use.
 type lineLimit struct {
 	kinds map[string]*lineBucket
 }
@@ -26,7 +25,7 @@
 	leftOut int
 }
 
-// kindOf names the kind of a line: its message, and which decision it is about.
+// kindOf returns the kind of a line: the value of "kind", or else that of "msg".
 func kindOf(kv []any) string {
 	msg, kind := "", ""
 	for i := 0; i+1 < len(kv); i += 2 {
@@ -43,7 +42,7 @@
 	return kind
 }
 
-// allows reports whether a line of a kind may be written.
+// allows reports whether a line of a kind may be written, and counts it.
 func (l *lineLimit) allows(kind string, now time.Time) bool {
 	if l.kinds == nil {
 		l.kinds = map[string]*lineBucket{}
@@ -63,13 +62,13 @@
 	return true
 }
 
-// leftOut is how many lines of a kind were left out.
+// leftOut is the number of omitted lines of a kind.
 type leftOut struct {
 	kind  string
 	lines int
 }
 
-// takeLeftOut returns what was left out since the last call, by kind.
+// takeLeftOut returns and resets the omitted lines, the most frequent kind first.
 func (l *lineLimit) takeLeftOut() []leftOut {
 	var out []leftOut
 	for kind, b := range l.kinds {
--- a/forward/live.go
+++ b/forward/live.go
@@ -10,176 +10,178 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// liveStreams are the streams of this daemon that run now.
+// liveStreams is the set of this daemon's running streams. Its lock is taken before that
+// of a stream.
 type liveStreams struct {
-	mu  sync.Mutex
-	all map[*stream]struct{}
+	mu      sync.Mutex
+	streams map[*stream]struct{}
 }
 
-func newLiveStreams() *liveStreams { return &liveStreams{all: map[*stream]struct{}{}} }
+func newLiveStreams() *liveStreams { return &liveStreams{streams: map[*stream]struct{}{}} }
 
 func (l *liveStreams) add(s *stream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.all[s] = struct{}{}
+	l.streams[s] = struct{}{}
 }
 
 func (l *liveStreams) remove(s *stream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.all, s)
+	delete(l.streams, s)
 }
 
-// wake has the streams that pass a backend server look after themselves at once.
-func (l *liveStreams) wake(id string) {
+// checkNow triggers the check of all streams that pass a backend server.
+func (l *liveStreams) checkNow(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for s := range l.all {
+	for s := range l.streams {
 		if s.currentPath().Uses(id) {
 			s.timer.Reset(0)
 		}
 	}
 }
 
-// waits returns for each head how long the oldest stream waits there for its first
-// event.
-func (l *liveStreams) waits(now time.Time) map[string]time.Duration {
+// firstEventWaits returns for each head the longest time that a stream has waited for its
+// first event there.
+func (l *liveStreams) firstEventWaits(now time.Time) map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := map[string]time.Duration{}
-	for s := range l.all {
+	for s := range l.streams {
 		s.mu.Lock()
 		if !s.begun {
 			head := s.path[0].Server.ID
-			out[head] = max(out[head], now.Sub(s.quietAt))
+			out[head] = max(out[head], now.Sub(s.silentSince))
 		}
 		s.mu.Unlock()
 	}
 	return out
 }
 
-// stuckSince returns since when the last stream that is stuck has waited for its first
-// event whose prompt goes through one of these pipes, the zero time if none is.
-func (l *liveStreams) stuckSince(pipes []domainPair, now time.Time) time.Time {
+// stuckSince returns the latest start of a stream that has waited for its first event for
+// stuckThreshold or longer and whose path uses one of these links, the zero time if there
+// is none.
+func (l *liveStreams) stuckSince(links []domainPair, now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var last time.Time
-	for s := range l.all {
+	for s := range l.streams {
 		s.mu.Lock()
-		waits, since, path := !s.begun, s.quietAt, s.path
+		waits, since, path := !s.begun, s.silentSince, s.path
 		s.mu.Unlock()
-		if !waits || now.Sub(since) < crossStuck || !since.After(last) {
+		if !waits || now.Sub(since) < stuckThreshold || !since.After(last) {
 			continue
 		}
-		if slices.ContainsFunc(pipesOf(path), func(p domainPair) bool { return slices.Contains(pipes, p) }) {
+		if slices.ContainsFunc(linksOf(path), func(p domainPair) bool { return slices.Contains(links, p) }) {
 			last = since
 		}
 	}
 	return last
 }
 
-// heardSince returns the backend servers on whose paths an event came since then.
-func (l *liveStreams) heardSince(at time.Time) map[string]bool {
+// activeSince returns the backend servers on whose paths an event was received after a
+// time.
+func (l *liveStreams) activeSince(at time.Time) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	heard := map[string]bool{}
-	for s := range l.all {
+	active := map[string]bool{}
+	for s := range l.streams {
 		s.mu.Lock()
-		if s.quietAt.After(at) && s.r.headSent.Load() {
+		if s.silentSince.After(at) && s.r.headSent.Load() {
 			for _, h := range s.path {
-				heard[h.Server.ID] = true
+				active[h.Server.ID] = true
 			}
 		}
 		s.mu.Unlock()
 	}
-	return heard
+	return active
 }
 
-// recent keeps the last answer about each backend server, and asks one at a time:
-// whoever asks meanwhile gets that answer. It is safe for concurrent use.
-type recent[T any] struct {
+// resultCache caches the last result for each backend server and makes one request at a
+// time. Concurrent callers share its result. It is safe for concurrent use.
+type resultCache[T any] struct {
 	maxAge time.Duration
 	mu     sync.Mutex
-	byID   map[string]*asked[T]
+	byID   map[string]*cachedResult[T]
 }
 
-type asked[T any] struct {
-	turn  chan struct{} // holds a token while somebody asks; a lock would stop virtual time
+type cachedResult[T any] struct {
+	sem   chan struct{} // holds a token during a request; unlike a mutex it is durably blocking, which virtual time needs
 	at    time.Time
 	value T
 	err   error
 }
 
-func newRecent[T any](maxAge time.Duration) *recent[T] {
-	return &recent[T]{maxAge: maxAge, byID: map[string]*asked[T]{}}
+func newResultCache[T any](maxAge time.Duration) *resultCache[T] {
+	return &resultCache[T]{maxAge: maxAge, byID: map[string]*cachedResult[T]{}}
 }
 
-// get returns the last answer about a backend server, or a new one if that is too
-// old.
-func (r *recent[T]) get(id string, ask func() (T, error)) (T, error) {
+// get returns the cached result for a backend server, or that of fetch if the cached one
+// is older than maxAge.
+func (r *resultCache[T]) get(id string, fetch func() (T, error)) (T, error) {
 	r.mu.Lock()
 	e := r.byID[id]
 	if e == nil {
-		e = &asked[T]{turn: make(chan struct{}, 1)}
+		e = &cachedResult[T]{sem: make(chan struct{}, 1)}
 		r.byID[id] = e
 	}
 	r.mu.Unlock()
-	e.turn <- struct{}{}
-	defer func() { <-e.turn }()
+	e.sem <- struct{}{}
+	defer func() { <-e.sem }()
 	if time.Since(e.at) >= r.maxAge {
-		e.value, e.err = ask()
+		e.value, e.err = fetch()
 		e.at = time.Now()
 	}
 	return e.value, e.err
 }
 
-// prune forgets backend servers that are gone.
-func (r *recent[T]) prune(known map[string]*site.BackendServer) {
+// prune removes backend servers that are gone.
+func (r *resultCache[T]) prune(known map[string]*site.BackendServer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.byID, func(id string, _ *asked[T]) bool { return known[id] == nil })
+	maps.DeleteFunc(r.byID, func(id string, _ *cachedResult[T]) bool { return known[id] == nil })
 }
 
-// Ages of answers that another stream may use.
+// Maximum ages of cached results.
 const (
-	// probeAge is that of a probe.
 	probeAge = 150 * time.Millisecond
-	// reportAge is that of a report: reports are paid for, and lag by a few hundred
-	// milliseconds anyway.
+	// reportAge is short because reports themselves lag by a few hundred milliseconds.
+	// They are cached because each has a cost.
 	reportAge = 80 * time.Millisecond
 )
 
-// probePath connects to the hops of a silent stream that no other stream has
-// heard from a moment ago, and notes those that are dead. It reports whether it
-// connected to all of them: one that was heard may have died since.
+// probePath connects to the hops of a silent stream, except those on whose paths an event
+// was received recently, and marks dead ones as failed. It reports whether it connected
+// to all hops: a skipped one may have died since.
 func (f *Forwarder) probePath(ctx context.Context, path site.Path) (all bool) {
-	heard := f.live.heardSince(time.Now().Add(-heardWithin))
+	active := f.live.activeSince(time.Now().Add(-recentEventWindow))
 	all = true
 	var wg sync.WaitGroup
 	for _, h := range path {
-		if heard[h.Server.ID] {
+		if active[h.Server.ID] {
 			all = false
 			continue
 		}
-		wg.Go(func() { _ = f.probe(ctx, h.Server) }) // who is dead is noted
+		wg.Go(func() { _ = f.probe(ctx, h.Server) }) // marks dead hops as failed
 	}
 	wg.Wait()
 	return all
 }
 
-// probe connects to a backend server, notes it as failed if that cannot be done, and
-// returns why.
+// probe connects to a backend server, marks it as failed if that fails, and returns the
+// error.
 func (f *Forwarder) probe(ctx context.Context, s *site.BackendServer) error {
 	_, err := f.probes.get(s.ID, func() (struct{}, error) {
 		return struct{}{}, f.backends.Reach(context.WithoutCancel(ctx), s)
 	})
 	if err != nil {
-		f.fail(s, "probe", err, time.Now())
+		f.markFailed(s, "probe", err, time.Now())
 	}
 	return err
 }
 
-// ask returns a report of a head that is at most reportAge old.
+// ask returns a report of a backend server that is at most reportAge old.
 func (f *Forwarder) ask(ctx context.Context, s *site.BackendServer) (Report, error) {
 	return f.reports.get(s.ID, func() (Report, error) {
 		r, err := f.backends.Report(context.WithoutCancel(ctx), s)
--- a/forward/loads.go
+++ b/forward/loads.go
@@ -10,42 +10,41 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Loads keeps what this daemon knows of the load of backend servers. It is safe
-// for concurrent use.
+// Loads holds the known load of backend servers. It is safe for concurrent use.
 type Loads struct {
 	mu       sync.Mutex
 	servers  map[string]*serverLoad
 	inFlight int
 
-	others         map[string]relay.LoadItem // of the other daemons together
-	othersAt       time.Time
-	othersDaemons  int
-	othersAge      time.Duration // of the loads when they were told
-	conditions     *conditions
-	observe        func(age time.Duration)
-	refused        func(n int)
-	noteConditions func(known map[string]relay.Condition, slowChanged bool)
+	others        map[string]relay.LoadItem // sum over the other daemons
+	othersAt      time.Time
+	othersDaemons int
+	othersAge     time.Duration // age of the loads when they were received
+	conditions    *conditions
+	onAge         func(age time.Duration)
+	onRefused     func(n int)
+	onConditions  func(known map[string]relay.Condition, slowChanged bool)
 }
 
 type serverLoad struct {
-	running int     // own requests that pass it
-	heads   int     // own requests that it runs as the first
+	running int     // own requests that pass the server
+	heads   int     // own requests of which the server is the first hop
 	kv      float64 // tokens x layers of own requests
 }
 
-// othersTTL is how long what the other daemons told counts; after that they are
-// taken to be as busy as this one.
+// othersTTL is the time for which received loads of other daemons are used. Without them,
+// the other daemons are assumed to be as busy as this one.
 const othersTTL = 10 * time.Second
 
-// guessMost bounds the daemons that are taken to be as busy as this one: after a
-// restart all callers come at once, and a guess must not refuse them.
-const guessMost = 3
+// maxAssumedDaemons bounds the number of daemons assumed to be as busy as this one: after
+// a restart all callers come at once, and an estimate must not cause refusals.
+const maxAssumedDaemons = 3
 
 // NewLoads returns an empty table.
 func NewLoads() *Loads {
 	return &Loads{
 		servers: map[string]*serverLoad{}, conditions: newConditions(),
-		observe: func(time.Duration) {}, refused: func(int) {}, noteConditions: func(map[string]relay.Condition, bool) {},
+		onAge: func(time.Duration) {}, onRefused: func(int) {}, onConditions: func(map[string]relay.Condition, bool) {},
 	}
 }
 
@@ -61,7 +60,7 @@
 	l.inFlight--
 }
 
-// InFlight returns the requests that are being carried.
+// InFlight returns the number of requests in progress.
 func (l *Loads) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,17 +76,16 @@
 	return s
 }
 
-// Of returns the load of a backend server: what the other daemons told, else
-// all daemons are taken to be as busy as this one.
+// Of returns the load of a backend server. daemons is the number of daemons in the fleet.
 func (l *Loads) Of(id string, daemons float64, now time.Time) pipeline.Load {
-	load := l.shared(id, daemons, now)
-	told := l.conditions.of(id)
-	load.Slowdown, load.Full, load.Waiting = told.Slowdown, told.Full, told.Waiting
+	load := l.total(id, daemons, now)
+	reported := l.conditions.of(id)
+	load.Slowdown, load.Full, load.Waiting = reported.Slowdown, reported.Full, reported.Waiting
 	return load
 }
 
-// shared returns the load that all daemons together cause.
-func (l *Loads) shared(id string, daemons float64, now time.Time) pipeline.Load {
+// total returns the load caused by all daemons together.
+func (l *Loads) total(id string, daemons float64, now time.Time) pipeline.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var own serverLoad
@@ -95,13 +93,13 @@
 		own = *s
 	}
 	if now.Sub(l.othersAt) > othersTTL {
-		daemons = min(daemons, guessMost)
+		daemons = min(daemons, maxAssumedDaemons)
 		return pipeline.Load{
 			Running: float64(own.running) * daemons, KVUsed: own.kv * daemons, Heads: float64(own.heads) * daemons,
 			OwnKV: own.kv * daemons,
 		}
 	}
-	// Daemons that are not among those that told are taken to be like them.
+	// Daemons whose loads were not received are assumed to be like the others.
 	unknown := max(1, daemons/float64(1+l.othersDaemons))
 	o := l.others[id]
 	return pipeline.Load{
@@ -112,9 +110,9 @@
 	}
 }
 
-// newsAge returns about how old the loads are that the other daemons told, 0 if they
-// do not count any more.
-func (l *Loads) newsAge(now time.Time) time.Duration {
+// othersLoadAge returns the approximate age of the other daemons' loads, 0 if they are
+// expired.
+func (l *Loads) othersLoadAge(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if now.Sub(l.othersAt) > othersTTL {
@@ -142,12 +140,12 @@
 	for _, i := range others.Items {
 		byServer[i.Server] = i
 	}
-	l.take(byServer, others)
-	l.observe(others.Age)
+	l.setOthers(byServer, others)
+	l.onAge(others.Age)
 }
 
-// forgetOthers forgets what was told of the other daemons' loads and of backend servers:
-// it was true before the VM was suspended. What is told next counts again.
+// forgetOthers drops the loads of other daemons and the conditions of backend servers,
+// which are outdated after a suspension of the VM.
 func (l *Loads) forgetOthers() {
 	l.mu.Lock()
 	l.others, l.othersAt, l.othersDaemons = nil, time.Time{}, 0
@@ -156,9 +154,9 @@
 }
 
 // RefuseLoads implements relay.LoadBook.
-func (l *Loads) RefuseLoads(n int) { l.refused(n) }
+func (l *Loads) RefuseLoads(n int) { l.onRefused(n) }
 
-func (l *Loads) take(byServer map[string]relay.LoadItem, others relay.Loads) {
+func (l *Loads) setOthers(byServer map[string]relay.LoadItem, others relay.Loads) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if time.Since(l.othersAt) < othersTTL {
@@ -167,8 +165,8 @@
 	l.others, l.othersAt, l.othersDaemons, l.othersAge = byServer, time.Now(), others.Daemons, others.Age
 }
 
-// othersSmoothing is the weight of what was told last against what was known
-// before: daemons that all react at once to the same old loads make them swing.
+// othersSmoothing is the weight of newly received loads against the previous ones. It
+// damps oscillation, since all daemons react to the same old loads at once.
 const othersSmoothing = 0.4
 
 func smooth(now, before map[string]relay.LoadItem) {
@@ -183,7 +181,8 @@
 	}
 }
 
-// Enter counts a request in on its path and returns what takes it out again.
+// Enter adds a request to the load of its path. The returned function removes it and may
+// be called more than once.
 func (l *Loads) Enter(p site.Path, tokens float64) (leave func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,7 +208,7 @@
 	}
 }
 
-// Prune forgets backend servers that are gone.
+// Prune removes backend servers that are gone and run no request.
 func (l *Loads) Prune(known map[string]*site.BackendServer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,21 +219,20 @@
 	}
 }
 
-// oldLoads is the age from which loads of the other daemons are worth a line in the
-// log: a request lasts two to five seconds, and older ones say nothing of those that
-// run now.
-const oldLoads = 8 * time.Second
+// staleLoadAge is the age above which received loads are logged. Requests last two to
+// five seconds, so older loads describe none that still run.
+const staleLoadAge = 8 * time.Second
 
 func (f *Forwarder) noteLoadsAge(age time.Duration) {
-	f.observe.LoadsAge(age)
-	if age > oldLoads {
+	f.observer.LoadsAge(age)
+	if age > staleLoadAge {
 		f.log.Add("old_loads", "age", age.Round(time.Millisecond), "daemons", f.fleet.Daemons())
 	}
 }
 
-// noteRefusedLoads notes loads that were dropped because no backend server can have
-// them: another daemon, or the link to it, is at fault.
+// noteRefusedLoads counts and logs loads that were dropped as impossible; another daemon,
+// or the connection to it, is at fault.
 func (f *Forwarder) noteRefusedLoads(n int) {
-	f.observe.LoadsRefused(n)
+	f.observer.LoadsRefused(n)
 	f.log.Add("refused_loads", "loads", n)
 }
--- a/forward/log.go
+++ b/forward/log.go
@@ -11,37 +11,36 @@
 
 // Bounds of the decision log.
 const (
-	logBytes = 256 << 10              // held before lines are dropped
-	logFlush = 250 * time.Millisecond // between two writes: each is a system call
-	logWrite = 4096                   // most of one write: a pipe takes so much whole or not at all (PIPE_BUF)
+	maxBufferedBytes = 256 << 10              // buffered before lines are dropped
+	flushInterval    = 250 * time.Millisecond // bounds the number of system calls
+	maxWriteBytes    = 4096                   // writes to a pipe of up to PIPE_BUF bytes are atomic
 )
 
-// Log writes one key=value line a decision. It never blocks: lines are written
-// together a few times a second, and dropped with a count when the output does
-// not keep up.
+// Log writes one key=value line for each decision. It never blocks: lines are buffered
+// and written a few times a second, and dropped and counted if the output is too slow.
 type Log struct {
 	out io.Writer
 
-	mu      sync.Mutex
-	buf     []byte
-	dropped int
-	limit   lineLimit
-	saidAt  time.Time // when it was last said what was left out
-	logger  log.Logger
+	mu              sync.Mutex
+	buf             []byte
+	dropped         int
+	limit           lineLimit
+	leftOutLoggedAt time.Time // when omitted lines were last logged
+	logger          log.Logger
 }
 
-// NewLog returns a log to out; Run writes it.
+// NewLog returns a Log that writes to out while Run is running.
 func NewLog(out io.Writer) *Log {
 	l := &Log{out: out}
 	l.logger = log.With(log.NewLogfmtLogger(l), "ts", log.DefaultTimestampUTC)
 	return l
 }
 
-// Write takes one line; it is called by the logger.
+// Write buffers one line; the logger calls it.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.buf)+len(p) > logBytes {
+	if len(l.buf)+len(p) > maxBufferedBytes {
 		l.dropped++
 		return len(p), nil
 	}
@@ -49,7 +48,7 @@
 	return len(p), nil
 }
 
-// Log implements log.Logger, so that all lines go the same way.
+// Log implements log.Logger, subject to the same limits as Add.
 func (l *Log) Log(kv ...any) error {
 	if !l.allows(kindOf(kv)) {
 		return nil
@@ -57,7 +56,7 @@
 	return l.logger.Log(kv...)
 }
 
-// Add writes a decision.
+// Add logs a decision.
 func (l *Log) Add(kind string, kv ...any) {
 	if l.allows(kind) {
 		_ = l.logger.Log(append([]any{"msg", "decision", "kind", kind}, kv...)...)
@@ -70,15 +69,15 @@
 	return l.limit.allows(kind, time.Now())
 }
 
-// sayEvery is the time between two lines on what was left out.
-const sayEvery = time.Second
+// leftOutInterval is the minimum time between two reports of omitted lines.
+const leftOutInterval = time.Second
 
-// sayLeftOut writes how many lines of each kind were left out.
-func (l *Log) sayLeftOut(now time.Time) {
+// logLeftOut logs the number of omitted lines of each kind.
+func (l *Log) logLeftOut(now time.Time) {
 	l.mu.Lock()
 	var out []leftOut
-	if now.Sub(l.saidAt) >= sayEvery {
-		l.saidAt = now
+	if now.Sub(l.leftOutLoggedAt) >= leftOutInterval {
+		l.leftOutLoggedAt = now
 		out = l.limit.takeLeftOut()
 	}
 	l.mu.Unlock()
@@ -87,16 +86,16 @@
 	}
 }
 
-// Flush writes what is held, in whole lines. Those that cannot be written count as
+// Flush writes the buffer in complete lines. Lines that cannot be written count as
 // dropped.
 func (l *Log) Flush() {
-	l.sayLeftOut(time.Now())
+	l.logLeftOut(time.Now())
 	l.mu.Lock()
 	buf, dropped := l.buf, l.dropped
 	l.buf, l.dropped = nil, 0
 	l.mu.Unlock()
 	for len(buf) > 0 {
-		piece := wholeLines(buf, logWrite)
+		piece := completeLines(buf, maxWriteBytes)
 		n, err := l.out.Write(piece)
 		if err != nil {
 			dropped += bytes.Count(buf[n:], []byte("\n"))
@@ -109,13 +108,13 @@
 	}
 }
 
-// wholeLines returns as many whole lines from the beginning of buf as fit into most
-// bytes, at least one.
-func wholeLines(buf []byte, most int) []byte {
-	if len(buf) <= most {
+// completeLines returns as many complete lines from the beginning of buf as fit into
+// limit bytes, at least one.
+func completeLines(buf []byte, limit int) []byte {
+	if len(buf) <= limit {
 		return buf
 	}
-	if i := bytes.LastIndexByte(buf[:most], '\n'); i >= 0 {
+	if i := bytes.LastIndexByte(buf[:limit], '\n'); i >= 0 {
 		return buf[:i+1]
 	}
 	if i := bytes.IndexByte(buf, '\n'); i >= 0 {
@@ -126,7 +125,7 @@
 
 // Run flushes until done is closed.
 func (l *Log) Run(done <-chan struct{}) {
-	t := time.NewTicker(logFlush)
+	t := time.NewTicker(flushInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/forward/log_test.go
+++ b/forward/log_test.go
@@ -14,29 +14,28 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// pipe takes whole lines of at most so many bytes a write, and fails after a
-// number of writes if that is set.
-type pipe struct {
+// pipeWriter accepts complete lines of at most maxWriteBytes per write.
+type pipeWriter struct {
 	t      *testing.T
 	got    strings.Builder
 	writes int
-	fails  int // writes from which on it fails, 0 for never
+	fails  int // number of the first write that fails, 0 for none
 }
 
-func (p *pipe) Write(b []byte) (int, error) {
+func (p *pipeWriter) Write(b []byte) (int, error) {
 	p.writes++
 	if p.fails > 0 && p.writes >= p.fails {
-		return 0, errors.New("pipe is gone")
+		return 0, errors.New("pipe closed")
 	}
-	require.LessOrEqual(p.t, len(b), logWrite)
+	require.LessOrEqual(p.t, len(b), maxWriteBytes)
 	require.Equal(p.t, byte('\n'), b[len(b)-1])
 	return p.got.Write(b)
 }
 
-// Lines that come at once are written in pieces that a pipe takes whole, and none
-// is lost.
-func TestLogIsWrittenInWholeLines(t *testing.T) {
-	p := &pipe{t: t}
+// The log is written in pieces of complete lines that a pipe accepts atomically, and no
+// line is lost.
+func TestLogWritesCompleteLines(t *testing.T) {
+	p := &pipeWriter{t: t}
 	l := NewLog(p)
 	for i := range 200 {
 		l.Add("route", "request", fmt.Sprint("r", i), "path", strings.Repeat("x", i))
@@ -46,9 +45,9 @@
 	require.Equal(t, 200, strings.Count(p.got.String(), "kind=route"))
 }
 
-// Lines that could not be written are counted, and the count is told.
-func TestLogCountsLinesThatAreLost(t *testing.T) {
-	p := &pipe{t: t, fails: 2}
+// Lines that could not be written are counted, and the count is logged.
+func TestLogCountsDroppedLines(t *testing.T) {
+	p := &pipeWriter{t: t, fails: 2}
 	l := NewLog(p)
 	for i := range 100 {
 		l.Add("route", "request", fmt.Sprint("r", i))
@@ -61,9 +60,9 @@
 	require.Contains(t, p.got.String(), fmt.Sprintf("msg=\"log lines dropped\" count=%d", 100-written))
 }
 
-// Lines of one kind are bounded, whatever comes, and what is left out is counted; lines
-// of other kinds are written.
-func TestLinesOfAKindAreBounded(t *testing.T) {
+// Lines of one kind are limited and the omitted ones counted; lines of other kinds are
+// written.
+func TestLogLimitsLinesOfAKind(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		l := NewLog(&out)
--- a/forward/metered.go
+++ b/forward/metered.go
@@ -10,20 +10,21 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// ErrNoPermit says that a call was not made since its backend server takes no more now.
+// ErrNoPermit is returned for a call that was not made because the backend server's limit
+// is reached.
 var ErrNoPermit = fmt.Errorf("forward: the backend server's limit is reached: %w", execution.ErrNotSent)
 
-// Priorities of calls that are no requests. Orders are few and come before any request,
-// since requests that are under way depend on them. Reports come last: those on streams
-// that stand still are many, and would leave no room for what callers want.
+// Priorities of calls other than requests. Orders are few and precede all requests,
+// because requests in progress depend on them. Reports come last: those on stalled
+// streams are many and would use up the limit.
 const (
 	orderPriority  = -1
 	reportPriority = 1 << 10
 )
 
-// metered counts all that reaches a backend server from this daemon, and makes reports and
-// orders to one that has named a limit only with a permit. Requests have theirs before
-// they are sent. A connection alone is no call. It implements Backends.
+// metered counts all calls of this daemon to backend servers, and makes reports and
+// orders to a server with a limit only with a permit. Requests have taken theirs before
+// they are sent. A connection alone is not a call. It implements Backends.
 type metered struct {
 	Backends
 	f *Forwarder
@@ -39,7 +40,7 @@
 
 // Report implements Backends.
 func (m metered) Report(ctx context.Context, s *site.BackendServer) (Report, error) {
-	if err := m.f.mayCall(ctx, s.ID, reportPriority); err != nil {
+	if err := m.f.permitCall(ctx, s.ID, reportPriority); err != nil {
 		return Report{}, err
 	}
 	return m.Backends.Report(ctx, s)
@@ -53,13 +54,13 @@
 	return m.Backends.Repath(ctx, head, requestID, p)
 }
 
-// MayOrder takes a permit for an order, or the report that comes before it, and counts that
-// as sent. It returns ErrNoPermit where the backend server's limit is reached.
+// MayOrder takes a permit for an order, or for the report that precedes it, and counts
+// the call. It returns ErrNoPermit if the backend server's limit is reached.
 func (f *Forwarder) MayOrder(ctx context.Context, server string) error {
-	return f.mayCall(ctx, server, orderPriority)
+	return f.permitCall(ctx, server, orderPriority)
 }
 
-func (f *Forwarder) mayCall(ctx context.Context, server string, priority int) error {
+func (f *Forwarder) permitCall(ctx context.Context, server string, priority int) error {
 	if _, limited := f.limits.Of(server); !limited {
 		f.sends.Add(server, boottime.Now())
 		return nil
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -22,30 +22,31 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// behaviour is what a backend server does with one send.
+// behaviour is the reaction of a backend server to one send.
 type behaviour int
 
 const (
 	unreachable behaviour = iota
-	refusing              // says that it did not run
-	lost                  // runs, and no answer comes
+	refusing              // reports that it did not run
+	lost                  // runs, without an answer
 	failing               // runs and answers 500
-	lying                 // runs and answers 503 without saying that it did not run
-	unsealed              // runs and answers without a signature
+	ambiguous             // runs and answers 503 without reporting that it did not run
+	unsigned              // runs and answers without a signature
 	serving
-	behaviours
+	behaviourCount
 )
 
 func (b behaviour) runs() bool { return b != unreachable && b != refusing }
 
-// scripted plays one behaviour after the other.
-type scripted struct {
+// scriptedBackends reacts to each send with the next behaviour of a script, then serves.
+// It implements Backends.
+type scriptedBackends struct {
 	script   []behaviour
 	arrivals int
 	ran      int
 }
 
-func (s *scripted) Send(context.Context, *Outgoing) (*Answer, error) {
+func (s *scriptedBackends) Send(context.Context, *Outgoing) (*Answer, error) {
 	b := serving
 	if len(s.script) > 0 {
 		b, s.script = s.script[0], s.script[1:]
@@ -66,21 +67,24 @@
 		a.Status, a.NotRun = http.StatusServiceUnavailable, true
 	case failing:
 		a.Status = http.StatusInternalServerError
-	case lying:
+	case ambiguous:
 		a.Status = http.StatusServiceUnavailable
-	case unsealed:
+	case unsigned:
 		a.Sealed = false
 	}
 	return a, nil
 }
 
-func (s *scripted) Report(context.Context, *site.BackendServer) (Report, error) { return Report{}, nil }
-func (s *scripted) Reach(context.Context, *site.BackendServer) error            { return nil }
-func (s *scripted) Repath(context.Context, *site.BackendServer, string, site.Path) error {
+func (s *scriptedBackends) Report(context.Context, *site.BackendServer) (Report, error) {
+	return Report{}, nil
+}
+func (s *scriptedBackends) Reach(context.Context, *site.BackendServer) error { return nil }
+func (s *scriptedBackends) Repath(context.Context, *site.BackendServer, string, site.Path) error {
 	return nil
 }
 
-// scriptedPermits grants permits or not as it is told, then all. It implements Permits.
+// scriptedPermits grants or denies permits by a script, then grants all. It implements
+// Permits.
 type scriptedPermits struct{ script []bool }
 
 // Permit implements Permits.
@@ -92,7 +96,7 @@
 	return quota.Decision{Granted: granted, Server: r.Servers[0], After: time.Minute, Back: time.Minute}
 }
 
-// fixed is an inventory that does not change.
+// fixed is an inventory and a fleet that do not change.
 type fixed struct{ view *inventory.View }
 
 func (f fixed) View() *inventory.View       { return f.view }
@@ -113,15 +117,15 @@
 func (noObserver) LimitReached()                   {}
 func (noObserver) Recovered(string, time.Duration) {}
 
-// taken keeps what the caller got.
-type taken struct {
+// recordingSink records a complete answer. It implements Sink.
+type recordingSink struct {
 	status int
 	body   string
 }
 
-func (c *taken) Head(int, http.Header) error { return nil }
-func (c *taken) Events([]byte) error         { return nil }
-func (c *taken) Whole(status int, _ http.Header, body []byte) error {
+func (c *recordingSink) Head(int, http.Header) error { return nil }
+func (c *recordingSink) Events([]byte) error         { return nil }
+func (c *recordingSink) Whole(status int, _ http.Header, body []byte) error {
 	c.status, c.body = status, string(body)
 	return nil
 }
@@ -138,16 +142,16 @@
 		Parts{Inventory: inv, Fleet: inv, Backends: backends, Log: NewLog(io.Discard), Observer: noObserver{}})
 }
 
-// Whatever backend servers do, with limits that leave room for it or not, a request that
-// may not be repeated runs at most once, "not run" is true, and only the answer of one that
-// ran is a success.
-func TestOutcomesAreTrue(t *testing.T) {
+// For any behaviour of backend servers and any limits, a request that may not be repeated
+// runs at most once, "not run" is correct, and only the answer of one that ran is a
+// success.
+func TestReportedOutcomesAreCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) behaviour {
-			return behaviour(rapid.IntRange(0, int(behaviours)-1).Draw(t, "behaviour"))
+			return behaviour(rapid.IntRange(0, int(behaviourCount)-1).Draw(t, "behaviour"))
 		}), 0, 5).Draw(t, "script")
 		repeat := rapid.SampledFrom([]site.Repeat{site.Safe, site.Unsafe}).Draw(t, "repeat")
-		b := &scripted{script: script}
+		b := &scriptedBackends{script: script}
 		f := plainForwarder(rapid.IntRange(1, 4).Draw(t, "servers"), b)
 		f.permits = &scriptedPermits{script: rapid.SliceOfN(rapid.Bool(), 0, 6).Draw(t, "permits")}
 		for id := range f.inv.View().Servers {
@@ -161,7 +165,7 @@
 			ID: "r", Service: "cards", Received: now, Deadline: now.Add(3 * time.Second),
 			Route: &site.Route{Repeat: repeat, MaxAttempts: 3, Timeout: 3 * time.Second, Objective: time.Millisecond},
 		}
-		got := &taken{}
+		got := &recordingSink{}
 		err := f.Do(context.Background(), req, got)
 		require.Equal(t, before, invariant.Total())
 		if repeat == site.Unsafe {
@@ -173,36 +177,37 @@
 		if err == nil {
 			require.Positive(t, b.ran)
 			require.Equal(t, "card", got.body)
-			require.False(t, promisesNotRun(got.status))
+			require.False(t, impliesNotRun(got.status))
 		}
 	})
 }
 
-// The log names why a stream was interrupted, also when this daemon cut it.
+// The logged cause of an interruption is correct, including when this daemon ended the
+// send.
 func TestCauseOfAnInterruption(t *testing.T) {
 	ctx := context.Background()
 	broken := fmt.Errorf("%w: %w", errBroken, io.ErrUnexpectedEOF)
 	sctx, cancel := context.WithCancelCause(ctx)
-	require.Equal(t, errBroken.Error(), causeOf(whyEnded(ctx, sctx, broken)))
+	require.Equal(t, errBroken.Error(), causeOf(withCause(ctx, sctx, broken)))
 	cancel(errHeadDead)
-	require.Equal(t, errHeadDead.Error(), causeOf(whyEnded(ctx, sctx, broken)))
+	require.Equal(t, errHeadDead.Error(), causeOf(withCause(ctx, sctx, broken)))
 	gone, leave := context.WithCancel(ctx)
 	leave()
-	require.Equal(t, errBroken.Error(), causeOf(whyEnded(gone, sctx, broken)), "the caller left")
+	require.Equal(t, errBroken.Error(), causeOf(withCause(gone, sctx, broken)), "the caller left")
 }
 
-// A begun stream waits for a retry while the budget has none; another request is
-// given up at once.
+// A begun stream waits for a retry while the budget has none; another request is refused
+// at once.
 func TestBegunStreamsWaitForARetry(t *testing.T) {
-	f := plainForwarder(1, &scripted{})
+	f := plainForwarder(1, &scriptedBackends{})
 	f.budget = admission.NewBudget(1, 0, time.Second)
 	fresh := &run{f: f, req: &Request{Route: &site.Route{}}, reached: true}
 	began := time.Now()
 	require.False(t, fresh.awaitRetry(t.Context()))
-	require.Less(t, time.Since(began), holdStep)
+	require.Less(t, time.Since(began), pollInterval)
 	begun := &run{f: f, req: &Request{Route: &site.Route{}}, reached: true}
 	begun.headSent.Store(true)
-	time.AfterFunc(5*holdStep, func() {
+	time.AfterFunc(5*pollInterval, func() {
 		for range 4 {
 			f.budget.Earn(time.Now())
 		}
--- a/forward/permit.go
+++ b/forward/permit.go
@@ -13,31 +13,31 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// A request is sent to backend servers that have named a limit only with a permit of the
-// fleet (package quota). Where it gets none it goes elsewhere; where nobody else can serve
-// it either it is refused at once: waiting would only put it behind those that come later.
+// A request is sent to backend servers with limits only with a permit of the fleet
+// (package quota). Without one it goes elsewhere; if no other backend server can serve
+// it, it is refused at once, since later requests would overtake it while it waited.
 
-// Permits gives permits for calls to backend servers with limits.
+// Permits grants permits for calls to backend servers with limits.
 type Permits interface {
-	// Permit asks for one call to each of some backend servers. What is granted counts as
+	// Permit requests one call to each of some backend servers. A granted call counts as
 	// sent.
 	Permit(ctx context.Context, r quota.PermitRequest) quota.Decision
 }
 
-// alone gives the permits of a daemon that shares them with nobody.
-type alone struct {
+// localPermits grants the permits of a daemon that does not share limits.
+type localPermits struct {
 	pool *quota.Pool
 	name string
 }
 
-const aloneName = "alone"
+const localDaemonName = "alone"
 
 // Permit implements Permits.
-func (a alone) Permit(_ context.Context, r quota.PermitRequest) quota.Decision {
+func (a localPermits) Permit(_ context.Context, r quota.PermitRequest) quota.Decision {
 	return a.pool.Decide(a.name, r, boottime.Now())
 }
 
-// class returns for whom the request's permits are.
+// class returns the quota class of the request.
 func (r *run) class() quota.Class {
 	c := quota.Class{Priority: r.priority()}
 	if r.req.Workspace != nil {
@@ -46,8 +46,8 @@
 	return c
 }
 
-// permit takes a permit for each hop of a path that has named a limit. It returns false
-// where one has no room: it counts as full for this class then.
+// permit takes a permit for each hop of a path that has a limit. It returns false if one
+// is denied; that hop then counts as full for the request's class.
 func (r *run) permit(ctx context.Context, t *target) bool {
 	var limited []string
 	for _, h := range t.path {
@@ -66,42 +66,42 @@
 	}
 	r.f.denials.Add(class, d, boottime.Now())
 	limit, _ := r.f.limits.Of(d.Server)
-	r.f.log.Add("limit_reached", "request", r.req.ID, "server", d.Server, "rate", limit.Rate, "known_for", ageOf(limit, boottime.Now()),
+	r.f.log.Add("limit_reached", "request", r.req.ID, "server", d.Server, "rate", limit.Rate, "known_for", limitAge(limit, boottime.Now()),
 		"priority", class.Priority, "workspace", class.Workspace, "after", d.After.Round(time.Millisecond), "back", d.Back.Round(time.Millisecond))
 	return false
 }
 
-// withRoom leaves out the backend servers that have no room for the request by their
-// limits, and returns when its caller may come back to the first of them, the zero time
-// if there is none.
-func (r *run) withRoom(cs []pipeline.Candidate) (left []pipeline.Candidate, back time.Time) {
+// withoutDenied removes the backend servers whose limits leave no capacity for the
+// request's class, and returns the earliest time at which one of them is available again,
+// the zero time if none was removed.
+func (r *run) withoutDenied(cs []pipeline.Candidate) (allowed []pipeline.Candidate, availableAt time.Time) {
 	if r.f.limits.Size() == 0 {
 		return cs, time.Time{}
 	}
 	class, now := r.class(), boottime.Now()
-	left = make([]pipeline.Candidate, 0, len(cs))
+	allowed = make([]pipeline.Candidate, 0, len(cs))
 	for _, c := range cs {
-		again, denied := r.f.denials.Of(c.Server.ID, class, now)
+		until, denied := r.f.denials.Of(c.Server.ID, class, now)
 		if !denied {
-			left = append(left, c)
+			allowed = append(allowed, c)
 			continue
 		}
-		if back.IsZero() || again.Before(back) {
-			back = again
+		if availableAt.IsZero() || until.Before(availableAt) {
+			availableAt = until
 		}
 	}
-	return left, back
+	return allowed, availableAt
 }
 
-// errLimits says that a request could be served but for limits.
+// errLimits marks a refusal of a request that could be served without limits.
 var errLimits = errors.New("forward: backend servers have named limits")
 
-// limitReached refuses a request that could be served but for limits. Its caller may come
-// back when a call for it is due, or before if another backend server is asked again.
-func (r *run) limitReached(err error, back, now time.Time) error {
-	wait := max(0, boottime.Until(back)) + rand.N(returnSpread)
-	if again := r.f.nextBack(r.req.Service, now); !again.IsZero() {
-		wait = min(wait, r.f.returnAfter(r.req.Service, now))
+// limitReached refuses a request because of limits. The retry time is when a call for it
+// is due, or earlier if another backend server becomes available before that.
+func (r *run) limitReached(err error, availableAt, now time.Time) error {
+	wait := max(0, boottime.Until(availableAt)) + rand.N(retryAfterSpread)
+	if again := r.f.nextAvailable(r.req.Service, now); !again.IsZero() {
+		wait = min(wait, r.f.retryAfter(r.req.Service, now))
 	}
 	return apierror.Wrap(apierror.Overloaded, fmt.Errorf("%w: %w", errLimits, err)).WithRetryAfter(wait)
 }
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -13,8 +13,8 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// pick finds a target. Where there is none the request is held if it is known when
-// that may change.
+// pick returns a target for the next send. If there is none, it polls until the time
+// returned by holdUntil.
 func (r *run) pick(ctx context.Context) (*target, error) {
 	began := time.Now()
 	var until time.Time
@@ -24,20 +24,20 @@
 			return t, nil
 		}
 		if err == nil {
-			continue // without the one that has no room
+			continue // without the denied server
 		}
 		now := time.Now()
 		if until.IsZero() {
 			until = r.holdUntil(began, now)
 		}
-		if !now.Before(until) || !wait.For(ctx, holdStep) {
+		if !now.Before(until) || !wait.For(ctx, pollInterval) {
 			if ctx.Err() != nil {
-				return nil, r.ended(ctx)
+				return nil, r.endError(ctx)
 			}
 			if errors.Is(err, errLimits) {
-				r.f.observe.LimitReached()
+				r.f.observer.LimitReached()
 			}
-			return nil, r.sayWhen(err, now)
+			return nil, r.withRetryAfter(err, now)
 		}
 	}
 }
@@ -47,18 +47,18 @@
 	now := time.Now()
 	view := r.f.inv.View()
 	cs := r.f.candidates(view, r.req.Service, r.engine, now)
-	if r.attemptsUsed() {
-		cs = r.onlyTried(cs)
+	if r.attemptsExhausted() {
+		cs = r.filterTried(cs)
 	}
-	cs, back := r.withRoom(cs)
+	cs, availableAt := r.withoutDenied(cs)
 	t, err := r.findAmong(cs, view, now)
-	if err != nil && !back.IsZero() {
-		return nil, r.limitReached(err, back, now)
+	if err != nil && !availableAt.IsZero() {
+		return nil, r.limitReached(err, availableAt, now)
 	}
 	return t, err
 }
 
-// findAmong looks for a target among some backend servers.
+// findAmong looks for a target among some candidates.
 func (r *run) findAmong(cs []pipeline.Candidate, view *inventory.View, now time.Time) (*target, error) {
 	if r.engine == nil {
 		return r.findPlain(cs)
@@ -77,44 +77,44 @@
 	if !r.f.mayCross(r.engine, q.Tokens.Prompt, c.Path, now) {
 		full := c.Path
 		if c, err = pipeline.ChooseWithin(q, cs, newRand()); err != nil {
-			return nil, r.pipesFull(full, now)
+			return nil, r.linksFull(full, now)
 		}
 	}
 	return &target{path: c.Path, choice: c, tokens: q.Tokens.Mean()}, nil
 }
 
-// choose takes the path whose turn it is by the split of the fleet's load, else the
-// cheapest one.
+// choose returns the next path of the split of the fleet's load, or the cheapest path if
+// no split is followed.
 func (r *run) choose(q *pipeline.Query, view *inventory.View, cs []pipeline.Candidate, now time.Time) (pipeline.Choice, error) {
-	if c, ok := r.f.next(q, r.req.Service, view, cs, now); ok {
+	if c, ok := r.f.nextBySplit(q, r.req.Service, view, cs, now); ok {
 		return c, nil
 	}
 	return pipeline.Choose(q, cs, newRand())
 }
 
-// checkLayers asserts that a check of a path's layers found nothing.
+// checkLayers asserts that a path's layers are in order, given the error of the check.
 func checkLayers(err error) error {
 	return invariant.Check(err == nil, invariant.LayersOnceInOrder, "%v", err)
 }
 
-// attemptsUsed reports whether the request was sent to as many backend servers
-// as it may be; those that have surely ended since do not count.
-func (r *run) attemptsUsed() bool {
-	return r.tried.living(r.f.surelyEnded) >= r.req.Route.MaxAttempts
+// attemptsExhausted reports whether the request was sent to as many backend servers as
+// its route allows. Those that have certainly terminated since do not count.
+func (r *run) attemptsExhausted() bool {
+	return r.tried.countActive(r.f.hasTerminated) >= r.req.Route.MaxAttempts
 }
 
-// surelyEnded reports whether a backend server's process is gone: its record is gone, and
-// nobody listened at its address or it looks dead. None of these is enough by itself, and
-// streams went to more heads than they may be sent to by each: one whose record is gone may
-// serve on, since it drains; one that looks dead may live; and a network that is cut may
-// refuse connections for one that serves others.
-func (f *Forwarder) surelyEnded(id string) bool {
+// hasTerminated reports whether the process of a backend server is certainly gone: its
+// record is gone, and either connections were refused or it looks dead. None of these
+// suffices alone: a server without a record may be draining, one that looks dead may be
+// alive, and a partitioned network may refuse connections on behalf of a server that
+// serves others.
+func (f *Forwarder) hasTerminated(id string) bool {
 	return f.inv.View().Servers[id] == nil && (f.health.Ended(id) || f.health.Dead(id, time.Now()))
 }
 
-// onlyTried keeps those candidates that may be a first hop only if they were
-// already.
-func (r *run) onlyTried(cs []pipeline.Candidate) []pipeline.Candidate {
+// filterTried removes the candidates that could be a first hop, except those that were
+// one before.
+func (r *run) filterTried(cs []pipeline.Candidate) []pipeline.Candidate {
 	var out []pipeline.Candidate
 	for _, c := range cs {
 		if r.tried.has(c.Server.ID) || r.engine != nil && !c.Server.Held.Has(0) {
@@ -124,8 +124,8 @@
 	return out
 }
 
-// findPlain picks the backend server of a plain service with the fewest
-// requests in flight, one that was not tried before.
+// findPlain selects the backend server of a plain service with the fewest requests in
+// flight among those not tried before.
 func (r *run) findPlain(cs []pipeline.Candidate) (*target, error) {
 	var best *pipeline.Candidate
 	bestCost := 0.0
@@ -133,7 +133,7 @@
 	for i := range cs {
 		c := &cs[i]
 		if r.tried.has(c.Server.ID) {
-			continue // what it refused or failed just now it would again
+			continue // it would refuse or fail the request again
 		}
 		refused := r.f.health.Cooling(c.Server.ID, time.Now())
 		if c.Server.Slots > 0 && c.Load.Running >= 2*float64(c.Server.Slots) {
@@ -142,7 +142,7 @@
 		}
 		cost := c.Load.Running / float64(max(1, c.Server.Slots))
 		if c.Server.FailureDomain != r.f.opts.FailureDomain {
-			cost += plainCrossCost
+			cost += plainCrossDomainCost
 		}
 		if refused {
 			cost += plainRefusedCost
@@ -161,10 +161,10 @@
 	return &target{path: site.Path{{Server: best.Server}}, tokens: 0}, nil
 }
 
-// plainCrossCost is what another failure domain costs, as a share of the slots:
-// bytes between failure domains are paid for, waiting costs the caller.
-const plainCrossCost = 0.35
+// plainCrossDomainCost is the cost of a server in another failure domain, as a fraction
+// of its slots. It weighs paid traffic between failure domains against the caller's wait.
+const plainCrossDomainCost = 0.35
 
-// plainRefusedCost is what a refusal a moment ago costs: such a backend server is
-// asked when no other is left.
+// plainRefusedCost is the cost of a recent refusal. It exceeds all other costs, so that
+// such a server is selected last.
 const plainRefusedCost = 10
--- a/forward/policy_test.go
+++ b/forward/policy_test.go
@@ -10,10 +10,11 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// labSeeds are the seeds of each benchmark, of which the worst is reported.
+// labSeeds is the number of seeds of each benchmark, of which the worst result is
+// reported.
 const labSeeds = 3
 
-// labRate is the streams a second of the users' sites at their busiest.
+// labRate is the peak rate of streams per second of a typical site.
 const labRate = 64
 
 func percentile(of []time.Duration, p float64) time.Duration {
@@ -26,9 +27,9 @@
 
 func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// BenchmarkSaturation offers four times the usual rate: how much of what the
-// layout holds is in use, and how many streams are whole, and in time, of those at
-// the usual rate.
+// BenchmarkSaturation sends four times the usual rate. It reports the used fraction of
+// the layout's capacity, and the number of streams in time relative to that at the usual
+// rate.
 func BenchmarkSaturation(b *testing.B) {
 	for b.Loop() {
 		bound, goodput := 1e9, 1e9
@@ -37,7 +38,7 @@
 				usual, over := newLab(seed), newLab(seed)
 				usual.run(labRate, 20*time.Second)
 				over.run(4*labRate, 20*time.Second)
-				bound = min(bound, float64(over.mostIn)/float64(over.bound()))
+				bound = min(bound, float64(over.maxInFlight)/float64(over.capacity()))
 				goodput = min(goodput, float64(over.inTime)/float64(usual.inTime))
 			})
 		}
@@ -46,7 +47,7 @@
 	}
 }
 
-// BenchmarkGaps runs the usual rate with nothing wrong.
+// BenchmarkGaps measures pauses at the usual rate without failures.
 func BenchmarkGaps(b *testing.B) {
 	for b.Loop() {
 		worst := time.Duration(0)
@@ -61,21 +62,20 @@
 	}
 }
 
-// Sixty daemons that have just started know nothing of each other's loads, and their
-// callers come within seconds. When each took the path that looked cheapest, the
-// heads of the fastest paths ran out of slots and 31 of 344 requests were refused.
-func TestFleetThatStartsServesItsCallers(t *testing.T) {
+// Daemons that have just started do not know each other's loads. Their requests must not
+// all go to the cheapest path, whose head would run out of slots.
+func TestStartingFleetServesRequests(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newFleetLab(1, 60)
-		room := float64(l.bound())
-		l.run(0.6*room/3, 3*time.Second)
+		capacity := float64(l.capacity())
+		l.run(0.6*capacity/3, 3*time.Second)
 		require.Zero(t, l.refused)
 		require.Zero(t, l.cut)
 		require.Greater(t, float64(l.inTime), 0.95*float64(l.whole))
 	})
 }
 
-// losses are the ways in which a card is lost.
+// losses are the ways in which a server is lost.
 var losses = []struct {
 	name   string
 	layer  int
@@ -87,16 +87,16 @@
 	{"middle_silent", 40, true},
 }
 
-// lose runs the usual rate and loses a card in the middle.
-func lose(seed uint64, layer int, silent bool) *lab {
+// runWithLoss runs the usual rate and loses a server during the run.
+func runWithLoss(seed uint64, layer int, silent bool) *lab {
 	l := newLab(seed)
 	time.AfterFunc(6*time.Second, func() { l.kill(layer, silent) })
 	l.run(labRate, 10*time.Second)
 	return l
 }
 
-// BenchmarkRecovery reports the time from a lost card to the next event at the
-// caller, by how it was lost.
+// BenchmarkRecovery measures the time from the loss of a server to the next event at the
+// caller.
 func BenchmarkRecovery(b *testing.B) {
 	for _, c := range losses {
 		b.Run(c.name, func(b *testing.B) {
@@ -105,7 +105,7 @@
 				cut := 0
 				for seed := range uint64(labSeeds) {
 					virtual.Run(b, func() {
-						l := lose(seed, c.layer, c.silent)
+						l := runWithLoss(seed, c.layer, c.silent)
 						gaps = append(gaps, l.recovered...)
 						cut += l.cut
 					})
@@ -119,15 +119,14 @@
 	}
 }
 
-// However a card is lost, no stream is cut off, and each goes on within a time at
-// which its caller is still there.
-func TestStreamsOutliveALostCard(t *testing.T) {
+// Streams that lose a hop are resumed before their callers give up, and none is cut.
+func TestStreamsSurviveServerLoss(t *testing.T) {
 	for _, c := range losses {
 		t.Run(c.name, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
-				l := lose(1, c.layer, c.silent)
+				l := runWithLoss(1, c.layer, c.silent)
 				require.Zero(t, l.cut)
-				require.NotEmpty(t, l.recovered, "the busiest card was lost")
+				require.NotEmpty(t, l.recovered, "the busiest server was lost")
 				require.Less(t, percentile(l.recovered, 0.99), 2*time.Second)
 				require.Greater(t, l.whole, 9*labRate)
 			})
--- a/forward/recover.go
+++ b/forward/recover.go
@@ -10,20 +10,20 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// check asks the head about a silent stream and moves it away from the hop at
-// fault. It runs on the timer's goroutine.
+// check probes the hops of a silent stream, asks its head for a report and moves the
+// stream away from a hop at fault. It runs on the timer's goroutine.
 func (s *stream) check(ctx context.Context) {
 	s.mu.Lock()
-	if s.ended || s.asking {
+	if s.ended || s.checking {
 		s.mu.Unlock()
 		return
 	}
-	s.asking = true
-	path, quiet, bound, probed := s.path, s.quietFor(time.Now()), s.bound, s.probed
+	s.checking = true
+	path, silent, askAfter, probed := s.path, s.silentFor(time.Now()), s.askAfter, s.probed
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		s.asking = false
+		s.checking = false
 		s.mu.Unlock()
 	}()
 	head := path[0].Server
@@ -32,15 +32,15 @@
 		s.noteProbe(path, probed)
 	}
 	if failed := s.failedHop(path); failed != nil {
-		s.leaveHop(ctx, head, failed)
+		s.avoidHop(ctx, head, failed)
 		return
 	}
-	if quiet < bound {
-		again := bound - quiet
+	if silent < askAfter {
+		delay := askAfter - silent
 		if !probed {
-			again = min(again, heardWithin)
+			delay = min(delay, recentEventWindow)
 		}
-		s.timer.Reset(again)
+		s.timer.Reset(delay)
 		return
 	}
 	rep, err := s.r.f.ask(ctx, head)
@@ -48,11 +48,11 @@
 		return
 	}
 	if errors.Is(err, ErrNoPermit) {
-		s.timer.Reset(askAgain) // its hops are looked after all the same
+		s.timer.Reset(askRetryInterval) // its hops are still probed
 		return
 	}
 	if err != nil {
-		s.r.f.fail(head, "no report", err, time.Now())
+		s.r.f.markFailed(head, "no report", err, time.Now())
 		s.giveUp(errHeadDead)
 		return
 	}
@@ -61,28 +61,28 @@
 	}
 	for _, st := range rep.Stalled {
 		if at := path.At(st.Address); at != nil && at.ID != head.ID {
-			s.r.f.fail(at, "stalls streams of "+head.ID, errStalled, time.Now())
+			s.r.f.markFailed(at, "stalls streams of "+head.ID, errStalled, time.Now())
 			if st.RequestID == s.r.req.ID {
 				s.move(ctx, at)
 				return
 			}
 		}
 	}
-	if quiet >= silenceMost && rep.Waiting == 0 {
+	if silent >= maxSilence && rep.Waiting == 0 {
 		s.giveUp(errSilent)
 		return
 	}
-	s.timer.Reset(askAgain)
+	s.timer.Reset(askRetryInterval)
 }
 
-// quietFor returns how long the stream has said nothing while this process ran and
-// could have heard it; the caller holds the lock.
-func (s *stream) quietFor(now time.Time) time.Duration {
-	return now.Sub(s.quietAt) - s.r.f.stalls.Held(s.quietAt, now)
+// silentFor returns the silence of the stream, less the time for which this process did
+// not run; s.mu must be held.
+func (s *stream) silentFor(now time.Time) time.Duration {
+	return now.Sub(s.silentSince) - s.r.f.stalls.Held(s.silentSince, now)
 }
 
-// noteProbe keeps whether all hops of the stream's path were connected to since its
-// last event.
+// noteProbe records whether all hops of the stream's path were probed since its last
+// event, unless the path has changed.
 func (s *stream) noteProbe(path site.Path, all bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,31 +91,31 @@
 	}
 }
 
-// giveUp ends a send that stands still, so that the request goes on elsewhere. A
-// stream that has begun is left as it is when it could not: silence alone is no
-// reason to cut an answer off. So is one that only waits for its first event: if
-// all that wait were given up, what their heads have read would be read for
-// nothing, and the queue would never get shorter.
+// giveUp ends a stalled send so that the request is resumed elsewhere. If it cannot be
+// sent again, the send continues if the stream has begun, since silence alone does not
+// justify cutting off an answer, or if it only waits for its first event: ending all
+// waiting sends would waste what their heads have read, and the queue would not get
+// shorter.
 func (s *stream) giveUp(why error) {
 	waits := s.r.headSent.Load() || errors.Is(why, errSilent)
 	if waits && !s.reserveSend() {
-		s.timer.Reset(askAgain)
+		s.timer.Reset(askRetryInterval)
 		return
 	}
 	s.cancel(why)
 }
 
-// reserveSend reports whether the stream may be sent once more, and takes the
-// retry for it.
+// reserveSend reports whether the stream may be sent once more, and takes a retry for
+// that send.
 func (s *stream) reserveSend() bool {
 	return s.r.req.Route.Repeatable() && s.attempt < maxSends && s.r.reserveRetry()
 }
 
-// leaveHop goes on without a hop that has failed, unless that is put down to the
-// request: moved on to other hops it would end them too.
-func (s *stream) leaveHop(ctx context.Context, head, failed *site.BackendServer) {
-	if stage := s.stageAtLastSign(); stage != stageRunning && s.r.blame(ctx, failed, stage) {
-		s.cancel(errHeldBack)
+// avoidHop routes the stream around a failed hop, unless the failure is attributed to the
+// request, which would end other hops as well.
+func (s *stream) avoidHop(ctx context.Context, head, failed *site.BackendServer) {
+	if stage := s.stageAtLastEvent(); stage != stageRunning && s.r.attributeEnd(ctx, failed, stage) {
+		s.cancel(errQuarantined)
 		return
 	}
 	if failed.ID == head.ID {
@@ -136,11 +136,11 @@
 	return nil
 }
 
-// move orders the head to go on over another path; the hops that both paths
-// share keep their memory of the request.
+// move orders the head to continue over another path. Hops that both paths share keep the
+// state of the request.
 func (s *stream) move(ctx context.Context, failed *site.BackendServer) {
 	r := s.r
-	for range repathTries {
+	for range maxRepathAttempts {
 		old := s.currentPath()
 		p, err := r.repair(old)
 		if err != nil {
@@ -150,18 +150,18 @@
 		if samePath(p, old) {
 			break
 		}
-		if crosses(p, old) && s.reserveResume() {
-			s.cancel(errElsewhere)
+		if addsCrossing(p, old) && s.reserveResume() {
+			s.cancel(errResumeElsewhere)
 			return
 		}
 		err = r.f.backends.Repath(ctx, old[0].Server, r.req.ID, p)
 		r.f.log.Add("repath", "request", r.req.ID, "failed", failed.ID, "path", p.String(), "err", err)
 		if err == nil {
-			s.take(p)
+			s.setPath(p)
 			return
 		}
 		if errors.Is(err, ErrNoPermit) && s.reserveResume() {
-			s.cancel(errElsewhere)
+			s.cancel(errResumeElsewhere)
 			return
 		}
 		var hop *HopError
@@ -173,15 +173,14 @@
 		}
 	}
 	if ctx.Err() == nil {
-		s.timer.Reset(askAgain)
+		s.timer.Reset(askRetryInterval)
 	}
 }
 
-// crosses reports whether a repaired path has new hops in another failure domain
-// than its head. All tokens so far would go through the pipe between the two, for
-// every stream of the lost hop, one after the other; reading them again in one
-// failure domain is faster.
-func crosses(p, old site.Path) bool {
+// addsCrossing reports whether a repaired path has new hops in another failure domain
+// than its head. All tokens so far would cross the link between the two for every stream
+// of the lost hop; reading them again within one failure domain is faster.
+func addsCrossing(p, old site.Path) bool {
 	kept := map[string]site.Range{}
 	for _, h := range old {
 		kept[h.Server.ID] = h.Layers
@@ -194,15 +193,15 @@
 	return false
 }
 
-// reserveResume reports whether the stream may go on at another head, and takes the
-// retry for it.
+// reserveResume reports whether the stream may be resumed at another head, and takes a
+// retry for that send.
 func (s *stream) reserveResume() bool {
-	return !s.r.attemptsUsed() && s.reserveSend()
+	return !s.r.attemptsExhausted() && s.reserveSend()
 }
 
 func samePath(a, b site.Path) bool { return a.String() == b.String() }
 
-func (s *stream) take(p site.Path) {
+func (s *stream) setPath(p site.Path) {
 	leave := s.r.f.loads.Enter(p, s.tokens)
 	s.mu.Lock()
 	if s.ended {
@@ -214,10 +213,11 @@
 	s.path, s.leave, s.moved, s.stepMS = p, leave, true, 0
 	s.mu.Unlock()
 	old()
-	s.timer.Reset(firstSilence)
+	s.timer.Reset(minFirstSilence)
 }
 
-// repair finds a path with the same head that keeps what it can.
+// repair returns a path with the same head that keeps as many of the other hops as
+// possible.
 func (r *run) repair(old site.Path) (site.Path, error) {
 	view := r.f.inv.View()
 	now := time.Now()
@@ -238,8 +238,8 @@
 	return c.Path, checkLayers(c.Path.CheckOrder(r.engine.Layers))
 }
 
-// withoutNewLimits leaves out the backend servers that have named a limit, unless the
-// stream passes them already: a moved stream is a further call to them.
+// withoutNewLimits removes the backend servers with a limit that the stream does not pass
+// yet: moving it there would be another call to them.
 func (r *run) withoutNewLimits(cs []pipeline.Candidate, kept map[string]site.Range) []pipeline.Candidate {
 	if r.f.limits.Size() == 0 {
 		return cs
--- a/forward/refuse_test.go
+++ b/forward/refuse_test.go
@@ -14,28 +14,28 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// deaf is a caller that takes anything. It implements Sink.
-type deaf struct{}
+// discardSink discards the answer. It implements Sink.
+type discardSink struct{}
 
-func (deaf) Head(int, http.Header) error          { return nil }
-func (deaf) Whole(int, http.Header, []byte) error { return nil }
-func (deaf) Events([]byte) error                  { return nil }
+func (discardSink) Head(int, http.Header) error          { return nil }
+func (discardSink) Whole(int, http.Header, []byte) error { return nil }
+func (discardSink) Events([]byte) error                  { return nil }
 
-// refusedAfter sends one request and returns how long it took and the refusal.
-func refusedAfter(t *testing.T, f *Forwarder) (time.Duration, *apierror.Error) {
+// requestRefusal sends one request and returns the time to its refusal and the error.
+func requestRefusal(t *testing.T, f *Forwarder) (time.Duration, *apierror.Error) {
 	t.Helper()
 	now := time.Now()
 	err := f.Do(context.Background(), &Request{
 		ID: "r", Service: labService, Received: now, Deadline: now.Add(20 * time.Second), Prompt: labPrompt,
 		Route: &site.Route{Repeat: site.Stream, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 2 * time.Second},
-	}, deaf{})
+	}, discardSink{})
 	var refusal *apierror.Error
 	require.True(t, errors.As(err, &refusal), "%v", err)
 	return time.Since(now), refusal
 }
 
-// heads calls fn with each first hop of the lab.
-func (l *lab) heads(fn func(id string)) {
+// eachHead calls fn with the ID of each first hop of the lab.
+func (l *lab) eachHead(fn func(id string)) {
 	for id, s := range l.view.Servers {
 		if s.Held.Has(0) {
 			fn(id)
@@ -43,57 +43,57 @@
 	}
 }
 
-// Where no layers lie, nothing is known to change within the time of a request: it is
-// refused at once, however long its objective is.
+// If no server holds some layers, no change is expected within the time of a request, and
+// it is refused at once regardless of its objective.
 func TestRequestThatCannotBeServedIsRefusedAtOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
-		l.heads(func(id string) { l.view.Servers[id].Draining = true })
-		took, refusal := refusedAfter(t, l.forward[0])
+		l.eachHead(func(id string) { l.view.Servers[id].Draining = true })
+		took, refusal := requestRefusal(t, l.forward[0])
 		require.Zero(t, took)
 		require.Equal(t, apierror.NoRoute, refusal.Kind)
-		require.Equal(t, retryAfter, refusal.RetryAfter)
+		require.Equal(t, defaultRetryAfter, refusal.RetryAfter)
 	})
 }
 
-// Where all heads have refused, the request waits until the first is asked again.
-func TestRequestWaitsForAHeadThatIsAskedAgain(t *testing.T) {
+// If all heads have refused, the request waits until the first one is available again.
+func TestRequestWaitsForCooldownOfHead(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
-		l.heads(func(id string) { l.forward[0].health.Refuse(id, time.Now()) })
+		l.eachHead(func(id string) { l.forward[0].health.Refuse(id, time.Now()) })
 		l.run(2, time.Second)
 		require.Zero(t, l.refused)
 		require.NotZero(t, l.whole)
 	})
 }
 
-// A caller that is refused is told when the first head that refused is asked again.
-func TestRefusedCallerIsToldWhenToReturn(t *testing.T) {
+// A refused caller gets as retry time when the first head that refused is available
+// again.
+func TestRefusalHasRetryTime(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
 		f := l.forward[0]
 		now := time.Now()
-		l.heads(func(id string) { f.health.Refuse(id, now.Add(time.Second)) })
-		after := f.returnAfter(labService, now)
+		l.eachHead(func(id string) { f.health.Refuse(id, now.Add(time.Second)) })
+		after := f.retryAfter(labService, now)
 		require.GreaterOrEqual(t, after, time.Second+cooldowns.Refused)
-		require.Less(t, after, time.Second+cooldowns.Refused+returnSpread)
-		require.Equal(t, retryAfter, f.returnAfter("unknown", now))
+		require.Less(t, after, time.Second+cooldowns.Refused+retryAfterSpread)
+		require.Equal(t, defaultRetryAfter, f.retryAfter("unknown", now))
 	})
 }
 
-// One that looks dead says nothing of when there is a path again.
+// A dead head does not determine when there will be a path again.
 func TestDeadHeadIsNotWaitedFor(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
-		l.heads(func(id string) { l.forward[0].health.Fail(id, time.Now()) })
-		took, _ := refusedAfter(t, l.forward[0])
+		l.eachHead(func(id string) { l.forward[0].health.Fail(id, time.Now()) })
+		took, _ := requestRefusal(t, l.forward[0])
 		require.Zero(t, took)
 	})
 }
 
-// A daemon that sees few requests learns from one refusal that a hop is dead: those that
-// follow do not try it again until its record is gone.
-func TestHopThatIsRefusedForIsProbed(t *testing.T) {
+// A daemon with few requests detects a dead hop by one refusal: later requests avoid it.
+func TestRefusedHopIsProbed(t *testing.T) {
 	for name, silent := range map[string]bool{"killed": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
@@ -101,14 +101,14 @@
 				dead := 0
 				for id, s := range l.view.Servers {
 					if s.Held.Has(40) && !s.Held.Has(0) && s.FailureDomain != "c" {
-						l.cards[id].killed, l.cards[id].silent = !silent, silent
+						l.servers[id].killed, l.servers[id].silent = !silent, silent
 						dead++
 					}
 				}
 				require.NotZero(t, dead)
 				l.run(2, 4*time.Second)
 				require.NotZero(t, l.hopFaults)
-				require.LessOrEqual(t, l.hopFaults, dead, "each is found by one refusal")
+				require.LessOrEqual(t, l.hopFaults, dead, "each is detected by one refusal")
 				require.Zero(t, l.cut)
 			})
 		})
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -11,33 +11,32 @@
 	"github.com/snowspoke/snowspoke/internal/wait"
 )
 
-// Shares of the fleet's retry budget. Daemons do not ask each other: each keeps
-// to a part of what its own requests earn and an even part of the slack.
+// Shares of the fleet's retry budget. Daemons do not coordinate: each uses a fraction of
+// what its own requests earn and an even share of the slack.
 const (
-	// budgetUse is the part of the budget that all daemons together use; the rest
-	// is for daemons that come and go within a window.
-	budgetUse = 0.8
-	// freshUse is the part of a daemon's share that requests may use that have no
-	// event yet: a stream that has begun has more to lose.
-	freshUse = 0.6
+	// budgetShare is the fraction of the budget that all daemons together use; the rest
+	// allows for daemons that join and leave within a window.
+	budgetShare = 0.8
+	// freshShare is the fraction of a daemon's share available to requests without an
+	// event. The rest is reserved for streams that have begun.
+	freshShare = 0.6
 )
 
-// unknownDaemons is how many daemons are taken to share the slack while nobody
-// could tell: more than there are today.
-const unknownDaemons = 100
+// assumedDaemons is the number of daemons assumed to share the slack while the real
+// number is unknown. It exceeds any expected number.
+const assumedDaemons = 100
 
-// retryPart returns this daemon's part of the fleet's budget for a request; begun
-// says that it is a stream of which the caller has events. running is how long
-// this process has run, window that of the budget: a process that was started
-// again does not know what its predecessor spent within the window, so its slack
-// grows from none, slowly at first.
+// retryPart returns this daemon's part of the fleet's budget for a request. begun says
+// that it is a stream of which the caller has events. running is the uptime of this
+// process and window that of the budget. Retries of a previous process within the window
+// are unknown, so the slack grows from zero with the cube of the uptime.
 func retryPart(daemons int, begun bool, running, window time.Duration) admission.Part {
 	if daemons <= 0 {
-		daemons = unknownDaemons
+		daemons = assumedDaemons
 	}
-	use := budgetUse
+	use := budgetShare
 	if !begun {
-		use *= freshUse
+		use *= freshShare
 	}
 	grown := min(1, running.Seconds()/window.Seconds())
 	return admission.Part{Ratio: use, Slack: use * grown * grown * grown / float64(daemons)}
@@ -47,8 +46,8 @@
 	return retryPart(r.f.fleet.Daemons(), r.headSent.Load(), now.Sub(r.f.started), r.f.opts.RetryWindow)
 }
 
-// spendRetry takes a retry of the request out of the budget and returns when, the zero
-// time if none is left.
+// spendRetry takes a retry from the budget and returns the time of that, the zero time if
+// none is left.
 func (r *run) spendRetry() time.Time {
 	now := time.Now()
 	if !r.f.budget.Spend(now, r.retryPart(now)) {
@@ -57,9 +56,8 @@
 	return now
 }
 
-// reserveRetry takes a retry before a send is ended that may still be going on:
-// many streams stand still together, and one that ends without a retry left is
-// an answer cut off for nothing but silence.
+// reserveRetry takes a retry before a send is ended that may still be making progress.
+// Many streams may stall together, and one that is ended without a retry left is cut off.
 func (r *run) reserveRetry() bool {
 	if r.reserved.Load() != nil {
 		return true
@@ -72,34 +70,32 @@
 	return true
 }
 
-// takeRetry uses what was reserved, or takes a retry now. Until a send has reached a
-// backend server none is needed: the budget bounds what reaches them beyond the first
-// send of each request. Of 300 daemons, with a retry in some minutes each, most refused the
-// requests for which they chose a head that had just died.
+// takeRetry uses the reserved retry, or takes one now. None is needed until a send has
+// reached a backend server: the budget bounds what reaches them beyond the first send of
+// each request.
 func (r *run) takeRetry() bool {
-	r.paidAt = time.Time{}
+	r.retryTakenAt = time.Time{}
 	if reserved := r.reserved.Swap(nil); reserved != nil {
-		r.paidAt = *reserved
+		r.retryTakenAt = *reserved
 		return true
 	}
 	if !r.reached {
 		return true
 	}
-	r.paidAt = r.spendRetry()
-	return !r.paidAt.IsZero()
+	r.retryTakenAt = r.spendRetry()
+	return !r.retryTakenAt.IsZero()
 }
 
-// returnRetry gives the retry of a send back that reached no backend server.
+// returnRetry returns the retry of a send that reached no backend server.
 func (r *run) returnRetry() {
-	if !r.paidAt.IsZero() {
-		r.f.budget.Return(r.paidAt)
-		r.paidAt = time.Time{}
+	if !r.retryTakenAt.IsZero() {
+		r.f.budget.Return(r.retryTakenAt)
+		r.retryTakenAt = time.Time{}
 	}
 }
 
-// awaitRetry takes a retry. A stream that has begun waits for one as it waits for
-// a path: the budget earns more with each request, and its caller stays for a
-// while. Others are answered at once.
+// awaitRetry takes a retry. A stream that has begun polls for one, since the budget grows
+// with each request; other requests get false at once.
 func (r *run) awaitRetry(ctx context.Context) bool {
 	if r.takeRetry() {
 		return true
@@ -107,7 +103,7 @@
 	if !r.headSent.Load() {
 		return false
 	}
-	for until := time.Now().Add(recoverHold); time.Now().Before(until) && wait.For(ctx, holdStep); {
+	for until := time.Now().Add(maxRecoveryHold); time.Now().Before(until) && wait.For(ctx, pollInterval); {
 		if r.takeRetry() {
 			return true
 		}
@@ -115,26 +111,26 @@
 	return false
 }
 
-// pauseBegun pauses before the next send of a begun stream that did not run: backend
-// servers that are full have room again after a while, others than one that is dead have it
-// now. It returns false once the stream has stood still for longer than its caller stays.
+// pauseBegun waits before the next send of a begun stream whose last send did not run:
+// longer after a refusal, since full backend servers need time. It returns false once the
+// stream has been interrupted for maxRecoveryHold.
 func (r *run) pauseBegun(ctx context.Context) bool {
 	r.refusals++
-	pause := holdStep
+	pause := pollInterval
 	if r.life.State() == execution.Refused {
 		pause = r.nextPause()
 	}
-	return time.Since(r.lastAt) < recoverHold && wait.For(ctx, pause)
+	return time.Since(r.lastEventAt) < maxRecoveryHold && wait.For(ctx, pause)
 }
 
-// nextPause returns the pause after a refusal, which grows with each.
+// nextPause returns the pause after a refusal, which grows exponentially.
 func (r *run) nextPause() time.Duration {
-	if r.pause == nil {
-		r.pause = backoff.NewExponentialBackOff()
-		r.pause.InitialInterval = refusedPause
-		r.pause.MaxInterval = refusedPauseMost
-		r.pause.Multiplier = 2
-		r.pause.RandomizationFactor = refusedJitter
+	if r.refusalBackoff == nil {
+		r.refusalBackoff = backoff.NewExponentialBackOff()
+		r.refusalBackoff.InitialInterval = minRefusalDelay
+		r.refusalBackoff.MaxInterval = maxRefusalDelay
+		r.refusalBackoff.Multiplier = 2
+		r.refusalBackoff.RandomizationFactor = refusalJitter
 	}
-	return r.pause.NextBackOff()
+	return r.refusalBackoff.NextBackOff()
 }
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, 32, begun)
 }
 
-// Daemons that keep to their parts stay together within the fleet's budget.
+// Daemons that use only their parts stay within the fleet's budget.
 func TestDaemonsShareTheBudget(t *testing.T) {
 	const daemons = 8
 	now := time.Unix(1000, 0)
@@ -53,10 +53,9 @@
 	require.Greater(t, spent, 200)
 }
 
-// Daemons that are started again one after the other, and spend all they may,
-// stay within the budget in every window; so do those that know nothing of the
-// others.
-func TestDaemonsThatRestartShareTheBudget(t *testing.T) {
+// Daemons that are restarted one after the other and spend all they may stay within the
+// budget in every window, also if the number of daemons is unknown after the start.
+func TestRestartedDaemonsShareTheBudget(t *testing.T) {
 	const daemons, slack = 8, 200
 	for name, known := range map[string]int{"known": daemons, "not known after the start": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -94,14 +93,14 @@
 	}
 }
 
-func TestWhatIsKnownOfTheGoneIsForgotten(t *testing.T) {
+func TestPruneRemovesUnknownServers(t *testing.T) {
 	l := NewLoads()
 	for _, id := range []string{"gone", "here"} {
 		l.Enter(site.Path{{Server: &site.BackendServer{ID: id}}}, 1)()
 	}
 	l.Prune(map[string]*site.BackendServer{"here": {}})
 	require.Len(t, l.servers, 1)
-	r := newRecent[int](time.Hour)
+	r := newResultCache[int](time.Hour)
 	for _, id := range []string{"gone", "here"} {
 		_, err := r.get(id, func() (int, error) { return 1, nil })
 		require.NoError(t, err)
@@ -109,46 +108,45 @@
 	r.prune(map[string]*site.BackendServer{"here": {}})
 	v, err := r.get("here", func() (int, error) { return 2, nil })
 	require.NoError(t, err)
-	require.Equal(t, 1, v, "still the last answer")
+	require.Equal(t, 1, v, "still the cached result")
 	require.Len(t, r.byID, 1)
 }
 
-// A retry is what reaches a backend server beyond the first send of a request that does. A
-// send that could not be connected reaches nobody: with no retry left, requests were refused
-// for want of one as soon as the first backend server that was chosen for them had died.
-func TestSendThatReachesNobodyNeedsNoRetry(t *testing.T) {
+// A retry is a send that reaches a backend server beyond the first such send of a
+// request. Failed connections need none.
+func TestUnreachedSendNeedsNoRetry(t *testing.T) {
 	for _, repeat := range []site.Repeat{site.Safe, site.Unsafe} {
-		b := &scripted{script: []behaviour{unreachable, unreachable, serving}}
+		b := &scriptedBackends{script: []behaviour{unreachable, unreachable, serving}}
 		f := plainForwarder(4, b)
 		f.budget = admission.NewBudget(0, 0, testWindow)
-		require.NoError(t, f.Do(t.Context(), plainRequest(repeat), &taken{}))
+		require.NoError(t, f.Do(t.Context(), plainRequest(repeat), &recordingSink{}))
 		require.Equal(t, 1, b.arrivals)
 
 		b.script = []behaviour{refusing, serving}
-		require.Error(t, f.Do(t.Context(), plainRequest(repeat), &taken{}), "a refused send has arrived")
+		require.Error(t, f.Do(t.Context(), plainRequest(repeat), &recordingSink{}), "a refused send has arrived")
 	}
 }
 
-// A retry that reached nobody goes back into the budget: with one retry in a window, it is
-// there for the send after it.
-func TestRetryThatReachesNobodyIsGivenBack(t *testing.T) {
+// A retry of a send that reached no server returns to the budget and is available for the
+// next send.
+func TestRetryOfUnreachedSendIsReturned(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		b := &scripted{script: []behaviour{refusing, unreachable, unreachable, serving}}
+		b := &scriptedBackends{script: []behaviour{refusing, unreachable, unreachable, serving}}
 		f := plainForwarder(6, b)
-		f.budget = admission.NewBudget(0, 1/(budgetUse*freshUse)+0.01, testWindow)
+		f.budget = admission.NewBudget(0, 1/(budgetShare*freshShare)+0.01, testWindow)
 		f.started = time.Now().Add(-time.Minute)
-		require.NoError(t, f.Do(t.Context(), plainRequest(site.Safe), &taken{}))
+		require.NoError(t, f.Do(t.Context(), plainRequest(site.Safe), &recordingSink{}))
 		require.Equal(t, 2, b.arrivals)
 	})
 }
 
-// Whatever backend servers do, what reaches them beyond the first send of each request
-// stays within the budget.
+// For any behaviour of backend servers, arrivals beyond the first of each request stay
+// within the budget.
 func TestArrivalsStayWithinTheBudget(t *testing.T) {
 	for seed := range uint64(300) {
 		virtual.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			b := &scripted{}
+			b := &scriptedBackends{}
 			f := plainForwarder(1+rng.IntN(6), b)
 			slack := rng.IntN(5)
 			f.budget = admission.NewBudget(0, float64(slack), testWindow)
@@ -157,9 +155,9 @@
 			for range 1 + rng.IntN(8) {
 				b.arrivals, b.script = 0, nil
 				for range rng.IntN(7) {
-					b.script = append(b.script, behaviour(rng.IntN(int(behaviours))))
+					b.script = append(b.script, behaviour(rng.IntN(int(behaviourCount))))
 				}
-				_ = f.Do(t.Context(), plainRequest(site.Safe), &taken{})
+				_ = f.Do(t.Context(), plainRequest(site.Safe), &recordingSink{})
 				beyond += max(0, b.arrivals-1)
 			}
 			require.LessOrEqual(t, beyond, slack, "arrivals beyond the first ones, seed %d", seed)
@@ -167,19 +165,20 @@
 	}
 }
 
-// A send that did not reach its head is not one of those that a request may be made at:
-// behind two that could not be connected, a request that may be sent to two goes to a third.
-func TestHeadThatWasNotReachedIsNoAttempt(t *testing.T) {
-	b := &scripted{script: []behaviour{unreachable, unreachable, unreachable, serving}}
+// A send that did not reach its head does not count against the maximum number of
+// attempts.
+func TestUnreachedHeadIsNoAttempt(t *testing.T) {
+	b := &scriptedBackends{script: []behaviour{unreachable, unreachable, unreachable, serving}}
 	f := plainForwarder(6, b)
 	req := plainRequest(site.Safe)
 	req.Route.MaxAttempts = 2
-	require.NoError(t, f.Do(t.Context(), req, &taken{}))
+	require.NoError(t, f.Do(t.Context(), req, &recordingSink{}))
 }
 
-// 300 daemons that have just started have a retry in half an hour each. One card that dies
-// costs the requests that were on it, and no other: those that meet it dead go elsewhere.
-func TestDeadHeadIsLeftWithoutRetries(t *testing.T) {
+// Requests that meet a dead server go elsewhere without a retry: only those that were
+// running on it may be refused when daemons have just started and have hardly any
+// retries.
+func TestDeadHeadCostsNoRetries(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newFleetLab(1, 300)
 		time.AfterFunc(4*time.Second, func() { l.kill(0, false) })
@@ -189,20 +188,21 @@
 	})
 }
 
-// A begun stream whose next head is dead too is not kept waiting as behind one that is full.
-func TestBegunStreamPassesADeadHeadAtOnce(t *testing.T) {
+// A begun stream whose next head is dead continues at once, without the backoff that
+// follows a refusal.
+func TestBegunStreamSkipsDeadHeadAtOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := &run{f: plainForwarder(2, &scripted{}), req: &Request{Route: &site.Route{Repeat: site.Stream}}, lastAt: time.Now(), life: execution.New(true)}
+		r := &run{f: plainForwarder(2, &scriptedBackends{}), req: &Request{Route: &site.Route{Repeat: site.Stream}}, lastEventAt: time.Now(), life: execution.New(true)}
 		r.headSent.Store(true)
 		require.NoError(t, r.life.Move(execution.Sent))
 		require.NoError(t, r.life.Move(execution.NotSent))
 		began := time.Now()
 		require.True(t, r.Retry(t.Context(), execution.NotRunHere))
-		require.LessOrEqual(t, time.Since(began), holdStep)
+		require.LessOrEqual(t, time.Since(began), pollInterval)
 	})
 }
 
-// plainRequest is a request to a plain service.
+// plainRequest returns a request to a plain service.
 func plainRequest(repeat site.Repeat) *Request {
 	now := time.Now()
 	return &Request{
@@ -211,49 +211,49 @@
 	}
 }
 
-// A head whose record is gone may serve on, so it counts among those that a request may
-// be sent to; one that has shown signs of its death does not, also later.
+// A head without a record may still serve, so it counts as an attempt. One that has
+// terminated never counts again.
 func TestHeadWhoseRecordIsGoneCountsAsAnAttempt(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		f := plainForwarder(0, &scripted{})
+		f := plainForwarder(0, &scriptedBackends{})
 		r := &run{f: f, req: &Request{Route: &site.Route{MaxAttempts: 2}}}
 		r.tried.add("a")
-		require.False(t, r.attemptsUsed())
+		require.False(t, r.attemptsExhausted())
 		r.tried.add("b")
-		require.True(t, r.attemptsUsed())
+		require.True(t, r.attemptsExhausted())
 		f.health.Fail("a", time.Now())
-		require.False(t, r.attemptsUsed())
+		require.False(t, r.attemptsExhausted())
 		time.Sleep(2 * cooldowns.FailedMost)
-		require.False(t, r.attemptsUsed(), "it has ended")
+		require.False(t, r.attemptsExhausted(), "it has terminated")
 		r.tried.add("c")
-		require.True(t, r.attemptsUsed())
+		require.True(t, r.attemptsExhausted())
 		require.True(t, r.tried.has("a"))
 		require.Equal(t, 3, r.tried.count())
 	})
 }
 
-// A head that only looks dead counts as an attempt, also where connections to it are
-// refused: streams of two daemons that a cut kept from a head, by resets, went to a third
-// while it served the other daemons. One whose record is gone besides has ended.
+// A head that only looks dead counts as an attempt, even if it refuses connections, since
+// a partitioned network may do so on behalf of a head that serves others. It has
+// terminated if its record is gone as well.
 func TestHeadThatOnlyLooksDeadCountsAsAnAttempt(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		f := plainForwarder(3, &scripted{})
+		f := plainForwarder(3, &scriptedBackends{})
 		r := &run{f: f, req: &Request{Route: &site.Route{MaxAttempts: 2}}}
 		head := func(id string) *site.BackendServer { return f.inv.View().Servers[id] }
 		r.tried.add("b0")
 		r.tried.add("b1")
-		f.fail(head("b0"), "probe", context.DeadlineExceeded, time.Now())
+		f.markFailed(head("b0"), "probe", context.DeadlineExceeded, time.Now())
 		require.True(t, f.Failed("b0"))
-		require.True(t, r.attemptsUsed(), "silence is no proof")
-		f.fail(head("b1"), "probe", syscall.ECONNREFUSED, time.Now())
-		require.True(t, r.attemptsUsed(), "nor is a connection that is refused")
+		require.True(t, r.attemptsExhausted(), "a timeout is no proof")
+		f.markFailed(head("b1"), "probe", syscall.ECONNREFUSED, time.Now())
+		require.True(t, r.attemptsExhausted(), "nor is a refused connection")
 
 		time.Sleep(2 * cooldowns.FailedMost)
 		servers := maps.Clone(f.inv.View().Servers)
 		delete(servers, "b1")
 		f.inv = fixed{inventory.NewView(f.inv.View().Config, servers)}
-		require.False(t, r.attemptsUsed(), "its record is gone as well")
+		require.False(t, r.attemptsExhausted(), "its record is gone as well")
 		r.tried.add("b2")
-		require.True(t, r.attemptsUsed())
+		require.True(t, r.attemptsExhausted())
 	})
 }
