--- a/forward/run.go
+++ b/forward/run.go
@@ -19,54 +19,53 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// run is one request on its way.
+// run is the state of one request from admission to its result.
 type run struct {
-	f         *Forwarder
-	req       *Request
-	print     quarantine.Fingerprint
-	sink      Sink
-	until     time.Time // when the request must have its answer, on the clock of package boottime
-	engine    *site.Engine
-	maxConns  int   // connections that a backend server of the service takes, 0 for any number
-	tried     heads // first hops that it was sent to
-	sends     int
-	refusals  int       // sends of the begun stream that did not run
-	reached   bool      // some send may have reached a backend server
-	paidAt    time.Time // when a retry was taken for the last send, the zero time if none was
-	life      execution.Life
-	headSent  atomic.Bool               // the caller has the head of the answer
-	reserved  atomic.Pointer[time.Time] // when a retry was taken for the next send, nil if none was
-	lastEvent string                    // ID of the last event that the caller has
-	lastAt    time.Time
-	firstIn   time.Duration               // from the request to its first event
-	longest   time.Duration               // longest pause between two events
-	failedAt  time.Time                   // set while a stream is interrupted
-	cause     string                      // of the interruption
-	progress  progress                    // of the send under way
-	pause     *backoff.ExponentialBackOff // between sends of an interrupted stream that are refused
+	f               *Forwarder
+	req             *Request
+	fingerprint     quarantine.Fingerprint
+	sink            Sink
+	deadline        time.Time // on the clock of package boottime
+	engine          *site.Engine
+	maxConns        int        // connections that a backend server of the service accepts, 0 for unlimited
+	tried           triedHeads // first hops of all sends
+	sends           int
+	refusals        int       // sends that did not run, after the stream had begun
+	reached         bool      // a send may have reached a backend server
+	retryTakenAt    time.Time // when the last send took a retry, zero if it took none
+	life            execution.Life
+	headSent        atomic.Bool               // the head of the answer was written to the caller
+	reserved        atomic.Pointer[time.Time] // when a retry was taken for the next send, nil if none
+	lastEvent       string                    // ID of the last event written to the caller
+	lastEventAt     time.Time
+	firstEventAfter time.Duration               // from the request to its first event
+	longestPause    time.Duration               // longest pause between two events
+	interruptedAt   time.Time                   // zero unless the stream is interrupted
+	cause           string                      // cause of the interruption
+	progress        progress                    // of the current send
+	refusalBackoff  *backoff.ExponentialBackOff // between refused sends of an interrupted stream
 }
 
-// Waits and pauses of a request.
+// Delays and bounds of a request.
 const (
-	// holdStep is the pause between two looks for a path.
-	holdStep = 20 * time.Millisecond
-	// maxSends bounds the sends of one request, also those to a first hop that it was
-	// sent to before, so that one that fails at once cannot use up the budget.
+	// pollInterval is the pause between two attempts to find a path or to take a retry.
+	pollInterval = 20 * time.Millisecond
+	// maxSends bounds the sends of one request, including repeated sends to the same
+	// first hop, so that a head that fails at once does not use up the retry budget.
 	maxSends = 6
-	// refusedPause and refusedPauseMost bound the pause of a begun stream after a
-	// refusal, which doubles: six refusals within 0.3 s once cut streams off whose
-	// callers would have stayed for two seconds.
-	refusedPause     = 200 * time.Millisecond
-	refusedPauseMost = 1200 * time.Millisecond
-	// refusedJitter is the share by which such a pause varies.
-	refusedJitter = 0.2
-	// leastLeft is the least time worth handing to a backend server.
-	leastLeft = 20 * time.Millisecond
+	// minRefusalDelay and maxRefusalDelay bound the exponential backoff of a begun stream
+	// after a refusal.
+	minRefusalDelay = 200 * time.Millisecond
+	maxRefusalDelay = 1200 * time.Millisecond
+	// refusalJitter is the random fraction of that backoff.
+	refusalJitter = 0.2
+	// minTimeLeft is the remaining time below which a request is not sent.
+	minTimeLeft = 20 * time.Millisecond
 )
 
-// target is where one send goes.
+// target is the destination of one send.
 type target struct {
-	path   site.Path // of one hop with no layers for a plain service
+	path   site.Path // a single hop without layers for a plain service
 	choice pipeline.Choice
 	tokens float64
 	// permitted says that a permit was taken for the call to the first hop.
@@ -75,16 +74,15 @@
 
 func (t *target) head() *site.BackendServer { return t.path[0].Server }
 
-// serve sends the request until it is answered. One that surely did not run gets
-// an answer that promises so and says when to come back, whether it was refused or
-// could not be sent.
+// serve sends the request until it is answered. A request that is known not to have run
+// gets BackendRefused with a retry time, whether it was refused or could not be sent.
 func (r *run) serve(ctx context.Context) error {
 	if s := r.f.inv.View().Config.Services[r.req.Service]; s != nil {
 		r.engine, r.maxConns = s.Engine, s.MaxConns
 	}
 	err := r.life.Run(ctx, r)
 	if apierror.Is(err, apierror.BackendUnreachable) || apierror.Is(err, apierror.BackendRefused) {
-		return apierror.Wrap(apierror.BackendRefused, errors.Unwrap(err)).WithRetryAfter(r.f.returnAfter(r.req.Service, time.Now()))
+		return apierror.Wrap(apierror.BackendRefused, errors.Unwrap(err)).WithRetryAfter(r.f.retryAfter(r.req.Service, time.Now()))
 	}
 	return err
 }
@@ -108,7 +106,7 @@
 	if v == execution.NotRunHere && r.headSent.Load() {
 		return r.pauseBegun(ctx) && r.awaitRetry(ctx)
 	}
-	if v == execution.MayHaveRun && r.heldBack() {
+	if v == execution.MayHaveRun && r.isQuarantined() {
 		return false
 	}
 	return r.sends-r.refusals < maxSends && r.awaitRetry(ctx)
@@ -117,15 +115,16 @@
 // Progress implements execution.Sender.
 func (r *run) Progress() string { return fmt.Sprintf("after %d sends", r.sends) }
 
-// ended is the answer when the caller went away or the time is up, or nearly so.
-func (r *run) ended(ctx context.Context) error { return r.life.Ended(ctx, r.Progress()) }
+// endError returns the error for a caller that is gone or a deadline that has passed or
+// is about to.
+func (r *run) endError(ctx context.Context) error { return r.life.Ended(ctx, r.Progress()) }
 
-// send makes one send and carries the answer. The request counts as sent before
-// the first byte can go out, and until something certain is known.
+// send makes one send and forwards the answer. The request counts as sent before the
+// first byte can leave, and until its outcome is known.
 func (r *run) send(ctx context.Context, t *target) (execution.Verdict, error) {
-	left := boottime.Until(r.until)
-	if left < leastLeft {
-		return execution.Answered, r.ended(ctx)
+	left := boottime.Until(r.deadline)
+	if left < minTimeLeft {
+		return execution.Answered, r.endError(ctx)
 	}
 	r.sends++
 	again := r.tried.has(t.head().ID)
@@ -137,7 +136,7 @@
 	r.progress = progress{}
 	v, err := r.carry(ctx, t, left)
 	if v == execution.MayHaveRun || err == nil {
-		r.judge(ctx, t.head(), err)
+		r.recordOutcome(ctx, t.head(), err)
 	}
 	if lerr := r.life.Move(stateAfter(v, err)); lerr != nil {
 		return execution.Answered, lerr
@@ -153,7 +152,7 @@
 	return v, err
 }
 
-// stateAfter returns what a send leaves known about the execution.
+// stateAfter returns the execution state after a send.
 func stateAfter(v execution.Verdict, err error) execution.State {
 	switch {
 	case v == execution.Answered && err == nil:
@@ -164,9 +163,9 @@
 	return execution.Unknown
 }
 
-// carry hands a request to its first hop and its answer to the caller.
+// carry sends a request to its first hop and its answer to the caller.
 func (r *run) carry(ctx context.Context, t *target, left time.Duration) (execution.Verdict, error) {
-	if r.streams() {
+	if r.isStream() {
 		return r.sendStream(ctx, t, left)
 	}
 	leave := r.f.loads.Enter(t.path, t.tokens)
@@ -176,7 +175,7 @@
 		return v, rerr
 	}
 	defer a.Body.Close()
-	return r.whole(ctx, t, a)
+	return r.relayComplete(ctx, t, a)
 }
 
 func (r *run) logRoute(t *target, left time.Duration) {
@@ -190,7 +189,7 @@
 	o := &Outgoing{
 		Request: r.req, Server: t.head(), Left: left, LastEvent: r.lastEvent,
 		Priority: r.priority(), Fresh: !r.req.Route.Repeatable(), Permitted: t.permitted,
-		IdleMost: idlePart(r.maxConns, t.head().Slots, r.f.fleet.Daemons()),
+		IdleMost: idleShare(r.maxConns, t.head().Slots, r.f.fleet.Daemons()),
 	}
 	if r.engine != nil {
 		o.Path = t.path
@@ -198,8 +197,8 @@
 	return o
 }
 
-// priority returns that of the request, 0 for the most urgent: its workspace's goes before
-// its route's.
+// priority returns the priority of the request, 0 for the most urgent. That of the
+// workspace precedes that of the route.
 func (r *run) priority() int {
 	if w := r.req.Workspace; w != nil && w.Ranked {
 		return w.Priority
@@ -207,15 +206,14 @@
 	return r.req.Route.Priority
 }
 
-// refused looks at the outcome of a send. execution.Answered means that the answer
-// may be carried. A hop for which the head refuses may be full or dead, and is probed:
-// where a daemon sees two requests a second, each of them met the dead card again until
-// its record was gone, and the fleet's retries were spent on it.
+// refused evaluates the outcome of a send; execution.Answered means that the answer may
+// be forwarded. If the head refuses because of another hop, that hop may be full or dead
+// and is probed, so that later requests do not retry a dead one until its record is gone.
 func (r *run) refused(t *target, a *Answer, err error) (execution.Verdict, error) {
 	now := time.Now()
 	head := t.head()
 	if errors.Is(err, execution.ErrNotSent) {
-		r.f.fail(head, "cannot be connected to", err, now)
+		r.f.markFailed(head, "cannot be connected to", err, now)
 		return execution.NotRunHere, err
 	}
 	if err != nil {
@@ -234,44 +232,44 @@
 	}
 	r.f.health.Refuse(at.ID, now)
 	if at.ID != head.ID {
-		go func() { _ = r.f.probe(context.Background(), at) }() // a dead one is noted
+		go func() { _ = r.f.probe(context.Background(), at) }() // marks the hop as failed if it is dead
 	}
 	r.f.log.Add("refused", "request", r.req.ID, "attempt", r.sends, "by", head.ID, "status", a.Status, "at_fault", at.ID)
 	return execution.NotRunHere, &HopError{Address: at.Address, Err: execution.ErrRefused}
 }
 
-// maxWholeBytes bounds an answer that is collected before it is handed on.
-const maxWholeBytes = 32 << 20
+// maxAnswerBytes bounds an answer that is buffered before it is written to the caller.
+const maxAnswerBytes = 32 << 20
 
-// whole collects an answer and hands it on. A failure of a backend server is
-// handed on as it is once nothing better can be had.
-func (r *run) whole(ctx context.Context, t *target, a *Answer) (execution.Verdict, error) {
-	body, err := io.ReadAll(io.LimitReader(a.Body, maxWholeBytes+1))
-	if err == nil && len(body) > maxWholeBytes {
+// relayComplete buffers an answer and writes it to the caller. A server error is written
+// as it is if the request cannot be repeated.
+func (r *run) relayComplete(ctx context.Context, t *target, a *Answer) (execution.Verdict, error) {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
 		err = errTooLong
 	}
 	if err != nil {
 		if ctx.Err() != nil {
-			return execution.Answered, r.ended(ctx)
+			return execution.Answered, r.endError(ctx)
 		}
 		return execution.MayHaveRun, errors.Join(execution.ErrLost, err)
 	}
 	if a.Status < http.StatusInternalServerError {
-		r.f.served(t.path)
+		r.f.markServed(t.path)
 	}
 	if !a.Sealed {
 		return execution.MayHaveRun, errUnsealed
 	}
 	if r.headSent.Load() {
-		// The caller is in the middle of a stream: no other answer may end it.
+		// The caller already receives a stream, which no other answer may end.
 		return execution.MayHaveRun, errFailed
 	}
-	failed := a.Status >= http.StatusInternalServerError || promisesNotRun(a.Status)
+	failed := a.Status >= http.StatusInternalServerError || impliesNotRun(a.Status)
 	if failed && r.mayRepeat() {
 		return execution.MayHaveRun, errFailed
 	}
-	if promisesNotRun(a.Status) {
-		// The status would promise the caller that the request did not run.
+	if impliesNotRun(a.Status) {
+		// The status would tell the caller that the request did not run.
 		return execution.Answered, apierror.New(apierror.OutcomeUnknown, "backend server answered %d without saying that it did not run", a.Status)
 	}
 	if err := r.sink.Whole(a.Status, a.Header, body); err != nil {
@@ -286,15 +284,15 @@
 	errTooLong  = errors.New("forward: answer is too long to be collected")
 )
 
-// mayRepeat reports whether a failed request may be sent to another backend
-// server, and takes nothing out of the budget.
+// mayRepeat reports whether a failed request may be sent to another backend server. It
+// takes no retry from the budget.
 func (r *run) mayRepeat() bool {
 	view := r.f.inv.View()
-	return r.req.Route.Repeatable() && !r.attemptsUsed() && len(view.OfService(r.req.Service)) > r.tried.count()
+	return r.req.Route.Repeatable() && !r.attemptsExhausted() && len(view.OfService(r.req.Service)) > r.tried.count()
 }
 
-// promisesNotRun reports whether a status says that the request did not run.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether a status tells the caller that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -302,9 +300,9 @@
 	return false
 }
 
-// fail notes that a backend server looks dead, by what err says, and moves the streams
-// that pass it.
-func (f *Forwarder) fail(s *site.BackendServer, sign string, err error, now time.Time) {
+// markFailed records that a backend server looks dead because of err, and rechecks the
+// streams that pass it. sign names the kind of evidence.
+func (f *Forwarder) markFailed(s *site.BackendServer, sign string, err error, now time.Time) {
 	if hasEnded(err) {
 		f.health.End(s.ID)
 	}
@@ -312,11 +310,11 @@
 		return
 	}
 	f.log.Add("health", "server", s.ID, "address", s.Address, "state", "failed", "sign", sign, "ended", hasEnded(err), "err", err)
-	f.live.wake(s.ID)
+	f.live.checkNow(s.ID)
 }
 
-// served notes that the hops of a path did their work.
-func (f *Forwarder) served(p site.Path) {
+// markServed records that all hops of a path served a request.
+func (f *Forwarder) markServed(p site.Path) {
 	for _, h := range p {
 		f.health.Serve(h.Server.ID)
 	}
--- a/forward/silence.go
+++ b/forward/silence.go
@@ -11,30 +11,27 @@
 
 // Bounds of the silence after which the hops of a stream are probed.
 const (
-	// probeFirst and probeNext are used while nothing has been learnt of a head: to
-	// the first event, and between two events.
-	probeFirst = 250 * time.Millisecond
-	probeNext  = 200 * time.Millisecond
-	// probeLeast is the shortest silence that is worth a probe: each probe of a path
-	// makes as many connections as it has hops.
-	probeLeast = 60 * time.Millisecond
-	// probeMost bounds what is learnt, so that a head that has become slow does not
-	// hide a card that dies.
-	probeMost = 900 * time.Millisecond
+	// defaultFirstProbe and defaultNextProbe apply before the first event and between
+	// events, while the head has no history.
+	defaultFirstProbe = 250 * time.Millisecond
+	defaultNextProbe  = 200 * time.Millisecond
+	// minProbeSilence is the shortest silence that triggers a probe: each probe of a path
+	// opens as many connections as it has hops.
+	minProbeSilence = 60 * time.Millisecond
+	// maxProbeSilence bounds the learned value, so that a slow head does not hide a dead
+	// hop.
+	maxProbeSilence = 900 * time.Millisecond
 )
 
-// silences learns how long the streams of each head are usually silent: until
-// their first event, and between two events. A fixed time is too short where an
-// event holds many tokens and too long where it holds few: at 110 ms, events of
-// 100 ms had each stream probe its hops again and again, 71,000 connections for
-// 12,000 requests over 59 daemons, 9,500 with what is learnt. It is safe for
-// concurrent use.
+// silences learns for each head how long its streams are typically silent before the
+// first event and between events. A fixed threshold would be too short for events of many
+// tokens and too long for events of few. It is safe for concurrent use.
 type silences struct {
 	mu    sync.Mutex
 	heads map[string]*silence
 }
 
-// silence is what was learnt of one head.
+// silence holds the pauses learned for one head.
 type silence struct{ first, next health.Gap }
 
 func newSilences() *silences { return &silences{heads: map[string]*silence{}} }
@@ -48,8 +45,8 @@
 	return h
 }
 
-// observe notes a pause of a stream that ended with an event; first says that it
-// was the first one.
+// observe records a pause that ended with an event; first says that it was the first
+// event of the stream.
 func (s *silences) observe(head string, first bool, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,12 +64,12 @@
 	defer s.mu.Unlock()
 	h := s.of(head)
 	if first {
-		return h.first.Unusual(probeLeast, probeMost, probeFirst)
+		return h.first.Unusual(minProbeSilence, maxProbeSilence, defaultFirstProbe)
 	}
-	return h.next.Unusual(probeLeast, probeMost, probeNext)
+	return h.next.Unusual(minProbeSilence, maxProbeSilence, defaultNextProbe)
 }
 
-// prune forgets backend servers that are gone.
+// prune removes backend servers that are gone.
 func (s *silences) prune(known map[string]*site.BackendServer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/forward/split.go
+++ b/forward/split.go
@@ -10,8 +10,8 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// splits keeps for each service how its requests are spread over paths. It is safe
-// for concurrent use.
+// splits holds the split of each service's requests over paths. It is safe for concurrent
+// use.
 type splits struct {
 	mu        sync.Mutex
 	byService map[string]*split
@@ -20,27 +20,27 @@
 type split struct {
 	spread   pipeline.Spread
 	view     *inventory.View
-	usable   int  // backend servers of which it was made
-	slow     int  // the version of those known to be slow
-	needed   bool // requests follow it
+	usable   int  // number of usable backend servers
+	slow     int  // version of the known slowdowns
+	needed   bool // requests follow the split
 	requests float64
 	at       time.Time
 }
 
-// Times of a split.
+// Intervals of a split.
 const (
-	// splitEvery is the time after which a split is made anew if the load has changed
-	// by splitChange: it costs 1.2 ms of processor time at 165 backend servers.
-	splitEvery  = 2 * time.Second
-	splitChange = 0.15
-	// splitSoonest is the least time between two splits, whatever changes.
-	splitSoonest = 250 * time.Millisecond
+	// splitInterval is the time after which a split is recomputed if the load has changed
+	// by more than the fraction splitLoadThreshold.
+	splitInterval      = 2 * time.Second
+	splitLoadThreshold = 0.15
+	// minSplitInterval is the minimum time between two computations for any reason.
+	minSplitInterval = 250 * time.Millisecond
 )
 
 func newSplits() *splits { return &splits{byService: map[string]*split{}} }
 
-// next returns the path whose turn it is, if any of the split has room.
-func (f *Forwarder) next(q *pipeline.Query, service string, view *inventory.View, cs []pipeline.Candidate, now time.Time) (pipeline.Choice, bool) {
+// nextBySplit returns the next path of the split that has capacity, if any.
+func (f *Forwarder) nextBySplit(q *pipeline.Query, service string, view *inventory.View, cs []pipeline.Candidate, now time.Time) (pipeline.Choice, bool) {
 	f.splits.mu.Lock()
 	defer f.splits.mu.Unlock()
 	s := f.splits.byService[service]
@@ -48,11 +48,11 @@
 		s = &split{}
 		f.splits.byService[service] = s
 	}
-	f.renew(s, q.Engine, service, view, now)
+	f.renewSplit(s, q.Engine, service, view, now)
 	if !s.needed {
 		return pipeline.Choice{}, false
 	}
-	return s.spread.Next(q, cs, f.loads.newsAge(now))
+	return s.spread.Next(q, cs, f.loads.othersLoadAge(now))
 }
 
 // needed reports whether the requests of a service follow a split.
@@ -63,17 +63,17 @@
 	return of != nil && of.needed
 }
 
-// renew makes a split anew where it is due.
-func (f *Forwarder) renew(s *split, e *site.Engine, service string, view *inventory.View, now time.Time) {
+// renewSplit recomputes a split if that is due.
+func (f *Forwarder) renewSplit(s *split, e *site.Engine, service string, view *inventory.View, now time.Time) {
 	since := now.Sub(s.at)
-	if since < splitSoonest {
+	if since < minSplitInterval {
 		return
 	}
-	all := f.alive(view, service, e, now)
-	requests := f.inFlight(all, now)
-	slow := f.loads.conditions.changes()
+	all := f.usableServers(view, service, e, now)
+	requests := f.requestsInFlight(all, now)
+	slow := f.loads.conditions.slowVersion()
 	same := s.view == view && s.usable == len(all) && s.slow == slow
-	if same && (since < splitEvery || math.Abs(requests-s.requests) <= splitChange*s.requests) {
+	if same && (since < splitInterval || math.Abs(requests-s.requests) <= splitLoadThreshold*s.requests) {
 		return
 	}
 	s.view, s.usable, s.slow, s.requests, s.at = view, len(all), slow, requests, now
@@ -86,10 +86,10 @@
 	f.logSplit(service, s, shares)
 }
 
-// inFlight returns how many requests of all daemons the backend servers run, 0 while
-// the others have told nothing.
-func (f *Forwarder) inFlight(of []pipeline.Candidate, now time.Time) float64 {
-	if f.loads.newsAge(now) == 0 {
+// requestsInFlight returns the number of requests of all daemons that the backend servers
+// run, 0 while the other daemons' loads are unknown.
+func (f *Forwarder) requestsInFlight(of []pipeline.Candidate, now time.Time) float64 {
+	if f.loads.othersLoadAge(now) == 0 {
 		return 0
 	}
 	daemons := float64(max(1, f.fleet.Daemons()))
@@ -100,20 +100,20 @@
 	return sum
 }
 
-// alive returns the backend servers of a service that may be on a path, also those
-// that refused work a moment ago.
-func (f *Forwarder) alive(view *inventory.View, service string, e *site.Engine, now time.Time) []pipeline.Candidate {
+// usableServers returns the backend servers of a service that may be part of a path,
+// including those that refused work recently.
+func (f *Forwarder) usableServers(view *inventory.View, service string, e *site.Engine, now time.Time) []pipeline.Candidate {
 	var out []pipeline.Candidate
 	for _, s := range view.OfService(service) {
-		if f.takesWork(s, e, now) {
+		if f.isUsable(s, e, now) {
 			out = append(out, pipeline.Candidate{Server: s, Load: pipeline.Load{Slowdown: f.loads.conditions.of(s.ID).Slowdown}})
 		}
 	}
 	return out
 }
 
-// logSplit writes one line: the paths themselves stand in the lines of the requests
-// that take them.
+// logSplit logs a summary of a split. The paths are logged with the requests that take
+// them.
 func (f *Forwarder) logSplit(service string, s *split, shares []pipeline.Share) {
 	heads := map[string]bool{}
 	widest := pipeline.Share{}
