--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -12,25 +12,26 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// errStalled ends an attempt that has produced no token within the bound.
+// errStalled ends an attempt whose next token did not arrive within the bound.
 var errStalled = errors.New("dispatch: no token within the bound")
 
-// errMove ends an attempt whose stream goes on over another route.
-var errMove = errors.New("dispatch: stream moves")
+// errMoving ends an attempt whose stream continues on another route.
+var errMoving = errors.New("dispatch: stream moves")
 
-// errLeaving says that a chosen backend server began to leave before the send.
+// errLeaving reports that a backend server of the route began to leave before
+// the request was sent.
 var errLeaving = fmt.Errorf("%w: backend server is leaving", execution.ErrNotSent)
 
-// errGap says that the engine called an answer done of which tokens are missing.
-var errGap = errors.New("dispatch: tokens missing at the end")
+// errIncomplete reports that the engine ended an answer of which tokens are missing.
+var errIncomplete = errors.New("dispatch: tokens missing at the end")
 
-// once runs one attempt along the present route.
-func (r *run) once(ctx context.Context) result {
-	if err := r.beforeSend(); err != nil {
+// runAttempt runs one attempt along the current route.
+func (r *run) runAttempt(ctx context.Context) result {
+	if err := r.checkRoute(); err != nil {
 		return result{err: err, failed: r.leavingHop(), final: !errors.Is(err, errLeaving)}
 	}
-	if full := r.d.limits.enter(ctx, r.route.BackendServers(), classOf(r.req.Workspace.Name, r.req.Priority)); full != nil {
-		return result{err: full, failed: full.server}
+	if limitErr := r.d.limits.acquire(ctx, r.route.BackendServers(), classOf(r.req.Workspace.Name, r.req.Priority)); limitErr != nil {
+		return result{err: limitErr, failed: limitErr.server}
 	}
 	if err := r.beginAttempt(); err != nil {
 		return result{err: err, final: true}
@@ -50,16 +51,16 @@
 	s, err := r.d.engine.Generate(actx, r.head(), r.generate())
 	watch.disarm()
 	if err != nil {
-		return r.sendFailed(ctx, actx, err)
+		return r.handleSendError(ctx, actx, err)
 	}
 	defer s.Close()
 	r.d.warm.Sent(r.req.CacheKey, r.route[0].BackendServer)
-	return r.read(ctx, actx, s, watch)
+	return r.readEvents(ctx, actx, s, watch)
 }
 
-// beforeSend is the last look before a request is sent: the route must tile the
-// model, and none of its backend servers may be leaving.
-func (r *run) beforeSend() error {
+// checkRoute checks that the route tiles the model's layers and that none of its
+// backend servers is leaving.
+func (r *run) checkRoute() error {
 	if err := r.route.CheckTiling(r.model.Layers); err != nil {
 		return err
 	}
@@ -69,16 +70,16 @@
 	return nil
 }
 
-// leaveGrace is how long after a backend server is known to leave new work may
-// still be on its way to it.
-const leaveGrace = 3 * time.Second
+// leavingGrace is how long new work may still be sent to a backend server after it
+// became known that the server is leaving.
+const leavingGrace = 3 * time.Second
 
-// checkNoLeaving asserts, right before the send, that no hop has long been known
-// to leave.
+// checkNoLeaving asserts, right before the send, that no hop has been leaving for
+// longer than leavingGrace.
 func (r *run) checkNoLeaving() error {
 	for _, h := range r.route {
 		d := r.d.table.LeavingFor(h.BackendServer)
-		if err := invariant.Check(d <= leaveGrace, invariant.NoWorkAfterLeave,
+		if err := invariant.Check(d <= leavingGrace, invariant.NoWorkAfterLeave,
 			"request %s goes to %s, which leaves since %s", r.req.ID, h.BackendServer, d); err != nil {
 			return err
 		}
@@ -110,8 +111,8 @@
 	}
 }
 
-// sendFailed turns the error of opening a stream into a result and a state.
-func (r *run) sendFailed(ctx, actx context.Context, err error) result {
+// handleSendError maps an error of opening a stream to an execution state and a result.
+func (r *run) handleSendError(ctx, actx context.Context, err error) result {
 	head := r.route[0].BackendServer
 	if ctx.Err() != nil {
 		if errors.Is(err, execution.ErrNotSent) {
@@ -129,7 +130,7 @@
 		r.d.health.Signal(head, health.Unreachable)
 		return result{err: err, failed: head}
 	case errors.Is(err, execution.ErrRefused):
-		return r.refused(err, refusedBy(err, head))
+		return r.handleRefusal(err, refusingServer(err, head))
 	}
 	_ = r.Move(execution.Unknown)
 	if cause := context.Cause(actx); errors.Is(cause, errStalled) {
@@ -139,8 +140,8 @@
 	return result{err: err, failed: head}
 }
 
-// refusedBy returns the backend server that a refusal is about.
-func refusedBy(err error, head string) string {
+// refusingServer returns the backend server that caused a refusal.
+func refusingServer(err error, head string) string {
 	var hop *backend.HopError
 	if errors.As(err, &hop) {
 		return hop.BackendServer
@@ -148,9 +149,9 @@
 	return head
 }
 
-// refused notes that this attempt surely did not run. A head that refuses is
-// busy; a hop that the head could not use is looked at as unreachable.
-func (r *run) refused(err error, server string) result {
+// handleRefusal records that this attempt did not run. A refusal by the head means that
+// it is busy; a later hop that the head could not use counts as unreachable.
+func (r *run) handleRefusal(err error, server string) result {
 	if verr := r.Move(execution.Refused); verr != nil {
 		return result{err: verr, final: true}
 	}
@@ -163,35 +164,35 @@
 	return result{err: err, failed: server}
 }
 
-// read takes events until the attempt ends.
-func (r *run) read(ctx, actx context.Context, s backend.Stream, watch *watchdog) result {
-	bound, ceil := r.d.opts.FirstToken, r.d.opts.FirstToken
+// readEvents processes events until the attempt ends.
+func (r *run) readEvents(ctx, actx context.Context, s backend.Stream, watch *watchdog) result {
+	bound, ceiling := r.d.opts.FirstToken, r.d.opts.FirstToken
 	for {
-		watch.arm(bound, ceil)
+		watch.arm(bound, ceiling)
 		ev, err := s.Next()
 		watch.disarm()
 		if err != nil {
-			return r.broken(ctx, actx, err)
+			return r.handleReadError(ctx, actx, err)
 		}
 		if !r.delivery.Mine(&ev) {
 			continue
 		}
-		res, done := r.event(ev)
+		res, done := r.handleEvent(ev)
 		if done {
 			return res
 		}
 		if c, hop := r.moveTarget(); c != nil {
 			_ = r.Move(execution.Unknown)
-			return result{err: errMove, failed: hop, move: c}
+			return result{err: errMoving, failed: hop, move: c}
 		}
 		if len(ev.Loads) > 0 || bound == r.d.opts.FirstToken {
-			bound, ceil = r.d.health.GapBound(r.route, &r.gap), r.d.opts.GapCeiling
+			bound, ceiling = r.d.health.GapBound(r.route, &r.gap), r.d.opts.GapCeiling
 		}
 	}
 }
 
-// event handles one event of this attempt.
-func (r *run) event(ev backend.Event) (result, bool) {
+// handleEvent handles one event of this attempt.
+func (r *run) handleEvent(ev backend.Event) (result, bool) {
 	for _, l := range ev.Loads {
 		r.d.health.Load(l)
 		r.d.gate.ObserveHop(l)
@@ -204,17 +205,17 @@
 		}
 		return result{}, false
 	case backend.EventDone:
-		return r.done(ev), true
+		return r.handleDone(ev), true
 	case backend.EventRefused:
 		server := ev.Failed
 		if server == "" {
 			server = r.route[0].BackendServer
 		}
 		if r.produced {
-			_ = r.Move(execution.Unknown) // it ran, whatever the engine says
+			_ = r.Move(execution.Unknown) // tokens were produced, so it ran
 			return result{err: fmt.Errorf("%w: refused after tokens", execution.ErrLost), failed: server}, true
 		}
-		return r.refused(fmt.Errorf("%w: %s", execution.ErrRefused, ev.Reason), server), true
+		return r.handleRefusal(fmt.Errorf("%w: %s", execution.ErrRefused, ev.Reason), server), true
 	case backend.EventFailed:
 		r.MarkRan()
 		_ = r.Move(execution.Unknown)
@@ -224,13 +225,13 @@
 	return result{}, false
 }
 
-// deliver hands on the tokens that are in order now.
+// deliver passes the tokens that are now in order to the sink.
 func (r *run) deliver(ev backend.Event) error {
 	r.MarkRan()
 	r.produced = true
 	for _, e := range r.delivery.Accept(ev) {
 		r.prior = append(r.prior, e.Token)
-		r.noteTime()
+		r.recordTimes()
 		if e.Index < r.skipTo {
 			continue
 		}
@@ -241,8 +242,9 @@
 	return nil
 }
 
-// noteTime measures the time to the first token and the gap of a recovery.
-func (r *run) noteTime() {
+// recordTimes records the time to the first token, the gap between tokens and the
+// gap of a recovery.
+func (r *run) recordTimes() {
 	now := r.d.clock()
 	if r.firstAt.IsZero() {
 		r.firstAt = now
@@ -262,27 +264,27 @@
 	r.lastAt = now
 }
 
-// done ends an attempt that the engine calls complete.
-func (r *run) done(ev backend.Event) result {
+// handleDone ends an attempt for which the engine reported completion.
+func (r *run) handleDone(ev backend.Event) result {
 	if !r.delivery.Whole(ev.Index) {
 		_ = r.Move(execution.Unknown)
-		return result{err: errGap}
+		return result{err: errIncomplete}
 	}
-	if err := r.delivery.checkWhole(ev.Index); err != nil {
+	if err := r.delivery.checkComplete(ev.Index); err != nil {
 		return result{err: err, final: true}
 	}
 	if err := r.Move(execution.Delivered); err != nil {
 		return result{err: err, final: true}
 	}
-	r.finish = ev.FinishReason
+	r.finishReason = ev.FinishReason
 	for _, h := range r.route {
 		r.d.health.Signal(h.BackendServer, health.Success)
 	}
 	return result{}
 }
 
-// broken ends an attempt whose stream ended without a final event.
-func (r *run) broken(ctx, actx context.Context, err error) result {
+// handleReadError ends an attempt whose stream ended without a final event.
+func (r *run) handleReadError(ctx, actx context.Context, err error) result {
 	_ = r.Move(execution.Unknown)
 	if ctx.Err() != nil {
 		return result{err: context.Cause(ctx), final: true}
@@ -295,7 +297,8 @@
 	return result{err: err, failed: head}
 }
 
-// abandon cancels the attempt at every stage in the background.
+// abandon cancels the attempt on every hop, in the background, unless it did not
+// run or is complete.
 func (r *run) abandon() {
 	if r.NotRun() || r.State() == execution.Delivered {
 		return
@@ -303,11 +306,11 @@
 	r.cancelAttempt(r.attempt)
 }
 
-// cancelTimeout bounds the cancelling of an attempt.
+// cancelTimeout bounds each cancel call.
 const cancelTimeout = 2 * time.Second
 
 // cancelAttempt cancels and fences an attempt on every hop of its route. It does
-// not wait: events of the attempt are dropped anyhow.
+// not wait, since later events of the attempt are dropped.
 func (r *run) cancelAttempt(attempt int) {
 	for _, h := range r.route {
 		t := backend.Target{BackendServer: h.BackendServer, Address: h.Address}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -23,23 +23,24 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// instant is an engine that answers at once, for the daemon's own cost.
-type instant struct {
+// noDelayEngine is an engine that answers without delay, so that benchmarks measure
+// the daemon alone.
+type noDelayEngine struct {
 	backend.Engine
-	hold chan struct{} // streams wait for it after the first token, if set
+	hold chan struct{} // if set, streams wait for it after the first token
 }
 
-func (e *instant) Generate(_ context.Context, _ backend.Target, g *backend.Generate) (backend.Stream, error) {
-	return &instantStream{e: e, g: g}, nil
+func (e *noDelayEngine) Generate(_ context.Context, _ backend.Target, g *backend.Generate) (backend.Stream, error) {
+	return &noDelayStream{e: e, g: g}, nil
 }
 
-type instantStream struct {
-	e *instant
+type noDelayStream struct {
+	e *noDelayEngine
 	g *backend.Generate
 	n int
 }
 
-func (s *instantStream) Next() (backend.Event, error) {
+func (s *noDelayStream) Next() (backend.Event, error) {
 	ev := backend.Event{Type: backend.EventToken, RequestID: s.g.RequestID, Attempt: s.g.Attempt, Index: s.n, Text: "word "}
 	if s.n == 1 && s.e.hold != nil {
 		<-s.e.hold
@@ -51,29 +52,30 @@
 	return ev, nil
 }
 
-func (*instantStream) Close() error { return nil }
+func (*noDelayStream) Close() error { return nil }
 
-type quiet struct{}
+type noop struct{}
 
-func (quiet) Signal(string, health.Signal) {}
-func (quiet) Load(backend.HopLoad)         {}
-func (quiet) GapBound(topology.Route, *health.Gap) time.Duration {
+func (noop) Signal(string, health.Signal) {}
+func (noop) Load(backend.HopLoad)         {}
+func (noop) GapBound(topology.Route, *health.Gap) time.Duration {
 	return time.Minute
 }
-func (quiet) Silent(context.Context, topology.Route) []string { return nil }
-func (quiet) Finished(string, time.Duration)                  {}
-func (quiet) FirstToken(time.Duration)                        {}
-func (quiet) Recovered(time.Duration)                         {}
-func (quiet) LimitReached()                                   {}
-func (quiet) Dropped(Drops)                                   {}
+func (noop) Silent(context.Context, topology.Route) []string { return nil }
+func (noop) Finished(string, time.Duration)                  {}
+func (noop) FirstToken(time.Duration)                        {}
+func (noop) Recovered(time.Duration)                         {}
+func (noop) LimitReached()                                   {}
+func (noop) Dropped(Drops)                                   {}
 
-type fixed struct{ snap *topology.Snapshot }
+type staticCatalog struct{ snap *topology.Snapshot }
 
-func (f fixed) Snapshot() *topology.Snapshot { return f.snap }
+func (f staticCatalog) Snapshot() *topology.Snapshot { return f.snap }
 
 const benchModel = "m"
 
-// benchDispatcher has three stages with servers/3 backend servers each.
+// benchDispatcher returns a dispatcher over three stages with servers/3 backend
+// servers each.
 func benchDispatcher(b testing.TB, servers int, e backend.Engine) (*Dispatcher, *topology.Workspace) {
 	snap := topology.NewSnapshot()
 	snap.Revision = 1
@@ -101,10 +103,10 @@
 	limit := admission.DefaultLimitConfig()
 	limit.Initial = limit.Max
 	d := New(Options{FirstToken: time.Minute, GapCeiling: time.Minute, MaxAttempts: 4}, Parts{
-		Engine: e, Catalog: fixed{snap}, Table: table, Planner: routing.NewPlanner(table, time.Now),
+		Engine: e, Catalog: staticCatalog{snap}, Table: table, Planner: routing.NewPlanner(table, time.Now),
 		Gate:   NewGate(GateOptions{MaxStreams: 1 << 20, QueueLimit: 10, Limit: limit}, table, time.Now),
-		Health: quiet{}, Alive: quiet{}, Warm: routing.NewPrefixes(), Sealer: sealer,
-		Log: decision.New(log.NewLogfmtLogger(io.Discard), 4096), Observer: quiet{}, Clock: time.Now,
+		Health: noop{}, Alive: noop{}, Warm: routing.NewPrefixes(), Sealer: sealer,
+		Log: decision.New(log.NewLogfmtLogger(io.Discard), 4096), Observer: noop{}, Clock: time.Now,
 	})
 	return d, &topology.Workspace{Name: "w"}
 }
@@ -117,11 +119,11 @@
 	return &Request{ID: id, Workspace: w, Model: benchModel, Prompt: "p", MaxTokens: tokens, Repeatable: true, CacheKey: 7}
 }
 
-// BenchmarkRequest is the daemon's own cost of a request of one token.
+// BenchmarkRequest measures the daemon's cost of a request of one token.
 func BenchmarkRequest(b *testing.B) {
 	for _, servers := range []int{40, 150, 600} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			d, w := benchDispatcher(b, servers, &instant{})
+			d, w := benchDispatcher(b, servers, &noDelayEngine{})
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := d.Do(context.Background(), benchRequest(w, "r", 1), &countSink{}); err != nil {
@@ -132,9 +134,9 @@
 	}
 }
 
-// BenchmarkToken is the daemon's own cost of a token event beside the sockets.
+// BenchmarkToken measures the daemon's cost of a token event without sockets.
 func BenchmarkToken(b *testing.B) {
-	d, w := benchDispatcher(b, 40, &instant{})
+	d, w := benchDispatcher(b, 40, &noDelayEngine{})
 	b.ReportAllocs()
 	s := &countSink{}
 	_, err := d.Do(context.Background(), benchRequest(w, "r", b.N), s)
@@ -142,14 +144,14 @@
 	require.Equal(b, b.N, s.n)
 }
 
-// BenchmarkOpenStreams reports the memory that an open stream holds in dispatch.
+// BenchmarkOpenStreams reports the memory that dispatch uses per open stream.
 func BenchmarkOpenStreams(b *testing.B) {
 	for _, streams := range []int{1000, 4000} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
 			for b.Loop() {
-				e := &instant{hold: make(chan struct{})}
+				e := &noDelayEngine{hold: make(chan struct{})}
 				d, w := benchDispatcher(b, 40, e)
-				before := heap()
+				before := memoryInUse()
 				var wg sync.WaitGroup
 				for i := range streams {
 					wg.Go(func() {
@@ -163,7 +165,7 @@
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(50 * time.Millisecond)
-				b.ReportMetric(float64(heap()-before)/float64(streams), "bytes/stream")
+				b.ReportMetric(float64(memoryInUse()-before)/float64(streams), "bytes/stream")
 				close(e.hold)
 				wg.Wait()
 			}
@@ -171,8 +173,8 @@
 	}
 }
 
-// heap returns the bytes in use by heap and stacks.
-func heap() uint64 {
+// memoryInUse returns the bytes in use by the heap and the stacks.
+func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/dispatch/body.go
+++ b/dispatch/body.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// countedBody calls done once, when the body has been read to its end, has
-// failed, or is closed.
+// countedBody calls onEnd once: when the body is read to its end, fails or is
+// closed. The argument is false after a read error.
 type countedBody struct {
-	body io.ReadCloser
-	done func(whole bool)
-	once sync.Once
+	body  io.ReadCloser
+	onEnd func(complete bool)
+	once  sync.Once
 }
 
 // Read implements io.Reader.
 func (b *countedBody) Read(p []byte) (int, error) {
 	n, err := b.body.Read(p)
 	if err != nil {
-		b.once.Do(func() { b.done(err == io.EOF) })
+		b.once.Do(func() { b.onEnd(err == io.EOF) })
 	}
 	return n, err
 }
 
 // Close implements io.Closer.
 func (b *countedBody) Close() error {
-	b.once.Do(func() { b.done(true) })
+	b.once.Do(func() { b.onEnd(true) })
 	return b.body.Close()
 }
--- a/dispatch/calllimits.go
+++ b/dispatch/calllimits.go
@@ -12,17 +12,17 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// Permits gives permits of the fleet for calls to backend servers with limits.
+// Permits grants calls to backend servers whose limits the fleet shares.
 type Permits interface {
-	// Permit asks for one call to each of some backend servers. What is granted counts as
-	// sent.
+	// Permit requests one call to each of the backend servers. Granted calls count
+	// as sent.
 	Permit(ctx context.Context, r quota.PermitRequest) quota.Decision
 }
 
-// CallLimits keeps calls within what the configuration declares that backend servers, and
-// endpoints of plain services, take from all daemons together. What each daemon sends by
-// itself would be within any limit while all of them are far beyond it, so each call takes a
-// permit of the fleet. It is safe for concurrent use; a nil one knows no limits.
+// CallLimits enforces the declared request rates of backend servers and of
+// endpoints of plain services. A declared rate applies to all daemons together, so
+// each call needs a permit. It is safe for concurrent use; a nil CallLimits
+// enforces nothing.
 type CallLimits struct {
 	declared *quota.Limits
 	sends    *quota.Sends
@@ -30,14 +30,14 @@
 	denials  *quota.Denials
 }
 
-// NewCallLimits returns the limits of a daemon that counts what it sends in sends.
+// NewCallLimits returns limits that count calls in sends and take permits from p.
 func NewCallLimits(declared *quota.Limits, sends *quota.Sends, p Permits) *CallLimits {
 	return &CallLimits{declared: declared, sends: sends, permits: p, denials: quota.NewDenials()}
 }
 
-// enter takes one call to each of some backend servers, or says which of them takes no
-// more now.
-func (l *CallLimits) enter(ctx context.Context, servers []string, c quota.Class) *limitReached {
+// acquire takes one call to each of the backend servers, or returns the limit that
+// was reached.
+func (l *CallLimits) acquire(ctx context.Context, servers []string, c quota.Class) *limitReached {
 	if l == nil {
 		return nil
 	}
@@ -47,8 +47,8 @@
 		if _, has := l.declared.Of(s); !has {
 			continue
 		}
-		if back, denied := l.denials.Of(s, c, now); denied {
-			return l.reached(s, back.Sub(now))
+		if until, denied := l.denials.Of(s, c, now); denied {
+			return l.newLimitReached(s, until.Sub(now))
 		}
 		limited = append(limited, s)
 	}
@@ -56,7 +56,7 @@
 		d := l.permits.Permit(ctx, quota.PermitRequest{Servers: limited, Class: c})
 		if !d.Granted {
 			l.denials.Add(c, d, now)
-			return l.reached(d.Server, d.Back)
+			return l.newLimitReached(d.Server, d.Back)
 		}
 	}
 	for _, s := range servers {
@@ -65,33 +65,33 @@
 	return nil
 }
 
-// again counts a call to a backend server that is made without a permit, since it only
-// goes on with what has begun there.
-func (l *CallLimits) again(server string) {
+// countContinued counts a call that needs no permit because it continues a request that the
+// backend server already runs.
+func (l *CallLimits) countContinued(server string) {
 	if l == nil {
 		return
 	}
 	l.sends.Add(server, boottime.Now())
 }
 
-// count counts a call to a backend server without a limit: one may be declared for it
-// within the window. Those with one are counted with their permits.
+// count counts a call to a backend server without a limit, since a limit may be
+// declared for it within the window. Other calls are counted with their permits.
 func (l *CallLimits) count(server string, now time.Time) {
 	if _, has := l.declared.Of(server); !has {
 		l.sends.Add(server, now)
 	}
 }
 
-func (l *CallLimits) reached(server string, back time.Duration) *limitReached {
+func (l *CallLimits) newLimitReached(server string, retryAfter time.Duration) *limitReached {
 	limit, _ := l.declared.Of(server)
-	return &limitReached{server: server, rate: limit.Rate, back: max(0, back)}
+	return &limitReached{server: server, rate: limit.Rate, retryAfter: max(0, retryAfter)}
 }
 
-// limitReached says that a backend server takes no more calls now.
+// limitReached reports that the limit of a backend server allows no call now.
 type limitReached struct {
-	server string
-	rate   float64       // requests a second, as declared
-	back   time.Duration // until a refused caller may come back
+	server     string
+	rate       float64       // declared, in requests per second
+	retryAfter time.Duration // until a refused caller may retry
 }
 
 // Error implements error.
@@ -99,18 +99,20 @@
 	return fmt.Sprintf("%s takes %g requests a second from all daemons", e.server, e.rate)
 }
 
-// Unwrap says that the request was not sent.
+// Unwrap returns execution.ErrNotSent.
 func (e *limitReached) Unwrap() error { return execution.ErrNotSent }
 
-// limitSpread is the time over which callers that are refused together come back.
-const limitSpread = 100 * time.Millisecond
+// retryJitter is the jitter added to the retry delay, so that callers refused
+// together do not retry together.
+const retryJitter = 100 * time.Millisecond
 
-// refusal is the answer to a request that nobody else can serve either.
-func (e *limitReached) refusal() *apierror.Error {
-	return apierror.Wrap(apierror.Overloaded, e).WithRetryAfter(e.back + rand.N(limitSpread))
+// apiError returns the answer to a request that no other backend server can serve.
+func (e *limitReached) apiError() *apierror.Error {
+	return apierror.Wrap(apierror.Overloaded, e).WithRetryAfter(e.retryAfter + rand.N(retryJitter))
 }
 
-// classOf returns for whom a permit is. The most urgent class has the lowest number.
+// classOf returns the class of a permit. The most urgent class has the lowest
+// number, so the priority is negated.
 func classOf(workspace string, priority int) quota.Class {
 	return quota.Class{Workspace: workspace, Priority: -priority}
 }
--- a/dispatch/delivery.go
+++ b/dispatch/delivery.go
@@ -5,10 +5,11 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// maxHeld bounds the events of one stream that wait for an earlier index.
+// maxHeld bounds the events of one stream that are held until an earlier index
+// arrives.
 const maxHeld = 64
 
-// Drops counts the events that did not reach the caller, by reason.
+// Drops counts the events of a request that were dropped, by reason.
 type Drops struct {
 	Foreign  int // of another request
 	Stale    int // of a superseded attempt
@@ -16,8 +17,8 @@
 	Overflow int // too far ahead to be held
 }
 
-// Delivery puts the token events of one request in order and drops what is
-// late, repeated or foreign. Index n is handed on once, and only after n-1.
+// Delivery orders the token events of one request and drops stale, repeated and
+// foreign ones. Index n is released once, and only after n-1.
 type Delivery struct {
 	requestID string
 	attempt   int
@@ -27,12 +28,12 @@
 	ready     []backend.Event // reused between calls
 }
 
-// NewDelivery returns a Delivery that expects index next first.
+// NewDelivery returns a Delivery whose first index is next.
 func NewDelivery(requestID string, next int) *Delivery {
 	return &Delivery{requestID: requestID, next: next}
 }
 
-// Begin starts an attempt; events of earlier ones are dropped from now on.
+// Begin starts an attempt. Events of earlier attempts are dropped from now on.
 func (d *Delivery) Begin(attempt int) {
 	d.attempt = attempt
 	clear(d.held)
@@ -41,8 +42,8 @@
 // Next returns the index of the next token.
 func (d *Delivery) Next() int { return d.next }
 
-// Mine reports whether an event belongs to the current attempt, and counts it
-// as dropped when it does not.
+// Mine reports whether an event belongs to the current attempt. It counts other
+// events as dropped.
 func (d *Delivery) Mine(ev *backend.Event) bool {
 	if ev.RequestID != d.requestID {
 		d.drops.Foreign++
@@ -55,8 +56,8 @@
 	return true
 }
 
-// Accept takes a token event and returns the events that can be handed on now,
-// in order. The slice is valid until the next call.
+// Accept adds a token event and returns the events that are now in order. The
+// slice is valid until the next call.
 func (d *Delivery) Accept(ev backend.Event) []backend.Event {
 	d.ready = d.ready[:0]
 	if !d.Mine(&ev) {
@@ -88,7 +89,7 @@
 	if d.held == nil {
 		d.held = map[int]backend.Event{}
 	}
-	if _, again := d.held[ev.Index]; again {
+	if _, repeated := d.held[ev.Index]; repeated {
 		d.drops.Repeated++
 		return
 	}
@@ -99,11 +100,11 @@
 	d.held[ev.Index] = ev
 }
 
-// Whole reports whether an answer of count tokens was handed on completely.
+// Whole reports whether all of an answer's count tokens have been released.
 func (d *Delivery) Whole(count int) bool { return d.next == count && len(d.held) == 0 }
 
-// checkWhole asserts that what is called whole is whole.
-func (d *Delivery) checkWhole(count int) error {
+// checkComplete asserts that an answer of count tokens is complete.
+func (d *Delivery) checkComplete(count int) error {
 	return invariant.Check(d.Whole(count), invariant.WholeOwnAnswer,
 		"request %s ended whole with %d of %d tokens", d.requestID, d.next, count)
 }
--- a/dispatch/delivery_test.go
+++ b/dispatch/delivery_test.go
@@ -16,8 +16,9 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Events in any order, repeated, foreign and stale, come out once and in order.
-func TestDeliveryOrders(t *testing.T) {
+// Events that are reordered, repeated, foreign or stale must be released once and
+// in order.
+func TestDeliveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 40).Draw(t, "n")
 		var events []backend.Event
@@ -42,26 +43,26 @@
 		require.Equal(t, n, out)
 		require.True(t, d.Whole(n))
 		require.False(t, d.Whole(n+1))
-		require.NoError(t, d.checkWhole(n))
+		require.NoError(t, d.checkComplete(n))
 	})
 }
 
-func TestBrokenAnswerIsNotWhole(t *testing.T) {
+func TestIncompleteAnswerViolatesInvariant(t *testing.T) {
 	before := invariant.Count(invariant.WholeOwnAnswer)
 	d := NewDelivery("r", 0)
-	require.Error(t, d.checkWhole(1))
+	require.Error(t, d.checkComplete(1))
 	require.Equal(t, before+1, invariant.Count(invariant.WholeOwnAnswer))
 }
 
-// New work for a backend server that has long been known to leave fires.
-func TestWorkAfterLeaveFires(t *testing.T) {
+// Sending to a backend server after leavingGrace must violate NoWorkAfterLeave.
+func TestWorkAfterLeaveViolatesInvariant(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		table := fleet.NewTable()
 		table.SetConfig(map[string]*topology.BackendServer{"b": {Name: "b", Labels: topology.Labels{topology.LabelDrain: "true"}}})
 		r := &run{d: &Dispatcher{table: table}, req: &Request{ID: "r"}, route: topology.Route{{BackendServer: "b"}}}
 		require.NoError(t, r.checkNoLeaving())
 		before := invariant.Count(invariant.NoWorkAfterLeave)
-		time.Sleep(leaveGrace + time.Second)
+		time.Sleep(leavingGrace + time.Second)
 		require.Error(t, r.checkNoLeaving())
 		require.Equal(t, before+1, invariant.Count(invariant.NoWorkAfterLeave))
 	})
@@ -93,8 +94,8 @@
 	}
 }
 
-// tamper flips one bit of an event ID's seal. Fixed text put over the end of
-// the ID would not do: a random ID may end in that text already.
+// tamper flips one bit in the authentication tag of an event ID. Overwriting the
+// end with fixed text could leave an ID unchanged.
 func tamper(t *testing.T, id string) string {
 	raw, err := base64.RawURLEncoding.DecodeString(id)
 	require.NoError(t, err)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -15,41 +15,41 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Signal is what a request shows about a backend server.
+// Signal is an observation of a backend server's health made by a request.
 type Signal = health.Signal
 
-// Catalog gives the configuration in force.
+// Catalog provides the configuration in force.
 type Catalog interface {
 	Snapshot() *topology.Snapshot
 }
 
-// Warm remembers which backend servers probably cache a prompt's prefix.
+// Warm records which backend servers probably cache a prompt's prefix.
 type Warm interface {
 	Servers(key uint64) []string
 	Sent(key uint64, server string)
 }
 
-// Observer counts what happens to requests.
+// Observer receives measurements of requests.
 type Observer interface {
 	Finished(kind string, d time.Duration)
 	FirstToken(d time.Duration)
 	Recovered(gap time.Duration)
 	Dropped(d Drops)
-	// LimitReached counts a request that was refused since backend servers take no more.
+	// LimitReached counts a request refused because of backend servers' limits.
 	LimitReached()
 }
 
 // Options are the settings of a dispatcher.
 type Options struct {
 	FailureDomain string
-	FirstToken    time.Duration // most time to the first token of an attempt
-	GapCeiling    time.Duration // most time between two tokens
-	MaxAttempts   int           // attempts of one request in all
-	RecoverWait   time.Duration // most time to wait for a route when a stage has failed
-	MoveAfter     time.Duration // expected rest of a stream from which it leaves a leaving backend server
+	FirstToken    time.Duration // longest time to the first token of an attempt
+	GapCeiling    time.Duration // longest time between two tokens
+	MaxAttempts   int           // attempts per request, the first included
+	RecoverWait   time.Duration // longest wait for a route after a stage failed
+	MoveAfter     time.Duration // expected remaining time above which a stream moves off a leaving backend server
 }
 
-// Dispatcher carries requests for models. It is safe for concurrent use.
+// Dispatcher runs requests for models. It is safe for concurrent use.
 type Dispatcher struct {
 	opts    Options
 	engine  backend.Engine
@@ -68,7 +68,7 @@
 	limits  *CallLimits
 }
 
-// Parts are what a dispatcher works with.
+// Parts are the dependencies of a dispatcher.
 type Parts struct {
 	Engine   backend.Engine
 	Catalog  Catalog
@@ -82,8 +82,8 @@
 	Log      *decision.Log
 	Observer Observer
 	Clock    Clock
-	Choose   Policy      // nil for routing.Choose
-	Limits   *CallLimits // nil for none
+	Choose   Policy      // nil means routing.Choose
+	Limits   *CallLimits // nil means no limits
 }
 
 // Policy picks a route for a new request.
@@ -101,8 +101,8 @@
 	}
 }
 
-// Do runs a request and hands its tokens to sink. An error is an
-// *apierror.Error whose statement about execution is true.
+// Do runs a request and passes its tokens to sink. An error is an
+// *apierror.Error that correctly states whether the request ran.
 func (d *Dispatcher) Do(ctx context.Context, req *Request, sink Sink) (Outcome, error) {
 	r := d.newRun(req, sink)
 	return r.runAndFinish(ctx, r.runNew)
--- a/dispatch/eventid.go
+++ b/dispatch/eventid.go
@@ -17,16 +17,17 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// ErrBadEventID says that an event ID was not issued by this fleet.
+// ErrBadEventID reports that an event ID was not issued by this fleet.
 var ErrBadEventID = errors.New("dispatch: bad event ID")
 
-// KeyBytes is the size of the fleet's key.
+// KeyBytes is the size of the fleet's key, in bytes.
 const KeyBytes = chacha20poly1305.KeySize
 
-// maxEventID bounds what a caller may send as an event ID, in characters.
+// maxEventID bounds the length of an event ID sent by a caller, in bytes.
 const maxEventID = 8 << 10
 
-// Place is what an event ID seals: all that another daemon needs to go on.
+// Place is the content of an event ID: all that another daemon needs to continue
+// the stream.
 type Place struct {
 	Workspace  string         `cbor:"1,keyasint"`
 	RequestID  string         `cbor:"2,keyasint"`
@@ -37,7 +38,7 @@
 	Route      topology.Route `cbor:"7,keyasint"`
 	BodyHash   uint64         `cbor:"8,keyasint"`
 	Repeatable bool           `cbor:"9,keyasint"`
-	Index      int            `cbor:"-"` // of the event, sealed beside the rest
+	Index      int            `cbor:"-"` // of the event; sealed ahead of the encoded fields
 }
 
 // Sealer seals and opens event IDs under the fleet's key.
@@ -65,19 +66,20 @@
 	return key, nil
 }
 
-// Attempt seals the events of one attempt: the place is encoded once, and each
-// event adds its index. The nonce is 16 random bytes of the attempt and the
-// index, so no nonce is used twice under the key.
+// Attempt seals the event IDs of one attempt. The place is encoded once and each
+// event adds its index. The nonce is 16 random bytes per attempt followed by the
+// index, so no nonce is used twice under the key. It is not safe for concurrent
+// use.
 type Attempt struct {
 	aead  cipher.AEAD
 	nonce [chacha20poly1305.NonceSizeX]byte
-	plain []byte // index, then the place
+	plain []byte // index, then the encoded place
 	buf   []byte
 }
 
 const indexBytes = 8
 
-// Attempt prepares sealing the events of an attempt.
+// Attempt returns an Attempt that seals the events of one attempt.
 func (s *Sealer) Attempt(p *Place) (*Attempt, error) {
 	body, err := cbor.Marshal(p)
 	if err != nil {
@@ -90,7 +92,7 @@
 	return a, nil
 }
 
-// Seal returns the event ID of an index.
+// Seal returns the event ID of the event with the given index.
 func (a *Attempt) Seal(index int) string {
 	binary.BigEndian.PutUint64(a.nonce[len(a.nonce)-indexBytes:], uint64(index))
 	binary.BigEndian.PutUint64(a.plain[:indexBytes], uint64(index))
@@ -99,7 +101,7 @@
 	return base64.RawURLEncoding.EncodeToString(a.buf)
 }
 
-// Open returns the place that an event ID seals.
+// Open returns the place sealed in an event ID, or ErrBadEventID.
 func (s *Sealer) Open(id string) (*Place, error) {
 	if len(id) > maxEventID {
 		return nil, ErrBadEventID
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -15,7 +15,7 @@
 )
 
 // Gate admits requests: it finds a route whose backend servers are below their
-// limits, or makes the request wait its turn, or refuses it early.
+// limits, queues the request, or refuses it early. It is safe for concurrent use.
 type Gate struct {
 	table      *fleet.Table
 	clock      Clock
@@ -23,36 +23,36 @@
 	queueLimit int
 	shares     Shares
 
-	mu       sync.Mutex
-	queues   map[routing.Key]*line
-	limits   map[string]*admission.Limit
-	buckets  map[string]*admission.Bucket
-	budgets  map[budgetKey]*admission.Budget
-	demand   map[string]*admission.Rate // tokens asked for, by model
-	limitCfg admission.LimitConfig
-	retry    float64
-	inFlight int
-	waiting  int
-	draining bool
-	rng      *rand.Rand
-}
-
-// Shares tells which share of a workspace's limit this daemon has.
+	mu         sync.Mutex
+	queues     map[routing.Key]*planQueue
+	limits     map[string]*admission.Limit
+	buckets    map[string]*admission.Bucket
+	budgets    map[budgetKey]*admission.Budget
+	demand     map[string]*admission.Rate // tokens requested, by model
+	limitCfg   admission.LimitConfig
+	retryRatio float64
+	inFlight   int
+	waiting    int
+	draining   bool
+	rng        *rand.Rand
+}
+
+// Shares returns this daemon's share of each workspace's limit.
 type Shares interface {
 	Share(workspace string) float64
 }
 
-// WholeShare is the share of a daemon that is alone.
+// WholeShare gives the daemon the full limit of every workspace.
 type WholeShare struct{}
 
 // Share implements Shares.
 func (WholeShare) Share(string) float64 { return 1 }
 
-// budgetKey names a retry budget; subject is a model or a plain service.
+// budgetKey identifies a retry budget; subject is a model or a plain service.
 type budgetKey struct{ workspace, subject string }
 
-// Bounds of a retry budget: in each window, retrySlack retries beside the share
-// of the requests that were served in it.
+// Bounds of a retry budget: each window allows retrySlack retries in addition to
+// the configured ratio of the requests served in it.
 const (
 	retrySlack  = 10
 	retryWindow = 10 * time.Second
@@ -60,15 +60,16 @@
 
 // GateOptions are the settings of a gate.
 type GateOptions struct {
-	MaxStreams int // requests in flight at once
-	QueueLimit int // requests that wait for one model, unless the model says otherwise
+	MaxStreams int // requests in flight
+	QueueLimit int // requests queued for one model, unless the model sets its own limit
 	RetryRatio float64
 	Limit      admission.LimitConfig
 	Shares     Shares
-	Seed       uint64 // of the choices; 0 for a random one
+	Seed       uint64 // of the route choices; 0 means random
 }
 
-// gateStream tells the gate's random numbers from others of the same seed.
+// gateStream is the PCG stream of the gate, distinct from other streams that use
+// the same seed.
 const gateStream = 0x67617465
 
 // NewGate returns an open gate.
@@ -81,14 +82,14 @@
 	}
 	return &Gate{
 		table: table, clock: clock, maxStreams: o.MaxStreams, queueLimit: o.QueueLimit, shares: o.Shares,
-		queues: map[routing.Key]*line{}, limits: map[string]*admission.Limit{},
+		queues: map[routing.Key]*planQueue{}, limits: map[string]*admission.Limit{},
 		buckets: map[string]*admission.Bucket{}, budgets: map[budgetKey]*admission.Budget{}, demand: map[string]*admission.Rate{},
-		limitCfg: o.Limit, retry: o.RetryRatio,
+		limitCfg: o.Limit, retryRatio: o.RetryRatio,
 		rng: rand.New(rand.NewPCG(o.Seed, gateStream)),
 	}
 }
 
-// ticket is the right to run along a route; it must be released once.
+// ticket permits a request to run along a route. It must be released once.
 type ticket struct {
 	choice  routing.Choice
 	servers []*fleet.Server
@@ -98,10 +99,11 @@
 	waited  time.Duration
 }
 
-// chooseFunc picks a route; it is called with the gate locked.
+// chooseFunc picks a route. It is called with Gate.mu held.
 type chooseFunc func(r *rand.Rand) (routing.Choice, error)
 
-// Admit waits until a route is free and returns its ticket.
+// Admit waits until a route is available and returns a ticket for it. It returns
+// an *apierror.Error when the request is refused.
 func (g *Gate) Admit(ctx context.Context, r *Request, m *topology.Model, key routing.Key, choose chooseFunc) (*ticket, error) {
 	now := g.clock()
 	g.mu.Lock()
@@ -109,34 +111,35 @@
 		g.mu.Unlock()
 		return nil, err
 	}
-	l := g.line(key)
-	g.noteDemand(l, r, m.Name, now)
-	if l.queue.Len() == 0 {
+	q := g.queueFor(key)
+	g.recordDemand(q, r, m.Name, now)
+	if q.queue.Len() == 0 {
 		t, err := g.grant(key, choose)
 		if err == nil {
 			g.mu.Unlock()
 			return t, nil
 		}
-		if err != routing.ErrFull && !l.buffers(now) {
+		if err != routing.ErrFull && !q.buffering(now) {
 			g.mu.Unlock()
 			return nil, routeError(m.Name, err)
 		}
 	}
-	if err := g.refuseEarly(l, r, m, now); err != nil {
+	if err := g.refuseEarly(q, r, m, now); err != nil {
 		g.mu.Unlock()
 		return nil, err
 	}
-	p := g.enqueue(l, r, choose)
-	g.pump()
+	p := g.enqueue(q, r, choose)
+	g.grantWaiting()
 	g.mu.Unlock()
-	return g.wait(ctx, l, p, r, now)
+	return g.wait(ctx, q, p, r, now)
 }
 
 func routeError(model string, err error) *apierror.Error {
 	return apierror.New(apierror.NoRoute, "model %s: %v", model, err)
 }
 
-// check refuses what needs no look at the queue.
+// check refuses a request for reasons that do not depend on the queue. The caller
+// holds the lock.
 func (g *Gate) check(r *Request, now time.Time) error {
 	if g.draining {
 		return apierror.New(apierror.Draining, "the daemon is stopping")
@@ -144,53 +147,53 @@
 	if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
 		return apierror.New(apierror.DeadlinePassed, "the deadline passed %s ago", now.Sub(r.Deadline))
 	}
-	return g.takeShare(r.Workspace, now)
+	return g.checkWorkspaceLimit(r.Workspace, now)
 }
 
 // CheckService refuses a service call when the daemon is stopping or the
-// workspace has used its limit.
+// workspace is at its limit.
 func (g *Gate) CheckService(w *topology.Workspace) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.check(&Request{Workspace: w}, g.clock())
 }
 
-func (g *Gate) line(key routing.Key) *line {
-	l := g.queues[key]
-	if l == nil {
-		l = &line{queue: admission.NewQueue()}
-		g.queues[key] = l
+func (g *Gate) queueFor(key routing.Key) *planQueue {
+	q := g.queues[key]
+	if q == nil {
+		q = &planQueue{queue: admission.NewQueue()}
+		g.queues[key] = q
 	}
-	return l
+	return q
 }
 
 // refuseEarly refuses a request that would wait beyond its deadline or whose
-// queue is full. It tells the caller when to come back.
-func (g *Gate) refuseEarly(l *line, r *Request, m *topology.Model, now time.Time) error {
+// queue is full. The error carries a retry delay.
+func (g *Gate) refuseEarly(q *planQueue, r *Request, m *topology.Model, now time.Time) error {
 	limit := g.queueLimit
 	if m.QueueLimit > 0 {
 		limit = m.QueueLimit
 	}
-	drain := l.drain()
-	if l.queue.Len() >= limit {
-		return apierror.New(apierror.Overloaded, "model %s: %d requests wait", m.Name, l.queue.Len()).WithRetryAfter(drain)
+	drain := q.drainTime()
+	if q.queue.Len() >= limit {
+		return apierror.New(apierror.Overloaded, "model %s: %d requests wait", m.Name, q.queue.Len()).WithRetryAfter(drain)
 	}
-	if r.Deadline.IsZero() || l.rate <= 0 {
+	if r.Deadline.IsZero() || q.rate <= 0 {
 		return nil
 	}
-	ahead := l.queue.Ahead(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority)
+	ahead := q.queue.Ahead(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority)
 	margin := waitMargin
-	if l.queue.Modest(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority) {
+	if q.queue.Modest(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority) {
 		margin = modestMargin
 	}
-	wait := seconds(margin * float64(ahead+1) / l.rate)
+	wait := seconds(margin * float64(ahead+1) / q.rate)
 	left := r.Deadline.Sub(now)
-	need := wait + l.service(r)
+	need := wait + q.serviceTime(r)
 	if need <= left {
 		return nil
 	}
 	return apierror.New(apierror.DeadlineUnlikely, "model %s: expected wait %s and service %s exceed %s",
-		m.Name, wait.Round(time.Millisecond), l.service(r).Round(time.Millisecond), left.Round(time.Millisecond)).
+		m.Name, wait.Round(time.Millisecond), q.serviceTime(r).Round(time.Millisecond), left.Round(time.Millisecond)).
 		WithRetryAfter(max(need-left, drain/2))
 }
 
@@ -198,54 +201,56 @@
 	return time.Duration(math.Min(s, 3600) * float64(time.Second))
 }
 
-// Release ends a ticket after tokens of at most asked were produced.
+// Release returns a ticket. The request produced tokens of the asked tokens that
+// it was allowed.
 func (g *Gate) Release(t *ticket, tokens, asked int) {
 	now := g.clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.putBack(t)
+	g.releaseRoute(t)
 	g.inFlight--
-	g.line(t.key).observe(now.Sub(t.began), tokens, asked, now)
-	g.pump()
+	g.queueFor(t.key).observe(now.Sub(t.began), tokens, asked, now)
+	g.grantWaiting()
 }
 
-// Adopt counts in a request that already runs, as a resumed stream does.
+// Adopt returns a ticket for a request that already runs, such as a resumed
+// stream. It never waits and ignores limits.
 func (g *Gate) Adopt(key routing.Key, c routing.Choice) *ticket {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	t := &ticket{choice: c, key: key}
-	g.take(t)
+	g.acquireRoute(t)
 	g.inFlight++
 	return t
 }
 
-// Swap moves a ticket to another route, as recovery does; it never waits.
+// Swap moves a ticket to another route, as recovery does. It never waits.
 func (g *Gate) Swap(t *ticket, c routing.Choice) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	began := t.began
-	g.putBack(t)
+	g.releaseRoute(t)
 	t.choice = c
-	g.take(t)
+	g.acquireRoute(t)
 	t.began = began
-	g.pump()
+	g.grantWaiting()
 }
 
-// Wake lets waiting requests try again after the fleet or its limits changed.
+// Wake retries waiting requests after the fleet or its limits changed.
 func (g *Gate) Wake() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.pump()
+	g.grantWaiting()
 }
 
-// Drain refuses new requests; those admitted or waiting go on.
+// Drain makes the gate refuse new requests; admitted and waiting ones continue.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.draining = true
 }
 
-// InFlight returns the requests admitted and waiting.
+// InFlight returns the numbers of requests that run and that wait.
 func (g *Gate) InFlight() (running, waiting int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -11,13 +11,15 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-func (g *Gate) takeShare(w *topology.Workspace, now time.Time) error {
+// checkWorkspaceLimit takes a request out of the workspace's token bucket, whose rate and
+// burst are scaled to this daemon's share. The caller holds the lock.
+func (g *Gate) checkWorkspaceLimit(w *topology.Workspace, now time.Time) error {
 	if w.RequestsPerSecond <= 0 {
 		return nil
 	}
 	b := g.buckets[w.Name]
 	if b == nil {
-		if len(g.buckets) >= maxIdle {
+		if len(g.buckets) >= idleEvictionThreshold {
 			maps.DeleteFunc(g.buckets, func(_ string, b *admission.Bucket) bool { return b.Idle(now) })
 		}
 		b = &admission.Bucket{}
@@ -39,7 +41,7 @@
 	}
 }
 
-// ObserveHop feeds the token time of a hop to the backend server's limit.
+// ObserveHop updates the backend server's limit from the token time of a hop.
 func (g *Gate) ObserveHop(h backend.HopLoad) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -60,55 +62,55 @@
 	}
 }
 
-// SpendRetry takes one retry out of the budget of a workspace and model or
-// service.
+// SpendRetry takes one retry out of the budget of a workspace and a model or
+// service, and reports whether there was one.
 func (g *Gate) SpendRetry(workspace, subject string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.budget(workspace, subject).Spend(g.clock(), admission.Whole)
 }
 
-// EarnRetry counts a success for the budget.
+// EarnRetry counts a successful request towards the budget.
 func (g *Gate) EarnRetry(workspace, subject string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget(workspace, subject).Earn(g.clock())
 }
 
-// maxIdle is the number of buckets or budgets from which those are dropped that
-// are as good as new.
-const maxIdle = 4096
+// idleEvictionThreshold is the number of buckets or budgets from which idle ones are dropped
+// before another is added.
+const idleEvictionThreshold = 4096
 
 func (g *Gate) budget(workspace, subject string) *admission.Budget {
 	k := budgetKey{workspace, subject}
 	b := g.budgets[k]
 	if b == nil {
-		if len(g.budgets) >= maxIdle {
+		if len(g.budgets) >= idleEvictionThreshold {
 			now := g.clock()
 			maps.DeleteFunc(g.budgets, func(_ budgetKey, b *admission.Budget) bool { return b.Idle(now) })
 		}
-		b = admission.NewBudget(g.retry, retrySlack, retryWindow)
+		b = admission.NewBudget(g.retryRatio, retrySlack, retryWindow)
 		g.budgets[k] = b
 	}
 	return b
 }
 
-// noteDemand counts the tokens that a request will probably need, whether it is
-// admitted or not.
-func (g *Gate) noteDemand(l *line, r *Request, model string, now time.Time) {
+// recordDemand counts the tokens that a request is expected to need, whether or not
+// it is admitted.
+func (g *Gate) recordDemand(q *planQueue, r *Request, model string, now time.Time) {
 	rate := g.demand[model]
 	if rate == nil {
 		rate = &admission.Rate{}
 		g.demand[model] = rate
 	}
-	used := l.used
+	used := q.usedRatio
 	if used == 0 {
 		used = 1
 	}
 	rate.Add(max(1, used*float64(r.MaxTokens)), now)
 }
 
-// Demand calls fn with the tokens a second that callers ask of each model.
+// Demand calls fn for each model with the tokens per second that callers request.
 func (g *Gate) Demand(fn func(model string, tokens float64)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/dispatch/moving.go
+++ b/dispatch/moving.go
@@ -11,35 +11,35 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// slowLink is the share of its capacity below which a link makes streams move.
-const slowLink = 0.25
+// slowLinkThreshold is the fraction of its capacity below which streams move off a link.
+const slowLinkThreshold = 0.25
 
-// slowRest is the expected rest of a stream from which it leaves a slow link.
-const slowRest = time.Second
+// minSlowLinkRest is the expected remaining time above which a stream moves off a slow
+// link.
+const minSlowLinkRest = time.Second
 
-// moveTarget returns where the stream should go on and which hop it leaves, or
-// nil to stay: a hop is
-// leaving or its link has become slow, enough of the stream is left, the request
-// may be sent again, and there is another route. It is looked at once for each
-// change of the fleet.
+// moveTarget returns the route to which the stream should move and the hop that
+// it leaves, or nil to stay. A stream moves if a hop is leaving or its link is
+// slow, enough of the stream remains, the request is repeatable and there is
+// another route. This is evaluated once for each version of the fleet table.
 func (r *run) moveTarget() (c *routing.Choice, leaves string) {
 	version := r.d.table.Version()
-	// The last attempts are kept for failures.
-	if !r.Repeatable() || r.moveSeen == version || r.attempt+2 >= r.d.opts.MaxAttempts {
+	// The last attempts are reserved for failures.
+	if !r.Repeatable() || r.moveVersion == version || r.attempt+2 >= r.d.opts.MaxAttempts {
 		return nil, ""
 	}
-	hop, least := r.troubledHop()
+	hop, minRest := r.hopToLeave()
 	if hop == "" {
-		r.moveSeen = version
+		r.moveVersion = version
 		return nil, ""
 	}
 	if len(r.prior) < 2 || r.lastAt == r.firstAt {
 		return nil, ""
 	}
-	r.moveSeen = version
+	r.moveVersion = version
 	perToken := r.lastAt.Sub(r.firstAt) / time.Duration(len(r.prior)-1)
 	rest := perToken * time.Duration(r.req.MaxTokens-len(r.prior))
-	if rest <= least {
+	if rest <= minRest {
 		return nil, ""
 	}
 	target, err := r.repairWithout(hop)
@@ -49,32 +49,32 @@
 	return &target, hop
 }
 
-// troubledHop returns a hop that the stream had better leave, or "", and the
-// rest of a stream from which that is worth it.
-func (r *run) troubledHop() (hop string, least time.Duration) {
+// hopToLeave returns a hop that is leaving or behind a slow link, or "", and the
+// remaining time above which the stream should move off it.
+func (r *run) hopToLeave() (hop string, minRest time.Duration) {
 	if name := r.leavingHop(); name != "" {
 		return name, r.d.opts.MoveAfter
 	}
 	view := r.d.table.View()
 	for i := 1; i < len(r.route); i++ {
 		from, to := r.route[i-1].BackendServer, r.route[i].BackendServer
-		if view.LinkFactor(from, to) < slowLink {
-			return slowEnd(view, from, to), slowRest
+		if view.LinkFactor(from, to) < slowLinkThreshold {
+			return serverToAvoid(view, from, to), minSlowLinkRest
 		}
 	}
 	return "", 0
 }
 
-// slowEnd returns the backend server to leave for a slow link: the sender if all
-// its links are slow, the receiver otherwise.
-func slowEnd(view *fleet.View, from, to string) string {
-	if view.LinkFactor(from, fleet.AnyServer) < slowLink {
+// serverToAvoid returns the backend server to avoid because of a slow link: the sender
+// if all its links are slow, the receiver otherwise.
+func serverToAvoid(view *fleet.View, from, to string) string {
+	if view.LinkFactor(from, fleet.AnyServer) < slowLinkThreshold {
 		return from
 	}
 	return to
 }
 
-// repairWithout is repair that avoids one more backend server, this time only.
+// repairWithout is like repair, but also avoids hop for this call only.
 func (r *run) repairWithout(hop string) (routing.Choice, error) {
 	if r.avoid[hop] {
 		return r.repair()
@@ -84,13 +84,13 @@
 	return r.repair()
 }
 
-// moveAway takes a stream off a leaving backend server or a slow link: the KV
-// cache of the hops that change goes to the new route where the engines can do that, otherwise
-// the tokens are computed again there.
-func (r *run) moveAway(ctx context.Context, res result) {
+// moveStream moves a stream off a leaving backend server or a slow link. The KV
+// cache of the replaced hops is transferred where the engines support that;
+// otherwise the new hops recompute the tokens.
+func (r *run) moveStream(ctx context.Context, res result) {
 	r.kv = r.exportKV(ctx, r.route, res.move.Route)
 	r.cancelAttempt(r.attempt)
-	r.startAnother(*res.move, decision.Move, "leaves "+res.failed+", kv "+orNone(r.kv))
+	r.prepareAttempt(*res.move, decision.Move, "leaves "+res.failed+", kv "+orNone(r.kv))
 }
 
 func orNone(s string) string {
@@ -100,8 +100,8 @@
 	return s
 }
 
-// exportKV copies the KV cache of the layers that change their backend server
-// and returns the handle under which the new ones have it, or "".
+// exportKV copies the KV cache of the layers that change their backend server and
+// returns the handle of the copy, or "" if none was made.
 func (r *run) exportKV(ctx context.Context, old, fresh topology.Route) string {
 	handle := ""
 	for _, h := range old {
--- a/dispatch/policy_test.go
+++ b/dispatch/policy_test.go
@@ -14,7 +14,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// policies are the policy of this project and what it is measured against.
+// policies are the default policy (nil) and the baselines it is compared with.
 var policies = []struct {
 	name string
 	make func() dispatch.Policy
@@ -28,19 +28,19 @@
 
 const seeds = 3
 
-// saturate loads a lab beyond its bound and returns the share of the bound that
-// is delivered once it runs full.
-func saturate(s labSpec) float64 {
-	l := newLab(s)
+// saturate loads a simulation beyond its throughput bound and returns the fraction
+// of the bound that is delivered at full load.
+func saturate(s simSpec) float64 {
+	l := newSim(s)
 	bound := l.bound()
 	began := time.Now()
-	rs := l.run(load{rate: 1.3 * bound / labTokens, length: 15 * time.Second})
+	rs := l.run(load{rate: 1.3 * bound / simTokens, length: 15 * time.Second})
 	l.stop()
 	time.Sleep(10 * time.Second)
 	return rate(rs, began.Add(7*time.Second), began.Add(15*time.Second)) / bound
 }
 
-func benchSaturation(b *testing.B, s labSpec) {
+func benchSaturation(b *testing.B, s simSpec) {
 	for _, p := range policies {
 		b.Run(p.name, func(b *testing.B) {
 			for b.Loop() {
@@ -59,59 +59,61 @@
 	}
 }
 
-// Four accelerator kinds, links that differ a hundredfold, one daemon.
+// BenchmarkPolicySaturation uses four kinds of accelerators, links that differ by
+// a factor of 100 and one daemon.
 func BenchmarkPolicySaturation(b *testing.B) {
-	benchSaturation(b, labSpec{daemons: 1, stages: 4, width: 8, slow: true})
+	benchSaturation(b, simSpec{daemons: 1, stages: 4, width: 8, slowLinks: true})
 }
 
-// The same with load reports 2 s late and 8 daemons that decide on their own.
+// BenchmarkPolicyLateReports adds load reports that are 2 s old and 8 independent
+// daemons.
 func BenchmarkPolicyLateReports(b *testing.B) {
-	benchSaturation(b, labSpec{daemons: 8, stages: 4, width: 8, slow: true, lag: 2 * time.Second})
+	benchSaturation(b, simSpec{daemons: 8, stages: 4, width: 8, slowLinks: true, reportDelay: 2 * time.Second})
 }
 
-// overloadResult sums up a run beyond the bound.
+// overloadResult summarizes a run under overload.
 type overloadResult struct {
-	goodput   float64 // tokens a second of whole answers in time
-	refusal   time.Duration
-	late      float64 // share of refusals after the first 10 ms
-	alerts    float64 // share of the high-priority tenth that is whole and in time
-	fairShare float64 // least share of its due that a workspace other than the greedy one got
-	fairMean  float64 // the same, of all of them together
+	goodput   float64       // tokens per second of complete answers in time
+	refusal   time.Duration // 99th percentile of the time to a refusal
+	late      float64       // fraction of refusals that took more than 10 ms
+	alerts    float64       // fraction of high-priority requests completed in time
+	fairShare float64       // lowest fraction of its fair share that a modest workspace got
+	fairMean  float64       // the same for all modest workspaces together
 }
 
 const (
 	overloadDeadline = 6 * time.Second
 	overloadLength   = 30 * time.Second
 	overloadWarmUp   = 10 * time.Second
-	modestOnes       = 5
+	modestWorkspaces = 5
 )
 
-// overload sends factor times the bound: half of it from one greedy workspace,
-// the rest from five modest ones, a tenth of all with high priority.
-func overload(s labSpec, factor float64) overloadResult {
-	l := newLab(s)
+// overload sends factor times the bound: half of it from one greedy workspace, the
+// rest from the modest ones, and a tenth of all requests with high priority.
+func overload(s simSpec, factor float64) overloadResult {
+	l := newSim(s)
 	bound := l.bound()
 	ws := []*topology.Workspace{{Name: "greedy"}}
-	for i := range modestOnes {
+	for i := range modestWorkspaces {
 		ws = append(ws, &topology.Workspace{Name: fmt.Sprint("modest", i)})
 	}
 	began := time.Now()
 	rs := l.run(load{
-		rate: factor * bound / labTokens, length: overloadLength, deadline: overloadDeadline,
+		rate: factor * bound / simTokens, length: overloadLength, deadline: overloadDeadline,
 		workspace: func(r *rand.Rand) *topology.Workspace {
 			if r.IntN(2) == 0 {
 				return ws[0]
 			}
-			return ws[1+r.IntN(modestOnes)]
+			return ws[1+r.IntN(modestWorkspaces)]
 		},
 		priority: func(r *rand.Rand) int { return max(0, r.IntN(10)-8) },
 	})
 	l.stop()
 	time.Sleep(10 * time.Second)
-	return judgeOverload(rs, began.Add(overloadWarmUp), began.Add(overloadLength))
+	return summarizeOverload(rs, began.Add(overloadWarmUp), began.Add(overloadLength))
 }
 
-func judgeOverload(rs []*result, from, to time.Time) overloadResult {
+func summarizeOverload(rs []*result, from, to time.Time) overloadResult {
 	var out overloadResult
 	var refusals []time.Duration
 	alerts, alertsOK, late := 0, 0, 0
@@ -154,10 +156,10 @@
 	return out
 }
 
-// shares compares the tokens that modest workspaces got with their due: an equal
-// share of all that were served, or what they asked for if that is less. It
-// returns the least, which with some 70 requests each is mostly chance, and all
-// together.
+// shares compares the tokens that modest workspaces got with their fair share: an
+// equal part of all tokens served, or what they requested if that is less. It
+// returns the lowest ratio, which varies a lot with few requests, and the ratio of
+// all together.
 func shares(served, asked map[string]float64) (least, mean float64) {
 	sum := 0.0
 	for _, n := range served {
@@ -169,17 +171,17 @@
 		if name == "greedy" {
 			continue
 		}
-		mine := min(n, sum/(modestOnes+1))
-		least = min(least, served[name]/mine)
+		share := min(n, sum/(modestWorkspaces+1))
+		least = min(least, served[name]/share)
 		got += served[name]
-		due += mine
+		due += share
 	}
 	return least, got / due
 }
 
-// Three times the bound, with deadlines.
+// BenchmarkPolicyOverload sends three times the bound with deadlines.
 func BenchmarkPolicyOverload(b *testing.B) {
-	s := labSpec{daemons: 2, stages: 4, width: 6, limit: 32}
+	s := simSpec{daemons: 2, stages: 4, width: 6, limit: 32}
 	for b.Loop() {
 		worst := overloadResult{goodput: 1e9, alerts: 1, fairShare: 1e9, fairMean: 1e9}
 		ratio := 1e9
@@ -205,7 +207,7 @@
 }
 
 // killThird kills a third of the engines of every stage.
-func killThird(l *lab) {
+func killThird(l *sim) {
 	for st := range l.spec.stages {
 		for i := range l.spec.width / 3 {
 			l.engines[fmt.Sprintf("s%d-%d", st, i)].kill()
@@ -213,9 +215,10 @@
 	}
 }
 
-// A third of the backend servers fail at three quarters of the bound.
+// BenchmarkPolicyThirdFails fails a third of the backend servers at three quarters
+// of the bound.
 func BenchmarkPolicyThirdFails(b *testing.B) {
-	s := labSpec{daemons: 4, stages: 4, width: 6, limit: 32, retry: 0.1}
+	s := simSpec{daemons: 4, stages: 4, width: 6, limit: 32, retry: 0.1}
 	for b.Loop() {
 		worstRetry, worstGoodput := 0.0, 1e9
 		for seed := range uint64(seeds) {
@@ -230,11 +233,11 @@
 	}
 }
 
-// thirdFails returns the work done for each token delivered after the failure,
-// and the share of the new bound, or of the demand if that is less, that is
-// delivered from two seconds after it.
-func thirdFails(s labSpec) (retryLoad, goodput float64) {
-	l := newLab(s)
+// thirdFails returns the work per token delivered after the failure, and the
+// fraction of the new bound, or of the demand if that is less, that is delivered
+// from two seconds after it.
+func thirdFails(s simSpec) (retryLoad, goodput float64) {
+	l := newSim(s)
 	demand := 0.75 * l.bound()
 	began := time.Now()
 	var at time.Time
@@ -246,18 +249,18 @@
 		stepsAt = l.steps
 		l.mu.Unlock()
 	})
-	rs := l.run(load{rate: demand / labTokens, length: 22 * time.Second, deadline: overloadDeadline})
+	rs := l.run(load{rate: demand / simTokens, length: 22 * time.Second, deadline: overloadDeadline})
 	from, to := at.Add(2*time.Second), at.Add(10*time.Second)
 	want := min(offered(rs, from, to), l.bound())
 	l.stop()
 	time.Sleep(10 * time.Second)
 	delivered := rate(rs, at, began.Add(time.Minute)) * began.Add(time.Minute).Sub(at).Seconds()
-	redone := float64(l.recomputed) / labLayers * float64(s.stages) * prefillWork
+	redone := float64(l.recomputed) / simLayers * float64(s.stages) * prefillWork
 	work := (float64(l.steps-stepsAt) + redone) / float64(s.stages)
 	return work / delivered, rate(rs, from, to) / want
 }
 
-// offered returns the tokens a second that were asked for in [from, to).
+// offered returns the tokens requested per second in [from, to).
 func offered(rs []*result, from, to time.Time) float64 {
 	n := 0
 	for _, r := range rs {
@@ -268,26 +271,26 @@
 	return float64(n) / to.Sub(from).Seconds()
 }
 
-// One engine dies in mid-stream.
+// BenchmarkPolicyStageDeath kills one engine while it has open streams.
 func BenchmarkPolicyStageDeath(b *testing.B) {
-	s := labSpec{daemons: 2, stages: 4, width: 6, limit: 32, retry: 0.1}
+	s := simSpec{daemons: 2, stages: 4, width: 6, limit: 32, retry: 0.1}
 	for b.Loop() {
-		var gaps, again []time.Duration
+		var gaps, restarts []time.Duration
 		lost, recomputed, tokens := 0, 0, 0
 		for seed := range uint64(seeds) {
 			s.seed = seed + 1
 			virtual.Run(b, func() {
-				l := newLab(s)
+				l := newSim(s)
 				var at time.Time
 				time.AfterFunc(8*time.Second, func() {
 					at = time.Now()
 					l.engines["s2-1"].kill()
 				})
-				rs := l.run(load{rate: 0.5 * l.bound() / labTokens, length: 12 * time.Second})
+				rs := l.run(load{rate: 0.5 * l.bound() / simTokens, length: 12 * time.Second})
 				l.stop()
 				time.Sleep(10 * time.Second)
 				g, a := interrupted(rs, at)
-				gaps, again = append(gaps, g...), append(again, a...)
+				gaps, restarts = append(gaps, g...), append(restarts, a...)
 				for _, r := range rs {
 					tokens += len(r.times)
 					if r.err != nil || len(r.times) != r.asked {
@@ -298,34 +301,35 @@
 			})
 		}
 		slices.Sort(gaps)
-		slices.Sort(again)
+		slices.Sort(restarts)
 		b.ReportMetric(float64(gaps[len(gaps)/2].Milliseconds()), "gap_p50_ms")
 		b.ReportMetric(float64(gaps[len(gaps)*99/100].Milliseconds()), "gap_p99_ms")
-		b.ReportMetric(float64(again[len(again)/2].Milliseconds()), "restart_p50_ms")
-		b.ReportMetric(float64(again[len(again)*99/100].Milliseconds()), "restart_p99_ms")
+		b.ReportMetric(float64(restarts[len(restarts)/2].Milliseconds()), "restart_p50_ms")
+		b.ReportMetric(float64(restarts[len(restarts)*99/100].Milliseconds()), "restart_p99_ms")
 		b.ReportMetric(float64(recomputed), "recomputed")
 		b.ReportMetric(float64(lost), "lost")
 	}
 }
 
-// interrupted returns the gaps of the streams that were under way at a moment,
-// and what the gap would be if they had begun again: all tokens before, anew.
-func interrupted(rs []*result, at time.Time) (gaps, again []time.Duration) {
+// interrupted returns the gaps of the streams that were open at a time, and the
+// gaps if each stream had restarted from its first token.
+func interrupted(rs []*result, at time.Time) (gaps, restarts []time.Duration) {
 	for _, r := range rs {
 		for i := 1; i < len(r.times); i++ {
 			if r.times[i-1].Before(at) && r.times[i].After(at) {
 				gap := r.times[i].Sub(r.times[i-1])
 				gaps = append(gaps, gap)
-				again = append(again, gap+r.times[i-1].Sub(r.began))
+				restarts = append(restarts, gap+r.times[i-1].Sub(r.began))
 			}
 		}
 	}
-	return gaps, again
+	return gaps, restarts
 }
 
-// The links out of one engine slow a hundredfold and heal.
+// BenchmarkPolicySlowLink makes the links out of one engine slower by a factor of
+// 100 and then restores them.
 func BenchmarkPolicySlowLink(b *testing.B) {
-	s := labSpec{daemons: 2, stages: 4, width: 6, limit: 32}
+	s := simSpec{daemons: 2, stages: 4, width: 6, limit: 32}
 	for b.Loop() {
 		worstOff, worstBack := 0.0, 1e9
 		for seed := range uint64(seeds) {
@@ -340,10 +344,10 @@
 	}
 }
 
-// slowLink returns the traffic on the slow links, two seconds after they slowed
-// and fifteen after they healed, as shares of the traffic before.
-func slowLink(s labSpec) (left, back float64) {
-	l := newLab(s)
+// slowLink returns the traffic on the links from two seconds after they slowed and
+// from fifteen after they recovered, as fractions of the traffic before.
+func slowLink(s simSpec) (left, back float64) {
+	l := newSim(s)
 	from := l.fastest("s1-")
 	var counts [4]int
 	passes := func() int {
@@ -351,7 +355,7 @@
 		for i := range s.width {
 			k := l.link(from, fmt.Sprintf("s2-%d", i))
 			k.mu.Lock()
-			n += k.passes
+			n += k.carried
 			k.mu.Unlock()
 		}
 		return n
@@ -374,7 +378,7 @@
 	}
 	time.AfterFunc(10*time.Second, func() { set(100 * 200 * time.Microsecond) })
 	time.AfterFunc(20*time.Second, func() { set(200 * time.Microsecond) })
-	l.run(load{rate: 0.5 * l.bound() / labTokens, length: 40 * time.Second})
+	l.run(load{rate: 0.5 * l.bound() / simTokens, length: 40 * time.Second})
 	l.stop()
 	time.Sleep(10 * time.Second)
 	return float64(counts[1]) / float64(counts[0]), float64(counts[2]) / float64(counts[0])
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -15,20 +15,20 @@
 	"github.com/snowspoke/snowspoke/routing"
 )
 
-// resumeTimeout bounds the opening of a resumed stream. Behind a dead host it
-// is what recovery waits at most before it computes elsewhere.
+// resumeTimeout bounds the opening of a resumed stream, and so the delay that a
+// dead host adds to recovery.
 const resumeTimeout = 250 * time.Millisecond
 
 // recover continues a repeatable request as the next attempt, on the route that
-// keeps most of the hops that survived.
+// keeps the most layers on surviving hops.
 func (r *run) recover(ctx context.Context, res result) error {
-	r.findFailed(ctx, &res)
+	r.avoidFailed(ctx, &res)
 	r.cancelAttempt(r.attempt)
 	return r.reroute(ctx, res, "recover")
 }
 
-// findFailed adds the hops that do not answer to those to avoid.
-func (r *run) findFailed(ctx context.Context, res *result) {
+// avoidFailed adds the failed hops to those to avoid.
+func (r *run) avoidFailed(ctx context.Context, res *result) {
 	if res.failed != "" {
 		r.avoid[res.failed] = true
 		return
@@ -41,15 +41,15 @@
 	if len(silent) > 0 {
 		return
 	}
-	// Every hop answers, yet no token came: the whole route is suspect.
+	// Every hop answers but no token arrived, so any of them may be at fault.
 	for _, h := range r.route {
 		r.avoid[h.BackendServer] = true
 		r.d.health.Signal(h.BackendServer, health.Stalled)
 	}
 }
 
-// silentHops returns the hops that do not answer: those that the watchdog found,
-// or those found now.
+// silentHops returns the hops that do not answer: those found by the watchdog, or
+// else the result of a new probe.
 func (r *run) silentHops(ctx context.Context, err error) []string {
 	var stall *stallError
 	if errors.As(err, &stall) && len(stall.silent) > 0 {
@@ -58,44 +58,46 @@
 	return r.d.alive.Silent(ctx, r.route)
 }
 
-// reroute finds another route for the request, waiting a while when there is
-// none, and prepares the next attempt.
+// reroute finds another route for the request, waiting up to RecoverWait for one,
+// and prepares the next attempt.
 func (r *run) reroute(ctx context.Context, res result, why string) error {
 	deadline := r.d.clock().Add(r.d.opts.RecoverWait)
 	for {
 		changed := r.d.table.Changed()
 		c, err := r.repair()
 		if err == nil {
-			r.startAnother(c, decision.Recover, why+" after "+res.err.Error())
+			r.prepareAttempt(c, decision.Recover, why+" after "+res.err.Error())
 			return nil
 		}
 		left := deadline.Sub(r.d.clock())
 		if left <= 0 {
-			return r.noRouteLeft(res, err)
+			return r.noRouteError(res, err)
 		}
-		// What failed may be back, and nothing else is there.
+		// No route is left without the failed hops; they may have recovered.
 		clear(r.avoid)
-		if !waitFor(ctx, changed, min(left, r.nextPause())) {
+		if !waitFor(ctx, changed, min(left, r.nextRetryDelay())) {
 			return r.finalError(ctx, context.Cause(ctx))
 		}
 	}
 }
 
-// Bounds of the jittered pause before a route is looked for again.
+// Bounds of the jittered delay between two searches for a route.
 const (
-	firstRetryPause = 50 * time.Millisecond
-	longRetryPause  = 500 * time.Millisecond
+	initialRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 500 * time.Millisecond
 )
 
-func (r *run) nextPause() time.Duration {
-	if r.pause == nil {
-		r.pause = backoff.NewExponentialBackOff()
-		r.pause.InitialInterval = firstRetryPause
-		r.pause.MaxInterval = longRetryPause
+func (r *run) nextRetryDelay() time.Duration {
+	if r.retryBackoff == nil {
+		r.retryBackoff = backoff.NewExponentialBackOff()
+		r.retryBackoff.InitialInterval = initialRetryDelay
+		r.retryBackoff.MaxInterval = maxRetryDelay
 	}
-	return r.pause.NextBackOff()
+	return r.retryBackoff.NextBackOff()
 }
 
+// waitFor waits until ch is closed or d has passed. It returns false if ctx ends
+// first.
 func waitFor(ctx context.Context, ch <-chan struct{}, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -116,17 +118,17 @@
 	return routing.Repair(b.Plan, b.At(r.d.clock()), r.routeOptions(), r.route)
 }
 
-func (r *run) noRouteLeft(res result, err error) error {
+func (r *run) noRouteError(res result, err error) error {
 	if r.NotRun() {
 		return routeError(r.model.Name, err)
 	}
 	return r.GaveUp(res.err)
 }
 
-// resumeOnly handles a request that may not be sent again. A stream that only
-// stalls is waited for while every hop answers; otherwise the answer says what
-// is known.
-func (r *run) resumeOnly(ctx context.Context, res result) (whole bool, err error) {
+// resumeOnly handles a request that is not repeatable. A stalled stream is resumed
+// for as long as every hop answers; otherwise the request ends with an error that
+// states whether it ran.
+func (r *run) resumeOnly(ctx context.Context, res result) (complete bool, err error) {
 	for errors.Is(res.err, errStalled) && len(r.silentHops(ctx, res.err)) == 0 {
 		res = r.resume(ctx, r.delivery.Next(), res)
 		if res.err == nil {
@@ -141,9 +143,9 @@
 	return false, r.GaveUp(res.err)
 }
 
-// resume reads on in the stream of the present attempt. The read may break
-// again; it is resumed until the engine no longer has the stream or does not
-// answer. A stream that cannot be opened returns the failure that led here.
+// resume continues reading the stream of the current attempt. It resumes again
+// when the connection breaks, as long as each read delivers tokens. If the stream
+// cannot be opened, it returns cause with that error joined to it.
 func (r *run) resume(ctx context.Context, from int, cause result) result {
 	for {
 		s, err := r.openResume(ctx, from)
@@ -171,14 +173,15 @@
 		stop()
 		_ = s.Close()
 	}()
-	return r.read(ctx, actx, s, watch)
+	return r.readEvents(ctx, actx, s, watch)
 }
 
-// openResume asks the head for the stream; only the opening is bounded.
+// openResume reopens the stream at the head. Only the opening is bounded by
+// resumeTimeout.
 func (r *run) openResume(ctx context.Context, from int) (backend.Stream, error) {
 	rctx, cancel := context.WithCancel(ctx)
 	timer := time.AfterFunc(resumeTimeout, cancel)
-	r.d.limits.again(r.route[0].BackendServer)
+	r.d.limits.countContinued(r.route[0].BackendServer)
 	s, err := r.d.engine.Resume(rctx, r.head(), r.req.ID, r.attempt, from)
 	if err != nil || !timer.Stop() {
 		cancel()
@@ -191,7 +194,7 @@
 	return &cancelStream{Stream: s, cancel: cancel}, nil
 }
 
-// cancelStream ends its context when it is closed.
+// cancelStream cancels its context when it is closed.
 type cancelStream struct {
 	backend.Stream
 	cancel context.CancelFunc
@@ -203,8 +206,8 @@
 	return c.Stream.Close()
 }
 
-// Resume continues, on this daemon, a stream that another one had begun. The
-// caller has everything up to place.Index.
+// Resume continues a stream that was begun on another daemon. The caller has all
+// tokens up to place.Index.
 func (d *Dispatcher) Resume(ctx context.Context, req *Request, place *Place, sink Sink) (Outcome, error) {
 	req.Model, req.Adapter, req.Repeatable = place.Model, place.Adapter, place.Repeatable
 	r := d.newRun(req, sink)
@@ -212,15 +215,15 @@
 	return r.runAndFinish(ctx, r.runResumed)
 }
 
-// adopt takes over the state that an event ID seals.
+// adopt restores the state of a run from an event ID.
 func (r *run) adopt(p *Place) {
 	r.Life = execution.Begun(p.Repeatable)
 	r.attempt, r.route, r.version = p.Attempt, p.Route, p.Version
 	r.skipTo = p.Index + 1
 }
 
-// runResumed reads the stream from its first token, so that the tokens are at
-// hand should a stage fail later; the caller gets only those it lacks.
+// runResumed reads the stream from its first token, so that the request can be
+// recovered if a stage fails later. The caller gets only the tokens it lacks.
 func (r *run) runResumed(ctx context.Context) error {
 	if err := r.resolve(); err != nil {
 		return apierror.New(apierror.StaleEventID, "%v", err)
@@ -243,13 +246,13 @@
 		return r.finalError(ctx, res.err)
 	}
 	if r.delivery.Next() < r.skipTo {
-		// Tokens that the caller has are not known here: going on elsewhere could
-		// join two different answers.
+		// Some tokens that the caller has are not known here. Continuing elsewhere
+		// could join two different answers.
 		return apierror.New(apierror.StaleEventID, "%v", res.err)
 	}
-	whole, err := r.next(ctx, res)
-	if whole || err != nil {
+	complete, err := r.handleFailure(ctx, res)
+	if complete || err != nil {
 		return err
 	}
-	return r.attempts(ctx)
+	return r.runAttempts(ctx)
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -1,6 +1,6 @@
-// Package dispatch carries a request through its life: the gate admits it, an
-// attempt sends it along a route, delivery hands its tokens to the caller once
-// and in order, and recovery continues it elsewhere when a stage fails.
+// Package dispatch runs requests: the gate admits a request, an attempt sends it
+// along a route, delivery passes its tokens to the caller once and in order, and
+// recovery continues it on another route when a stage fails.
 package dispatch
 
 import (
@@ -26,24 +26,24 @@
 	Labels     topology.Labels
 	Repeatable bool
 	Deadline   time.Time
-	BodyHash   uint64 // of the body, binds event IDs to it
-	CacheKey   uint64 // hash of the prompt's prefix, 0 for none
+	BodyHash   uint64 // binds event IDs to the request body
+	CacheKey   uint64 // hash of the prompt's prefix; 0 means none
 }
 
-// Token is one token on its way to the caller.
+// Token is one token of an answer.
 type Token struct {
 	Index   int
 	Text    string
 	EventID string // sealed, for Last-Event-ID
 }
 
-// Sink takes the answer. Its methods are called from one goroutine.
+// Sink receives the answer. Its methods are called from one goroutine.
 type Sink interface {
-	// Token takes the next token. An error ends the request.
+	// Token receives the next token. An error ends the request.
 	Token(t Token) error
 }
 
-// Outcome describes a whole answer.
+// Outcome describes the answer to a request.
 type Outcome struct {
 	RequestID    string
 	Version      string // of the model
@@ -52,20 +52,21 @@
 	Attempts     int
 }
 
-// Clock returns the present time; tests run in virtual time.
+// Clock returns the current time.
 type Clock func() time.Time
 
-// HealthSink learns what requests show about backend servers.
+// HealthSink receives observations of backend servers made by requests.
 type HealthSink interface {
 	Signal(server string, s Signal)
 	Load(l backend.HopLoad)
-	// GapBound returns the longest time between two tokens on a route, from what
-	// is known of its hops and the gaps of this stream.
+	// GapBound returns the longest acceptable time between two tokens on a route,
+	// from the state of its hops and the gaps of this stream.
 	GapBound(r topology.Route, own *health.Gap) time.Duration
 }
 
-// Alive asks backend servers whether they answer at all.
+// Alive probes whether backend servers answer.
 type Alive interface {
-	// Silent returns the backend servers of the route that do not answer soon.
+	// Silent returns the backend servers of the route that do not answer a probe in
+	// time.
 	Silent(ctx context.Context, r topology.Route) []string
 }
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -18,37 +18,38 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// run is one request on its way.
+// run is the state of one request. It is used from one goroutine.
 type run struct {
 	execution.Life
-	d        *Dispatcher
-	req      *Request
-	sink     Sink
-	began    time.Time
-	snap     *topology.Snapshot
-	model    *topology.Model
-	class    topology.Class
-	delivery *Delivery
-	prior    []int32 // tokens handed on so far
-	attempt  int
-	version  string // of the model, fixed by the first attempt
-	route    topology.Route
-	ticket   *ticket
-	avoid    map[string]bool
-	sealed   *Attempt
-	kv       string // handle of an imported KV cache for the next attempt
-	finish   string // reason the engine gave for the end
-	produced bool   // the present attempt has produced a token
-	moveSeen uint64 // fleet version at which a move was last considered
-	gap      health.Gap
-	pause    *backoff.ExponentialBackOff // between two looks for a route
-	firstAt  time.Time
-	lastAt   time.Time // of the last token handed on
-	failedAt time.Time // set while the stream is interrupted
-	skipTo   int       // tokens below this index are known to the caller already
+	d            *Dispatcher
+	req          *Request
+	sink         Sink
+	began        time.Time
+	snap         *topology.Snapshot
+	model        *topology.Model
+	class        topology.Class
+	delivery     *Delivery
+	prior        []int32 // tokens delivered so far
+	attempt      int
+	version      string // of the model, fixed by the first attempt
+	route        topology.Route
+	ticket       *ticket
+	avoid        map[string]bool
+	sealed       *Attempt
+	kv           string // handle of a transferred KV cache for the next attempt
+	finishReason string // finish reason given by the engine
+	produced     bool   // the current attempt has produced a token
+	moveVersion  uint64 // fleet version for which a move was last evaluated
+	gap          health.Gap
+	retryBackoff *backoff.ExponentialBackOff // between two searches for a route
+	firstAt      time.Time                   // of the first token delivered
+	lastAt       time.Time                   // of the last token delivered
+	failedAt     time.Time                   // set while the stream is interrupted
+	skipTo       int                         // the caller already has the tokens below this index
 }
 
-// resolve reads the configuration in force for the request.
+// resolve sets the model, version and class of the request from the configuration
+// in force.
 func (r *run) resolve() error {
 	snap := r.d.catalog.Snapshot()
 	m := snap.Models[r.req.Model]
@@ -63,7 +64,7 @@
 		return apierror.New(apierror.Forbidden, "no rule of workspace %s admits labels %v", r.req.Workspace.Name, r.req.Labels)
 	}
 	r.snap, r.class = snap, class
-	version := r.version // a stream stays on the version that it began with
+	version := r.version // a stream stays on its first version
 	if version == "" {
 		_, version = r.d.planner.Serving(snap, class, m, r.req.Adapter)
 	}
@@ -76,7 +77,8 @@
 	return nil
 }
 
-// runAndFinish runs begin and turns its error into a true answer.
+// runAndFinish runs begin, releases the ticket and converts an error into one that
+// correctly states whether the request ran.
 func (r *run) runAndFinish(ctx context.Context, begin func(context.Context) error) (Outcome, error) {
 	err := begin(ctx)
 	if r.ticket != nil {
@@ -91,11 +93,11 @@
 	err = r.d.finish(r.req, r.attempt, err, r.began)
 	return Outcome{
 		RequestID: r.req.ID, Version: r.version, Tokens: r.delivery.Next(),
-		FinishReason: r.finish, Attempts: r.attempt + 1,
+		FinishReason: r.finishReason, Attempts: r.attempt + 1,
 	}, err
 }
 
-// runNew admits the request and runs attempts until one is whole.
+// runNew admits the request and runs attempts until one completes.
 func (r *run) runNew(ctx context.Context) error {
 	if err := r.resolve(); err != nil {
 		return err
@@ -107,14 +109,13 @@
 	}
 	r.ticket = t
 	r.useRoute(t.choice, decision.Route, "admitted after "+t.waited.Round(time.Microsecond).String())
-	return r.attempts(ctx)
+	return r.runAttempts(ctx)
 }
 
-// defaultMaxTokens bounds an answer of which neither request nor model says how
-// long it may be.
+// defaultMaxTokens bounds an answer if neither the request nor the model does.
 const defaultMaxTokens = 1024
 
-// boundTokens keeps the answer within what the model allows.
+// boundTokens limits the length of the answer to what the model allows.
 func (r *run) boundTokens() {
 	limit := r.model.MaxTokens
 	if limit == 0 && r.req.MaxTokens == 0 {
@@ -133,7 +134,7 @@
 	return r.d.planner.Plan(r.snap, r.class, r.model, r.req.Adapter)
 }
 
-// choose picks a route for new work by the configuration in force at that moment.
+// choose picks a route for new work under the configuration now in force.
 func (r *run) choose(rng *rand.Rand) (routing.Choice, error) {
 	if err := r.resolve(); err != nil {
 		return routing.Choice{}, routing.ErrNoRoute
@@ -150,7 +151,7 @@
 	return o
 }
 
-// useRoute takes a choice for the next attempt and logs why.
+// useRoute sets the route of the next attempt and logs the decision.
 func (r *run) useRoute(c routing.Choice, kind decision.Kind, reason string) {
 	r.route = c.Route
 	r.version = r.model.Version
@@ -159,12 +160,12 @@
 	}
 	r.d.log.Add(decision.Record{
 		Time: r.d.clock(), Kind: kind, RequestID: r.req.ID, Attempt: r.attempt, Workspace: r.req.Workspace.Name,
-		Subject: r.model.Name, Chosen: c.Route.String(), Reason: reason, Rejected: r.rejected(c),
+		Subject: r.model.Name, Chosen: c.Route.String(), Reason: reason, Rejected: r.rejectedServers(c),
 		Bound: r.binding().Plan.Bound, Load: c.Load,
 	})
 }
 
-func (r *run) rejected(c routing.Choice) string {
+func (r *run) rejectedServers(c routing.Choice) string {
 	var b []byte
 	for name := range r.avoid {
 		b = append(b, name+":failed "...)
@@ -175,31 +176,31 @@
 	return string(b)
 }
 
-// attempts runs attempts until one is whole or nothing more can be done.
-func (r *run) attempts(ctx context.Context) error {
+// runAttempts runs attempts until one completes or no other may be made.
+func (r *run) runAttempts(ctx context.Context) error {
 	for {
-		res := r.once(ctx)
+		res := r.runAttempt(ctx)
 		if res.err == nil {
 			return nil
 		}
-		whole, err := r.next(ctx, res)
-		if whole || err != nil {
+		complete, err := r.handleFailure(ctx, res)
+		if complete || err != nil {
 			return err
 		}
 	}
 }
 
-// result is how an attempt ended; err is nil when the answer is whole.
+// result is how an attempt ended; err is nil when the answer is complete.
 type result struct {
 	err    error
 	failed string          // backend server that failed, if known
-	final  bool            // the caller or the deadline ended it
-	move   *routing.Choice // where a stream goes on that leaves its route
+	final  bool            // no other attempt may follow
+	move   *routing.Choice // new route of a stream that moves
 }
 
-// next decides what follows a failed attempt. Neither whole nor an error means
-// that another attempt is prepared.
-func (r *run) next(ctx context.Context, res result) (whole bool, err error) {
+// handleFailure decides what follows a failed attempt. If it returns false and no error,
+// another attempt has been prepared.
+func (r *run) handleFailure(ctx context.Context, res result) (complete bool, err error) {
 	if res.final {
 		r.abandon()
 		return false, r.finalError(ctx, res.err)
@@ -212,14 +213,14 @@
 		return false, r.giveUp(res.err)
 	}
 	if res.move != nil {
-		r.moveAway(ctx, res)
+		r.moveStream(ctx, res)
 		return false, nil
 	}
 	if errors.Is(res.err, execution.ErrNotSent) || errors.Is(res.err, execution.ErrRefused) {
-		return false, r.elsewhere(ctx, res)
+		return false, r.retryElsewhere(ctx, res)
 	}
 	if res.failed == r.route[0].BackendServer && errors.Is(res.err, execution.ErrLost) {
-		// Perhaps only the connection broke: the head may still have the stream.
+		// Only the connection may have broken; the head may still have the stream.
 		if res = r.resume(ctx, r.delivery.Next(), res); res.err == nil {
 			return true, nil
 		}
@@ -234,8 +235,8 @@
 	return false, r.recover(ctx, res)
 }
 
-// finalError is the answer when the caller or the deadline ended the request, or
-// when the attempt ended by a fault that no other attempt mends.
+// finalError returns the error of a request that was ended by its caller, its
+// deadline or an error that another attempt cannot avoid.
 func (r *run) finalError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return r.Ended(ctx, r.progress())
@@ -245,46 +246,46 @@
 
 func (r *run) progress() string { return fmt.Sprintf("after %d tokens", r.delivery.Next()) }
 
-// giveUp is the answer to a request that is not sent again after err.
+// giveUp returns the error of a request that is not sent again after err.
 func (r *run) giveUp(err error) error {
-	var full *limitReached
-	if errors.As(err, &full) && r.NotRun() {
+	var limitErr *limitReached
+	if errors.As(err, &limitErr) && r.NotRun() {
 		r.d.observe.LimitReached()
-		return full.refusal()
+		return limitErr.apiError()
 	}
 	return r.GaveUp(err)
 }
 
-// elsewhere sends an attempt that surely did not run to another route. A new
-// request takes each such retry out of the budget; a stream that has begun does not, nor one
-// that was not sent as its route began to leave or had no room by a declared limit. The last
-// is refused at once where no other route is left: waiting would only put it behind those
-// that come later.
-func (r *run) elsewhere(ctx context.Context, res result) error {
+// retryElsewhere retries an attempt that did not run on another route. Such a retry is
+// taken out of the budget, unless the request has already run in part, or was not
+// sent because its route began to leave or reached a declared limit. A request
+// stopped by a declared limit is refused at once if no other route is left, since
+// waiting would only place it behind later requests.
+func (r *run) retryElsewhere(ctx context.Context, res result) error {
 	if res.failed != "" {
 		r.avoid[res.failed] = true
 	}
 	if r.HasRun() {
 		return r.reroute(ctx, res, "recover")
 	}
-	var full *limitReached
-	atLimit := errors.As(res.err, &full)
+	var limitErr *limitReached
+	atLimit := errors.As(res.err, &limitErr)
 	if !atLimit && !errors.Is(res.err, errLeaving) && !r.d.gate.SpendRetry(r.req.Workspace.Name, r.model.Name) {
 		return r.GaveUp(res.err)
 	}
 	b := r.binding()
 	c, err := r.d.policy(b.Plan, b.At(r.d.clock()), r.routeOptions(), rand.New(rand.NewPCG(rand.Uint64(), 1)))
 	if err != nil && atLimit {
-		return r.giveUp(full)
+		return r.giveUp(limitErr)
 	}
 	if err != nil {
 		return r.reroute(ctx, res, "retry")
 	}
-	r.startAnother(c, decision.Route, "retry after "+res.err.Error())
+	r.prepareAttempt(c, decision.Route, "retry after "+res.err.Error())
 	return nil
 }
 
-func (r *run) startAnother(c routing.Choice, kind decision.Kind, reason string) {
+func (r *run) prepareAttempt(c routing.Choice, kind decision.Kind, reason string) {
 	r.d.gate.Swap(r.ticket, c)
 	r.attempt++
 	r.useRoute(c, kind, reason)
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -16,22 +16,22 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// ServiceRequest is a caller's call of a plain service.
+// ServiceRequest is a caller's call to a plain service.
 type ServiceRequest struct {
 	Workspace  *topology.Workspace
 	Service    string
-	Repeatable bool // the caller does not forbid sending it again
+	Repeatable bool // the caller allows sending it again
 	Call       backend.ServiceCall
 }
 
-// serviceAttempts is the most endpoints that one call is sent to.
-const serviceAttempts = 3
+// maxServiceAttempts bounds the endpoints that one call is sent to.
+const maxServiceAttempts = 3
 
-// endpointCooldowns are the times for which an endpoint that failed is used only
-// when no other is left. One that refused is only busy.
+// endpointCooldowns configures how long a failed endpoint is used only if no other
+// is left. A apiError starts no cooldown, since the endpoint is only busy.
 var endpointCooldowns = health.CooldownConfig{Failed: time.Second, FailedMost: time.Second}
 
-// Services carries calls of plain services. It is safe for concurrent use.
+// Services runs calls to plain services. It is safe for concurrent use.
 type Services struct {
 	opts    Options
 	client  backend.Services
@@ -51,10 +51,10 @@
 
 type endpointKey struct{ service, endpoint string }
 
-// String names the endpoint in the table of cooldowns.
+// String returns the endpoint's key in the table of cooldowns.
 func (k endpointKey) String() string { return topology.EndpointID(k.service, k.endpoint) }
 
-// NewServices returns a Services that works with the same parts as d.
+// NewServices returns a Services that shares the dependencies of d.
 func NewServices(d *Dispatcher, client backend.Services) *Services {
 	return &Services{
 		opts: d.opts, client: client, catalog: d.catalog, table: d.table, gate: d.gate, log: d.log,
@@ -63,7 +63,7 @@
 }
 
 // Do sends a call. The caller must close the reply's body; a read error before
-// io.EOF means that the answer is not whole.
+// io.EOF means that the answer is incomplete.
 func (s *Services) Do(ctx context.Context, req *ServiceRequest) (*backend.ServiceReply, error) {
 	began := s.clock()
 	c := &call{s: s, req: req, tried: map[string]bool{}}
@@ -81,7 +81,7 @@
 	return c.reply, err
 }
 
-// call is one call on its way.
+// call is the state of one call. It implements execution.Sender.
 type call struct {
 	execution.Life
 	s       *Services
@@ -100,17 +100,17 @@
 	if err := c.s.gate.CheckService(c.req.Workspace); err != nil {
 		return err
 	}
-	c.Life = execution.New(c.req.Repeatable && c.svc.IsRepeatable(c.req.Call.Method, pathOnly(c.req.Call.Path)))
+	c.Life = execution.New(c.req.Repeatable && c.svc.IsRepeatable(c.req.Call.Method, trimQuery(c.req.Call.Path)))
 	return c.Run(ctx, c)
 }
 
 // Send implements execution.Sender.
 func (c *call) Send(ctx context.Context) (execution.Verdict, error) {
-	e, err := c.endpoint(ctx)
+	e, err := c.acquireEndpoint(ctx)
 	if err != nil {
 		return execution.Answered, err
 	}
-	reply, err := c.send(ctx, c.svc, e)
+	reply, err := c.sendTo(ctx, c.svc, e)
 	if err == nil {
 		c.reply = reply
 		c.s.gate.EarnRetry(c.req.Workspace.Name, c.svc.Name)
@@ -122,30 +122,31 @@
 	return execution.MayHaveRun, err
 }
 
-// endpoint takes the best endpoint that has room by its declared limit, if it has one.
-func (c *call) endpoint(ctx context.Context) (*topology.Endpoint, error) {
-	var full *limitReached
+// acquireEndpoint returns the best endpoint that is below its declared limit and takes
+// one call to it.
+func (c *call) acquireEndpoint(ctx context.Context) (*topology.Endpoint, error) {
+	var limitErr *limitReached
 	for {
-		e := c.s.pick(c.svc, c.tried)
-		if e == nil && full != nil {
+		e := c.s.pickEndpoint(c.svc, c.tried)
+		if e == nil && limitErr != nil {
 			c.s.observe.LimitReached()
-			return nil, full.refusal()
+			return nil, limitErr.apiError()
 		}
 		if e == nil {
 			return nil, apierror.New(apierror.NoRoute, "service %s has no endpoint in service", c.svc.Name)
 		}
 		c.tried[e.Name] = true
 		limited := []string{topology.EndpointID(c.svc.Name, e.Name)}
-		if full = c.s.limits.enter(ctx, limited, classOf(c.req.Workspace.Name, 0)); full == nil {
+		if limitErr = c.s.limits.acquire(ctx, limited, classOf(c.req.Workspace.Name, 0)); limitErr == nil {
 			return e, nil
 		}
 	}
 }
 
-// Retry implements execution.Sender: it takes a retry only if there is another
-// endpoint for it.
+// Retry implements execution.Sender. It takes a retry out of the budget only if
+// another endpoint is left.
 func (c *call) Retry(context.Context, execution.Verdict) bool {
-	if c.attempt+1 >= serviceAttempts || c.s.pick(c.svc, c.tried) == nil || !c.s.gate.SpendRetry(c.req.Workspace.Name, c.svc.Name) {
+	if c.attempt+1 >= maxServiceAttempts || c.s.pickEndpoint(c.svc, c.tried) == nil || !c.s.gate.SpendRetry(c.req.Workspace.Name, c.svc.Name) {
 		return false
 	}
 	c.attempt++
@@ -157,7 +158,8 @@
 	return fmt.Sprintf("after %d sends to service %s", c.attempt+1, c.req.Service)
 }
 
-func pathOnly(path string) string {
+// trimQuery returns path without its query.
+func trimQuery(path string) string {
 	for i := range len(path) {
 		if path[i] == '?' {
 			return path[:i]
@@ -166,8 +168,8 @@
 	return path
 }
 
-// send makes one attempt at an endpoint.
-func (c *call) send(ctx context.Context, svc *topology.Service, e *topology.Endpoint) (*backend.ServiceReply, error) {
+// sendTo makes one attempt at an endpoint.
+func (c *call) sendTo(ctx context.Context, svc *topology.Service, e *topology.Endpoint) (*backend.ServiceReply, error) {
 	c.s.log.Add(decision.Record{
 		Time: c.s.clock(), Kind: decision.Route, RequestID: c.req.Call.RequestID, Attempt: c.attempt,
 		Workspace: c.req.Workspace.Name, Subject: svc.Name, Chosen: e.Name, Reason: "least in flight",
@@ -176,26 +178,26 @@
 		return nil, err
 	}
 	k := endpointKey{svc.Name, e.Name}
-	c.s.enter(k)
+	c.s.callStarted(k)
 	reply, err := c.s.client.Call(ctx, backend.Target{BackendServer: e.Name, Address: e.Address}, &c.req.Call)
 	if err == nil {
 		c.MarkRan()
-		reply.Body = &countedBody{body: reply.Body, done: func(whole bool) { c.s.leave(k, whole) }}
+		reply.Body = &countedBody{body: reply.Body, onEnd: func(complete bool) { c.s.callEnded(k, complete) }}
 		return reply, c.Move(execution.Delivered)
 	}
-	c.s.leave(k, errors.Is(err, execution.ErrRefused))
+	c.s.callEnded(k, errors.Is(err, execution.ErrRefused))
 	if verr := c.Move(execution.After(err)); verr != nil {
 		return nil, verr
 	}
 	return nil, err
 }
 
-// coolingCost is more than any number of calls in flight costs.
-const coolingCost = 1 << 20
+// coolingPenalty ranks cooling endpoints after all others.
+const coolingPenalty = 1 << 20
 
-// pick returns the endpoint with the least calls in flight, those that failed
-// lately last.
-func (s *Services) pick(svc *topology.Service, tried map[string]bool) *topology.Endpoint {
+// pickEndpoint returns the endpoint with the fewest calls in flight that was not tried
+// yet, or nil. Endpoints that failed recently come last.
+func (s *Services) pickEndpoint(svc *topology.Service, tried map[string]bool) *topology.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
@@ -212,7 +214,7 @@
 			cost++
 		}
 		if s.health.Cooling(k.String(), now) {
-			cost += coolingCost
+			cost += coolingPenalty
 		}
 		if best == nil || cost < bestCost {
 			best, bestCost = e, cost
@@ -221,14 +223,14 @@
 	return best
 }
 
-func (s *Services) enter(k endpointKey) {
+func (s *Services) callStarted(k endpointKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight[k]++
 }
 
-// leave takes a call out of the count; ok is false when it failed.
-func (s *Services) leave(k endpointKey, ok bool) {
+// callEnded ends a call that callStarted began; ok is false if it failed.
+func (s *Services) callEnded(k endpointKey, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.inFlight[k]--
--- a/dispatch/service_test.go
+++ b/dispatch/service_test.go
@@ -20,7 +20,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// refusingOnce refuses the first attempt at each call.
+// refusingOnce refuses the first attempt of each call.
 type refusingOnce struct{ seen map[string]bool }
 
 func (s *refusingOnce) Call(_ context.Context, _ backend.Target, c *backend.ServiceCall) (*backend.ServiceReply, error) {
@@ -31,9 +31,9 @@
 	return &backend.ServiceReply{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
-// The retries of a plain service come back: a few refusals now and then are
-// retried for as long as the service serves.
-func TestServiceRetriesComeBack(t *testing.T) {
+// The retry budget of a plain service must recover, so that occasional refusals
+// are always retried.
+func TestServiceRetryBudgetRecovers(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		snap := topology.NewSnapshot()
 		snap.Services["cards"] = &topology.Service{Name: "cards", Endpoints: []topology.Endpoint{
@@ -41,7 +41,7 @@
 		}}
 		table := fleet.NewTable()
 		d := New(Options{}, Parts{
-			Catalog: fixed{snap}, Table: table, Observer: quiet{}, Clock: time.Now,
+			Catalog: staticCatalog{snap}, Table: table, Observer: noop{}, Clock: time.Now,
 			Gate: NewGate(GateOptions{MaxStreams: 10, RetryRatio: 0.1}, table, time.Now), Log: decision.New(log.NewNopLogger(), 16),
 		})
 		s := NewServices(d, &refusingOnce{seen: map[string]bool{}})
--- a/dispatch/lab_test.go
+++ b/dispatch/sim_test.go
@@ -24,55 +24,54 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// lab is a set of daemons before engines that are service-time models: each
-// token takes a turn of 1/rate on every hop and a time on every link. It runs in
-// virtual time.
-type lab struct {
-	spec    labSpec
-	engines map[string]*labEngine
-	links   map[[2]string]*labLink
+// sim is a simulation of daemons and engines in virtual time. Each token occupies
+// every hop for 1/rate and takes a transfer time on every link.
+type sim struct {
+	spec    simSpec
+	engines map[string]*simEngine
+	links   map[[2]string]*simLink
 	daemons []*dispatch.Dispatcher
 	tables  []*fleet.Table
 	snap    *topology.Snapshot
 	stop    context.CancelFunc
 
 	mu         sync.Mutex
-	recomputed int // layer-tokens computed again
-	steps      int // hop passes of all tokens
+	recomputed int // layer-tokens recomputed after failures
+	steps      int // hops passed by all tokens
 }
 
-// labSpec describes a lab.
-type labSpec struct {
-	seed    uint64
-	daemons int
-	stages  int
-	width   int           // backend servers a stage
-	lag     time.Duration // of load reports
-	slow    bool          // links differ a hundredfold
-	policy  func() dispatch.Policy
-	retry   float64
-	limit   float64 // initial concurrency limit
+// simSpec holds the parameters of a simulation.
+type simSpec struct {
+	seed        uint64
+	daemons     int
+	stages      int
+	width       int           // backend servers per stage
+	reportDelay time.Duration // age of load reports
+	slowLinks   bool          // link rates differ by a factor of 100
+	policy      func() dispatch.Policy
+	retry       float64
+	limit       float64 // initial concurrency limit
 }
 
 const (
-	labModel      = "m"
-	labLayers     = 32
-	labBase       = 60.0 // tokens per second of the slowest accelerator
-	labTokens     = 24   // mean answer
-	labTokenDelay = 2 * time.Millisecond
+	simModel      = "m"
+	simLayers     = 32
+	simBaseRate   = 60.0 // tokens per second of the slowest accelerator
+	simTokens     = 24   // mean length of an answer
+	simTokenDelay = 2 * time.Millisecond
 )
 
-// labEngine is one backend server.
-type labEngine struct {
-	lab  *lab
+// simEngine is one backend server.
+type simEngine struct {
+	sim  *sim
 	name string
 	rate float64
-	link float64 // tokens per second that its slow links carry, 0 for fast
+	link float64 // tokens per second of its links, 0 for no limit
 
 	mu       sync.Mutex
 	nextFree time.Time
 	inFlight int
-	past     []sample // for late reports
+	history  []sample // for delayed reports
 	dead     bool
 	kv       map[string]int
 }
@@ -82,23 +81,23 @@
 	inFlight int
 }
 
-type labLink struct {
+type simLink struct {
 	mu       sync.Mutex
 	nextFree time.Time
 	rate     float64 // tokens per second, 0 for no limit
 	delay    time.Duration
-	passes   int // tokens so far
+	carried  int // tokens carried
 }
 
-func newLab(s labSpec) *lab {
-	l := &lab{spec: s, engines: map[string]*labEngine{}, links: map[[2]string]*labLink{}, snap: topology.NewSnapshot()}
+func newSim(s simSpec) *sim {
+	l := &sim{spec: s, engines: map[string]*simEngine{}, links: map[[2]string]*simLink{}, snap: topology.NewSnapshot()}
 	rng := rand.New(rand.NewPCG(s.seed, 1))
 	l.snap.Revision = 1
-	l.snap.Models[labModel] = &topology.Model{Name: labModel, Layers: labLayers, Version: "v1", MaxTokens: 1 << 20}
-	per := labLayers / s.stages
+	l.snap.Models[simModel] = &topology.Model{Name: simModel, Layers: simLayers, Version: "v1", MaxTokens: 1 << 20}
+	per := simLayers / s.stages
 	for st := range s.stages {
 		lo := st * per
-		l.snap.Stages[labModel] = append(l.snap.Stages[labModel], &topology.Stage{Name: fmt.Sprint(st), Model: labModel, Layers: topology.LayerRange{Lo: lo, Hi: lo + per}})
+		l.snap.Stages[simModel] = append(l.snap.Stages[simModel], &topology.Stage{Name: fmt.Sprint(st), Model: simModel, Layers: topology.LayerRange{Lo: lo, Hi: lo + per}})
 		for i := range s.width {
 			l.addEngine(st, i, rng)
 		}
@@ -111,17 +110,17 @@
 	return l
 }
 
-// addEngine adds one of four kinds of accelerator, whose rates differ eightfold.
-// A third of them have links a hundredth as fast as the others'.
-func (l *lab) addEngine(stage, i int, rng *rand.Rand) {
+// addEngine adds an engine of one of four rates, the highest eight times the
+// lowest. With simSpec.slowLinks, a third of the engines have slow links.
+func (l *sim) addEngine(stage, i int, rng *rand.Rand) {
 	name := fmt.Sprintf("s%d-%d", stage, i)
 	kind := rng.IntN(4)
-	e := &labEngine{lab: l, name: name, rate: labBase * float64(int(1)<<kind), kv: map[string]int{}}
+	e := &simEngine{sim: l, name: name, rate: simBaseRate * float64(int(1)<<kind), kv: map[string]int{}}
 	b := &topology.BackendServer{Name: name, Address: name + ":1", FailureDomain: fmt.Sprint("d", i%3), TokensPerSecond: e.rate}
-	if l.spec.slow && rng.IntN(3) == 0 {
+	if l.spec.slowLinks && rng.IntN(3) == 0 {
 		e.link = 4
 	}
-	if l.spec.slow {
+	if l.spec.slowLinks {
 		rate := 400.0
 		if e.link > 0 {
 			rate = e.link
@@ -133,29 +132,29 @@
 	l.snap.BackendServers[name] = b
 }
 
-func (l *lab) link(from, to string) *labLink {
+func (l *sim) link(from, to string) *simLink {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := [2]string{from, to}
 	if l.links[k] == nil {
-		l.links[k] = &labLink{rate: l.engines[from].link, delay: 200 * time.Microsecond}
+		l.links[k] = &simLink{rate: l.engines[from].link, delay: 200 * time.Microsecond}
 	}
 	return l.links[k]
 }
 
-type labCatalog struct{ snap *topology.Snapshot }
+type simCatalog struct{ snap *topology.Snapshot }
 
-func (c labCatalog) Snapshot() *topology.Snapshot { return c.snap }
+func (c simCatalog) Snapshot() *topology.Snapshot { return c.snap }
 
-type labObserver struct{ lab *lab }
+type simObserver struct{ sim *sim }
 
-func (labObserver) Finished(string, time.Duration) {}
-func (labObserver) FirstToken(time.Duration)       {}
-func (labObserver) Recovered(time.Duration)        {}
-func (labObserver) Dropped(dispatch.Drops)         {}
-func (labObserver) LimitReached()                  {}
+func (simObserver) Finished(string, time.Duration) {}
+func (simObserver) FirstToken(time.Duration)       {}
+func (simObserver) Recovered(time.Duration)        {}
+func (simObserver) Dropped(dispatch.Drops)         {}
+func (simObserver) LimitReached()                  {}
 
-func (l *lab) addDaemon(ctx context.Context, i int) {
+func (l *sim) addDaemon(ctx context.Context, i int) {
 	table := fleet.NewTable()
 	table.SetConfig(l.snap.BackendServers)
 	for _, e := range l.engines {
@@ -184,16 +183,16 @@
 	l.daemons = append(l.daemons, dispatch.New(dispatch.Options{
 		FailureDomain: fmt.Sprint("d", i%3), FirstToken: 10 * time.Second, GapCeiling: 2 * time.Second, MaxAttempts: 8, RecoverWait: 10 * time.Second, MoveAfter: time.Minute,
 	}, dispatch.Parts{
-		Engine: l, Catalog: labCatalog{l.snap}, Table: table, Planner: routing.NewPlanner(table, time.Now), Gate: gate,
-		Health: m, Alive: m, Warm: routing.NewPrefixes(), Sealer: sealer, Log: decisions, Observer: labObserver{l}, Clock: time.Now, Choose: policy,
+		Engine: l, Catalog: simCatalog{l.snap}, Table: table, Planner: routing.NewPlanner(table, time.Now), Gate: gate,
+		Health: m, Alive: m, Warm: routing.NewPrefixes(), Sealer: sealer, Log: decisions, Observer: simObserver{l}, Clock: time.Now, Choose: policy,
 	}))
 }
 
-// bound returns the throughput bound of the engines that live.
-func (l *lab) bound() float64 {
-	in := routing.Input{Layers: labLayers}
+// bound returns the throughput bound of the engines that are alive.
+func (l *sim) bound() float64 {
+	in := routing.Input{Layers: simLayers}
 	var names []string
-	per := labLayers / l.spec.stages
+	per := simLayers / l.spec.stages
 	for name, e := range l.engines {
 		if !e.isDead() {
 			names = append(names, name)
@@ -210,7 +209,7 @@
 }
 
 // fastest returns the fastest engine whose name begins with prefix.
-func (l *lab) fastest(prefix string) string {
+func (l *sim) fastest(prefix string) string {
 	best := ""
 	for name, e := range l.engines {
 		if strings.HasPrefix(name, prefix) && (best == "" || e.rate > l.engines[best].rate || e.rate == l.engines[best].rate && name < best) {
@@ -220,56 +219,58 @@
 	return best
 }
 
-func (e *labEngine) isDead() bool {
+func (e *simEngine) isDead() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.dead
 }
 
-func (e *labEngine) kill() {
+func (e *simEngine) kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dead = true
 }
 
-func (e *labEngine) enter(d int) {
+// addInFlight adds d to the requests in flight.
+func (e *simEngine) addInFlight(d int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inFlight += d
-	e.past = append(e.past, sample{time.Now(), e.inFlight})
+	e.history = append(e.history, sample{time.Now(), e.inFlight})
 }
 
-// reported returns the load as it was one lag ago.
-func (e *labEngine) reported() (int, time.Duration) {
+// reported returns the requests in flight as of one report delay ago, and the
+// delay.
+func (e *simEngine) reported() (int, time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	lag := e.lab.spec.lag
+	delay := e.sim.spec.reportDelay
 	n := 0
-	for len(e.past) > 1 && time.Since(e.past[1].at) >= lag {
-		e.past = e.past[1:]
+	for len(e.history) > 1 && time.Since(e.history[1].at) >= delay {
+		e.history = e.history[1:]
 	}
-	if len(e.past) > 0 && time.Since(e.past[0].at) >= lag {
-		n = e.past[0].inFlight
+	if len(e.history) > 0 && time.Since(e.history[0].at) >= delay {
+		n = e.history[0].inFlight
 	}
-	return n, lag
+	return n, delay
 }
 
-func (e *labEngine) status() (backend.Status, error) {
+func (e *simEngine) status() (backend.Status, error) {
 	if e.isDead() {
 		return backend.Status{}, execution.ErrNotSent
 	}
-	n, lag := e.reported()
-	st := backend.Status{BackendServer: e.name, Boot: 1, Seq: 1, InFlight: n, LoadAge: lag.Seconds(), Capacity: e.rate}
+	n, delay := e.reported()
+	st := backend.Status{BackendServer: e.name, Boot: 1, Seq: 1, InFlight: n, LoadAge: delay.Seconds(), Capacity: e.rate}
 	var stage, i int
 	_, _ = fmt.Sscanf(e.name, "s%d-%d", &stage, &i)
-	per := labLayers / e.lab.spec.stages
-	st.Holdings = []backend.Holding{{Model: labModel, Version: "v1", Layers: topology.LayerRange{Lo: stage * per, Hi: stage*per + per}}}
+	per := simLayers / e.sim.spec.stages
+	st.Holdings = []backend.Holding{{Model: simModel, Version: "v1", Layers: topology.LayerRange{Lo: stage * per, Hi: stage*per + per}}}
 	return st, nil
 }
 
-// turn takes work tokens' time on the engine and waits for it.
-// A request with priority goes before those that queue.
-func (e *labEngine) turn(work float64, priority int) bool {
+// process processes work, in tokens, and returns when it is done; false means that
+// the engine is dead. A request with priority skips the queue.
+func (e *simEngine) process(work float64, priority int) bool {
 	e.mu.Lock()
 	if e.dead {
 		e.mu.Unlock()
@@ -280,18 +281,19 @@
 		e.nextFree = now
 	}
 	e.nextFree = e.nextFree.Add(time.Duration(work / e.rate * float64(time.Second)))
-	until := e.nextFree.Add(labTokenDelay)
+	until := e.nextFree.Add(simTokenDelay)
 	if priority > 0 {
-		until = now.Add(time.Duration(work/e.rate*float64(time.Second)) + labTokenDelay)
+		until = now.Add(time.Duration(work/e.rate*float64(time.Second)) + simTokenDelay)
 	}
 	e.mu.Unlock()
 	time.Sleep(until.Sub(now))
 	return !e.isDead()
 }
 
-func (k *labLink) pass() time.Duration {
+// transfer sends one token over the link and returns the time it took.
+func (k *simLink) transfer() time.Duration {
 	k.mu.Lock()
-	k.passes++
+	k.carried++
 	now := time.Now()
 	if k.nextFree.Before(now) {
 		k.nextFree = now
@@ -306,7 +308,7 @@
 }
 
 // Generate implements backend.Engine.
-func (l *lab) Generate(ctx context.Context, t backend.Target, g *backend.Generate) (backend.Stream, error) {
+func (l *sim) Generate(ctx context.Context, t backend.Target, g *backend.Generate) (backend.Stream, error) {
 	if l.engines[t.BackendServer].isDead() {
 		return nil, execution.ErrNotSent
 	}
@@ -316,9 +318,9 @@
 		}
 	}
 	for _, h := range g.Route {
-		l.engines[h.BackendServer].enter(1)
+		l.engines[h.BackendServer].addInFlight(1)
 	}
-	s := &labStream{lab: l, g: g, ctx: ctx, index: len(g.Prior)}
+	s := &simStream{sim: l, g: g, ctx: ctx, index: len(g.Prior)}
 	if len(g.Prior) > 0 {
 		s.prefill()
 	}
@@ -326,62 +328,62 @@
 }
 
 // Resume implements backend.Engine.
-func (l *lab) Resume(context.Context, backend.Target, string, int, int) (backend.Stream, error) {
+func (l *sim) Resume(context.Context, backend.Target, string, int, int) (backend.Stream, error) {
 	return nil, backend.ErrGone
 }
 
 // Cancel implements backend.Engine.
-func (l *lab) Cancel(context.Context, backend.Target, string, int) error { return nil }
+func (l *sim) Cancel(context.Context, backend.Target, string, int) error { return nil }
 
 // Status implements backend.Engine.
-func (l *lab) Status(_ context.Context, t backend.Target) (backend.Status, error) {
+func (l *sim) Status(_ context.Context, t backend.Target) (backend.Status, error) {
 	return l.engines[t.BackendServer].status()
 }
 
 // ExportKV implements backend.Engine.
-func (l *lab) ExportKV(context.Context, backend.Target, backend.ExportKV) (string, error) {
+func (l *sim) ExportKV(context.Context, backend.Target, backend.ExportKV) (string, error) {
 	return "", backend.ErrUnsupported
 }
 
 // Order implements backend.Engine.
-func (l *lab) Order(context.Context, backend.Target, backend.Order) error {
+func (l *sim) Order(context.Context, backend.Target, backend.Order) error {
 	return backend.ErrUnsupported
 }
 
 // CacheEvents implements backend.Engine.
-func (l *lab) CacheEvents(context.Context, backend.Target, func(backend.CacheEvent)) error {
+func (l *sim) CacheEvents(context.Context, backend.Target, func(backend.CacheEvent)) error {
 	return backend.ErrUnsupported
 }
 
-type labStream struct {
-	lab   *lab
+type simStream struct {
+	sim   *sim
 	g     *backend.Generate
 	ctx   context.Context
 	index int
 	once  sync.Once
 }
 
-// prefillWork is the work of one known token, in tokens.
+// prefillWork is the work of recomputing one known token, in tokens.
 const prefillWork = 0.1
 
-// prefill computes the known tokens again on hops without a KV cache of them.
-func (s *labStream) prefill() {
+// prefill recomputes the known tokens on hops that lack a KV cache of them.
+func (s *simStream) prefill() {
 	for _, h := range s.g.Route {
-		e := s.lab.engines[h.BackendServer]
+		e := s.sim.engines[h.BackendServer]
 		e.mu.Lock()
 		missing := len(s.g.Prior) - e.kv[s.g.RequestID]
 		e.mu.Unlock()
 		if missing > 0 {
-			s.lab.mu.Lock()
-			s.lab.recomputed += missing * (h.Layers.Hi - h.Layers.Lo)
-			s.lab.mu.Unlock()
-			e.turn(float64(missing)*prefillWork, s.g.Priority)
+			s.sim.mu.Lock()
+			s.sim.recomputed += missing * (h.Layers.Hi - h.Layers.Lo)
+			s.sim.mu.Unlock()
+			e.process(float64(missing)*prefillWork, s.g.Priority)
 		}
 	}
 }
 
 // Next implements backend.Stream.
-func (s *labStream) Next() (backend.Event, error) {
+func (s *simStream) Next() (backend.Event, error) {
 	ev := backend.Event{Type: backend.EventToken, RequestID: s.g.RequestID, Attempt: s.g.Attempt, Index: s.index, Text: "w"}
 	if s.index >= s.g.MaxTokens {
 		ev.Type = backend.EventDone
@@ -389,77 +391,78 @@
 		return ev, nil
 	}
 	for i, h := range s.g.Route {
-		e := s.lab.engines[h.BackendServer]
+		e := s.sim.engines[h.BackendServer]
 		began := time.Now()
-		if !e.turn(1, s.g.Priority) {
+		if !e.process(1, s.g.Priority) {
 			return s.failed(i, h.BackendServer)
 		}
 		if s.ctx.Err() != nil {
 			return ev, execution.ErrLost
 		}
-		load, lag := e.reported()
-		hl := backend.HopLoad{BackendServer: h.BackendServer, InFlight: load, AgeSeconds: lag.Seconds(), TokenSeconds: time.Since(began).Seconds(), Capacity: e.rate}
+		load, delay := e.reported()
+		hl := backend.HopLoad{BackendServer: h.BackendServer, InFlight: load, AgeSeconds: delay.Seconds(), TokenSeconds: time.Since(began).Seconds(), Capacity: e.rate}
 		e.mu.Lock()
 		e.kv[s.g.RequestID] = s.index + 1
 		e.mu.Unlock()
 		if i+1 < len(s.g.Route) {
 			hl.NextHop = s.g.Route[i+1].BackendServer
-			hl.LinkSeconds = s.lab.link(h.BackendServer, hl.NextHop).pass().Seconds()
+			hl.LinkSeconds = s.sim.link(h.BackendServer, hl.NextHop).transfer().Seconds()
 		}
 		if s.index%4 == 0 {
 			ev.Loads = append(ev.Loads, hl)
 		}
 	}
-	s.lab.mu.Lock()
-	s.lab.steps += len(s.g.Route)
-	s.lab.mu.Unlock()
+	s.sim.mu.Lock()
+	s.sim.steps += len(s.g.Route)
+	s.sim.mu.Unlock()
 	s.index++
 	return ev, nil
 }
 
-// failed tells of a dead hop: the head says so, unless it is the dead one.
-func (s *labStream) failed(i int, name string) (backend.Event, error) {
+// failed reports a dead hop: a failure event if the head is alive, or a lost
+// connection if the head itself is dead.
+func (s *simStream) failed(i int, name string) (backend.Event, error) {
 	if i == 0 {
 		return backend.Event{}, execution.ErrLost
 	}
 	return backend.Event{Type: backend.EventFailed, RequestID: s.g.RequestID, Attempt: s.g.Attempt, Failed: name}, nil
 }
 
-func (s *labStream) leave() {
+func (s *simStream) leave() {
 	s.once.Do(func() {
 		for _, h := range s.g.Route {
-			s.lab.engines[h.BackendServer].enter(-1)
+			s.sim.engines[h.BackendServer].addInFlight(-1)
 		}
 	})
 }
 
 // Close implements backend.Stream.
-func (s *labStream) Close() error {
+func (s *simStream) Close() error {
 	s.leave()
 	return nil
 }
 
-// result is what one request showed.
+// result is the outcome of one request.
 type result struct {
 	workspace string
 	priority  int
 	began     time.Time
 	tokens    int
-	asked     int         // tokens
-	times     []time.Time // of the tokens
+	asked     int         // tokens requested
+	times     []time.Time // arrival of each token
 	err       *apierror.Error
 	took      time.Duration
 }
 
-// labSink notes the time of each token.
-type labSink struct{ times []time.Time }
+// simSink records the arrival time of each token.
+type simSink struct{ times []time.Time }
 
-func (s *labSink) Token(dispatch.Token) error {
+func (s *simSink) Token(dispatch.Token) error {
 	s.times = append(s.times, time.Now())
 	return nil
 }
 
-// alertTokens bounds the answers of requests with priority: alerts are short.
+// alertTokens bounds the answers of requests with priority.
 const alertTokens = 24
 
 // load is an open-loop arrival process.
@@ -472,7 +475,7 @@
 }
 
 // run sends the load and returns the results when all requests have ended.
-func (l *lab) run(ld load) []*result {
+func (l *sim) run(ld load) []*result {
 	rng := rand.New(rand.NewPCG(l.spec.seed, 2))
 	var mu sync.Mutex
 	var out []*result
@@ -480,7 +483,7 @@
 	w := &topology.Workspace{Name: "w"}
 	end := time.Now().Add(ld.length)
 	for n := 0; time.Now().Before(end); n++ {
-		req := &dispatch.Request{ID: fmt.Sprint("r", n), Workspace: w, Model: labModel, MaxTokens: 1 + rng.IntN(2*labTokens-1), Repeatable: true}
+		req := &dispatch.Request{ID: fmt.Sprint("r", n), Workspace: w, Model: simModel, MaxTokens: 1 + rng.IntN(2*simTokens-1), Repeatable: true}
 		if ld.workspace != nil {
 			req.Workspace = ld.workspace(rng)
 		}
@@ -495,7 +498,7 @@
 		}
 		d := l.daemons[rng.IntN(len(l.daemons))]
 		wg.Go(func() {
-			res := l.one(d, req)
+			res := l.runRequest(d, req)
 			mu.Lock()
 			out = append(out, res)
 			mu.Unlock()
@@ -506,7 +509,7 @@
 	return out
 }
 
-func (l *lab) one(d *dispatch.Dispatcher, req *dispatch.Request) *result {
+func (l *sim) runRequest(d *dispatch.Dispatcher, req *dispatch.Request) *result {
 	ctx := context.Background()
 	if !req.Deadline.IsZero() {
 		c, cancel := context.WithDeadline(ctx, req.Deadline)
@@ -514,7 +517,7 @@
 		ctx = c
 	}
 	r := &result{workspace: req.Workspace.Name, priority: req.Priority, asked: req.MaxTokens, began: time.Now()}
-	s := &labSink{}
+	s := &simSink{}
 	out, err := d.Do(ctx, req, s)
 	r.took, r.times, r.tokens = time.Since(r.began), s.times, out.Tokens
 	if err != nil {
@@ -523,7 +526,7 @@
 	return r
 }
 
-// rate returns the tokens a second of whole answers' streams in [from, to).
+// rate returns the tokens delivered per second in [from, to).
 func rate(rs []*result, from, to time.Time) float64 {
 	n := 0
 	for _, r := range rs {
--- a/dispatch/watchdog.go
+++ b/dispatch/watchdog.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// stallError ends an attempt that produced no token in time; it is errStalled.
+// stallError is an errStalled that names the hops that do not answer.
 type stallError struct{ silent []string }
 
 // Error implements error.
@@ -18,52 +18,53 @@
 	return errStalled.Error() + ", no answer from " + strings.Join(e.silent, " ")
 }
 
-// Is makes a stallError an errStalled.
+// Is reports whether target is errStalled.
 func (e *stallError) Is(target error) bool { return target == errStalled }
 
-// watchdog ends an attempt that is silent for too long. When the bound passes
-// it asks the hops whether they answer at all: if one does not, the attempt ends
-// at once; if all do, they are slow, and it waits on, twice as long each time up
-// to the ceiling. Under load a tight bound then costs a question, not a stream.
+// watchdog ends an attempt whose next event does not arrive in time. When the
+// bound passes it probes the hops: if one does not answer, the attempt ends at
+// once; if all answer, it waits on and doubles the bound up to the ceiling. A
+// tight bound therefore costs a probe under load, but does not break streams.
 type watchdog struct {
 	silent func() []string
 	cancel context.CancelCauseFunc
 
-	mu    sync.Mutex
-	timer *time.Timer
-	turn  int // grows with each arm and disarm; an answer to an older turn is void
-	bound time.Duration
-	ceil  time.Duration
+	mu         sync.Mutex
+	timer      *time.Timer
+	generation int // incremented by arm and disarm; probes of an older generation are ignored
+	bound      time.Duration
+	ceiling    time.Duration
 }
 
 func (r *run) newWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
 	route := r.route
 	w := &watchdog{cancel: cancel, silent: func() []string { return r.d.alive.Silent(ctx, route) }}
-	w.timer = time.AfterFunc(time.Hour, w.fire)
+	w.timer = time.AfterFunc(time.Hour, w.onTimeout)
 	w.timer.Stop()
 	return w
 }
 
-// arm starts waiting for the next event.
-func (w *watchdog) arm(bound, ceil time.Duration) {
+// arm starts the timer for the next event.
+func (w *watchdog) arm(bound, ceiling time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn++
-	w.bound, w.ceil = bound, ceil
+	w.generation++
+	w.bound, w.ceiling = bound, ceiling
 	w.timer.Reset(bound)
 }
 
-// disarm says that the event has come.
+// disarm stops the timer after the event has arrived.
 func (w *watchdog) disarm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn++
+	w.generation++
 	w.timer.Stop()
 }
 
-func (w *watchdog) fire() {
+// onTimeout runs when the timer expires.
+func (w *watchdog) onTimeout() {
 	w.mu.Lock()
-	turn, last := w.turn, w.bound >= w.ceil
+	generation, last := w.generation, w.bound >= w.ceiling
 	w.mu.Unlock()
 	var silent []string
 	if !last {
@@ -71,13 +72,13 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if turn != w.turn {
-		return // the event came meanwhile
+	if generation != w.generation {
+		return // the event arrived during the probe
 	}
 	if last || len(silent) > 0 {
 		w.cancel(&stallError{silent: silent})
 		return
 	}
-	w.bound = min(2*w.bound, w.ceil)
+	w.bound = min(2*w.bound, w.ceiling)
 	w.timer.Reset(w.bound)
 }
