--- a/execution/errors.go
+++ b/execution/errors.go
@@ -2,19 +2,18 @@
 
 import "errors"
 
-// Sentinel errors of sending a request to a backend server, on both faces. Each
-// says what is certain about execution; an adapter must choose the weakest
-// statement that is.
+// Errors of sending a request to a backend server. Each states what is certain
+// about execution; an adapter must return the weakest statement that is certain.
 var (
-	// ErrNotSent says that no byte was handed to a connection.
+	// ErrNotSent means that no byte was written to a connection.
 	ErrNotSent = errors.New("execution: not sent")
-	// ErrRefused says that the backend server answered that it did not run.
+	// ErrRefused means that the backend server reported that the request did not run.
 	ErrRefused = errors.New("execution: refused, not run")
-	// ErrLost says that contact was lost after sending; it may have run.
+	// ErrLost means that contact was lost after sending; the request may have run.
 	ErrLost = errors.New("execution: contact lost")
 )
 
-// After returns the state in which a failed send leaves a request.
+// After returns the state of a request whose send failed with err.
 func After(err error) State {
 	switch {
 	case errors.Is(err, ErrNotSent):
--- a/execution/life.go
+++ b/execution/life.go
@@ -1,7 +1,7 @@
-// Package execution keeps what is known about whether a request ran: one state
-// machine for both faces of the daemon, which asserts that a request that may
-// not be repeated is under way at most once and that "not run" is never said of
-// one that may have run.
+// Package execution tracks whether a request ran. Its state machine, used for
+// model requests, plain services and the platform's requests, asserts that a
+// request that is not repeatable is in progress at most once, and that a request
+// that may have run is never answered as not run.
 package execution
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// State says what is known about the execution of a request.
+// State is what is known about the execution of a request.
 type State uint8
 
-// The states. Only NotSent and Refused may be answered as not run.
+// The states. Only NotSent and Refused allow an answer of not run.
 const (
-	NotSent   State = iota // no byte was handed to a connection
-	Sent                   // handed over, no explicit answer yet
-	Refused                // the backend server said that it did not run
-	Delivered              // the whole answer was received
+	NotSent   State = iota // no byte was written to a connection
+	Sent                   // written, no explicit answer yet
+	Refused                // the backend server reported that it did not run
+	Delivered              // the complete answer was received
 	Unknown                // contact was lost, or a stage failed, after sending
 )
 
@@ -28,11 +28,11 @@
 	return [...]string{"not_sent", "sent", "refused", "delivered", "unknown"}[s]
 }
 
-// NotRun reports whether the request surely did not run.
+// NotRun reports whether the request certainly did not run.
 func (s State) NotRun() bool { return s == NotSent || s == Refused }
 
-// Legal reports whether a request may go from one state to another. Sending
-// again from Unknown starts a second execution, so it takes a repeatable request.
+// Legal reports whether a request may go from one state to another. Sending again
+// from Unknown may start a second execution, so the request must be repeatable.
 func Legal(from, to State, repeatable bool) bool {
 	switch from {
 	case NotSent:
@@ -52,18 +52,18 @@
 	state      State
 	ran        bool // some attempt ran, at least in part
 	repeatable bool
-	sends      int // times that execution may have begun
+	sends      int // executions that may have begun
 }
 
-// New returns the life of a request that was not sent yet.
+// New returns the Life of a request that was not sent yet.
 func New(repeatable bool) Life { return Life{repeatable: repeatable} }
 
-// Begun returns the life of a request that another daemon has sent.
+// Begun returns the Life of a request that another daemon has sent.
 func Begun(repeatable bool) Life {
 	return Life{state: Unknown, ran: true, repeatable: repeatable, sends: 1}
 }
 
-// State returns what is known now.
+// State returns the current state.
 func (l *Life) State() State { return l.state }
 
 // Repeatable reports whether the request may run more than once.
@@ -72,10 +72,10 @@
 // HasRun reports whether some attempt is known to have run, at least in part.
 func (l *Life) HasRun() bool { return l.ran }
 
-// MarkRan notes that an attempt runs or ran.
+// MarkRan records that an attempt runs or ran.
 func (l *Life) MarkRan() { l.ran = true }
 
-// Move goes to a state or reports a violated promise.
+// Move goes to a state. It returns an error if that violates invariant.AtMostOnce.
 func (l *Life) Move(to State) error {
 	if to == Unknown && l.state == Unknown {
 		return nil // a resumed stream broke again
@@ -84,7 +84,7 @@
 		return invariant.Check(false, invariant.AtMostOnce, "illegal transition %s to %s", l.state, to)
 	}
 	if to == NotSent || to == Refused {
-		l.sends-- // that one surely did not run
+		l.sends-- // that attempt did not run
 	}
 	if to == Sent {
 		l.sends++
@@ -94,21 +94,22 @@
 		"a request that is not repeatable was sent %d times", l.sends)
 }
 
-// NotRun reports whether no attempt can have run.
+// NotRun reports whether certainly no attempt ran.
 func (l *Life) NotRun() bool { return l.state.NotRun() && !l.ran && l.sends == 0 }
 
-// Truth turns any error into an answer that is true now, or into the fault of an
-// answer that is not.
+// Truth converts any error into an answer that correctly states whether the
+// request ran. If the result is not correct, it returns the violated invariant.
 func (l *Life) Truth(err error) *apierror.Error {
-	e := l.answer(apierror.From(err))
+	e := l.correct(apierror.From(err))
 	if verr := l.checkAnswer(e); verr != nil {
 		return apierror.From(verr)
 	}
 	return e
 }
 
-// answer turns an error into one whose statement about execution is true now.
-func (l *Life) answer(e *apierror.Error) *apierror.Error {
+// correct replaces an error that states that the request did not run if it ran or
+// may have run.
+func (l *Life) correct(e *apierror.Error) *apierror.Error {
 	if l.NotRun() || !e.NotRun() {
 		return e
 	}
@@ -119,7 +120,7 @@
 	return &apierror.Error{Kind: kind, Detail: fmt.Sprintf("%s, after it had been sent", e.Detail), Err: e}
 }
 
-// checkAnswer asserts that an answer as not run is true.
+// checkAnswer asserts that an answer of not run is given only if nothing ran.
 func (l *Life) checkAnswer(e *apierror.Error) error {
 	return invariant.Check(!e.NotRun() || l.NotRun(), invariant.NotRunIsTrue,
 		"%s answered in state %s after %d sends", e.Kind, l.state, l.sends)
--- a/execution/life_test.go
+++ b/execution/life_test.go
@@ -12,12 +12,12 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// Whatever happens, a request that is not repeatable is under way at most once,
-// and an answer as not run is given only when nothing ran.
-func TestLifeNeverLies(t *testing.T) {
+// After any sequence of legal transitions, a request that is not repeatable must be
+// in progress at most once, and an answer of not run must mean that nothing ran.
+func TestAnswerMatchesExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(rapid.Bool().Draw(t, "repeatable"))
-		executions := 0 // that may have begun
+		executions := 0 // executions that may have begun
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			to := State(rapid.IntRange(int(NotSent), int(Unknown)).Draw(t, "to"))
 			if !Legal(l.state, to, l.repeatable) {
@@ -34,7 +34,7 @@
 			if !l.repeatable && executions > 1 {
 				t.Fatalf("%d executions", executions)
 			}
-			e := l.answer(apierror.New(apierror.Overloaded, "x"))
+			e := l.correct(apierror.New(apierror.Overloaded, "x"))
 			if executions > 0 && apierror.Lookup(e.Kind).Ran == apierror.RanNo {
 				t.Fatalf("answered %s with %d executions under way", e.Kind, executions)
 			}
@@ -43,7 +43,7 @@
 	})
 }
 
-func TestIllegalMoveFires(t *testing.T) {
+func TestIllegalMoveViolatesInvariant(t *testing.T) {
 	before := invariant.Count(invariant.AtMostOnce)
 	l := Life{state: Unknown, sends: 1}
 	require.Error(t, l.Move(Sent))
@@ -53,7 +53,7 @@
 	require.Equal(t, before+1, invariant.Count(invariant.NotRunIsTrue))
 }
 
-// An error that says nothing of execution leaves it unknown.
+// An error that does not state whether the request ran must lead to Unknown.
 func TestStateAfterAnError(t *testing.T) {
 	require.Equal(t, NotSent, After(fmt.Errorf("dial: %w", ErrNotSent)))
 	require.Equal(t, Refused, After(fmt.Errorf("%w: full", ErrRefused)))
--- a/execution/run.go
+++ b/execution/run.go
@@ -7,30 +7,30 @@
 	"github.com/snowspoke/snowspoke/apierror"
 )
 
-// Verdict is what a send leaves to be done.
+// Verdict is the result of a send and decides whether another may follow.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Answered   Verdict = iota // the caller has an answer, or gets the error as one
-	NotRunHere                // surely did not run; may be sent elsewhere
+	Answered   Verdict = iota // final: the caller has an answer, or gets the error
+	NotRunHere                // did not run; may be sent elsewhere
 	MayHaveRun                // may be sent again only if the request is repeatable
 )
 
-// Sender makes the sends of one request.
+// Sender performs the sends of one request.
 type Sender interface {
-	// Send finds a target, sends the request there once and carries the answer.
+	// Send picks a target, sends the request there once and relays the answer.
 	Send(ctx context.Context) (Verdict, error)
-	// Retry reports whether the request may be sent once more after a verdict, and
-	// takes the retry out of its budget. It may wait until there is one.
+	// Retry reports whether the request may be sent again after a verdict, and takes
+	// the retry out of its budget. It may wait for a retry to become available.
 	Retry(ctx context.Context, v Verdict) bool
-	// Progress says how far the request has come, for the details of errors.
+	// Progress describes how far the request got, for error details.
 	Progress() string
 }
 
-// Run sends a request until it is answered or may not be sent again. It is the one
-// loop of the platform's requests and of plain services; an error is an
-// *apierror.Error that is true of all sends together.
+// Run sends a request until it is answered or may not be sent again. The platform's
+// requests and plain services use it. An error is an *apierror.Error that holds for
+// all sends together.
 func (l *Life) Run(ctx context.Context, s Sender) error {
 	for {
 		v, err := s.Send(ctx)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Ended returns the answer to a request whose context has ended, since its
-// deadline passed or its caller went away, or is about to end by its deadline.
+// Ended returns the error of a request whose deadline has passed or is about to
+// pass, or whose caller canceled it.
 func (l *Life) Ended(ctx context.Context, progress string) *apierror.Error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.DeadlineExceeded) {
 		return apierror.New(apierror.CallerGone, "%s", progress)
@@ -71,7 +71,7 @@
 	return apierror.New(apierror.OutcomeUnknown, "the deadline passed before the backend server answered, %s", progress)
 }
 
-// GaveUp returns the answer to a request that is not sent again after err.
+// GaveUp returns the error of a request that is not sent again after err.
 func (l *Life) GaveUp(err error) *apierror.Error {
 	kind := apierror.OutcomeUnknown
 	switch {
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -12,19 +12,19 @@
 	"github.com/snowspoke/snowspoke/apierror"
 )
 
-// script is a Sender whose sends end as written; it ends its context, or is out of
-// retries, after so many.
-type script struct {
+// scriptedSender is a Sender whose sends return the given errors. It ends its
+// context after endAt sends.
+type scriptedSender struct {
 	life    *Life
-	sends   []error // nil for a whole answer
+	sends   []error // nil means a complete answer
 	retries int
 	cancel  context.CancelFunc
-	endAt   int // sends after which the context ends, 0 for never
+	endAt   int // sends after which the context ends, 0 means never
 	made    int
 	ran     int // sends that may have run
 }
 
-func (s *script) Send(context.Context) (Verdict, error) {
+func (s *scriptedSender) Send(context.Context) (Verdict, error) {
 	err := s.sends[min(s.made, len(s.sends)-1)]
 	s.made++
 	if s.made == s.endAt {
@@ -48,21 +48,21 @@
 	return MayHaveRun, err
 }
 
-func (s *script) Retry(context.Context, Verdict) bool {
+func (s *scriptedSender) Retry(context.Context, Verdict) bool {
 	s.retries--
 	return s.retries >= 0
 }
 
-func (s *script) Progress() string { return fmt.Sprintf("after %d sends", s.made) }
+func (s *scriptedSender) Progress() string { return fmt.Sprintf("after %d sends", s.made) }
 
-// However sends end, a request that is not repeatable may have run once at most,
-// and what the answer says of that is true.
-func TestRunNeverLiesNorRepeats(t *testing.T) {
+// Whatever errors the sends return, a request that is not repeatable must not run
+// twice, and the answer must state correctly whether it ran.
+func TestRunOutcomeMatchesSends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		l := New(rapid.Bool().Draw(t, "repeatable"))
-		s := &script{
+		s := &scriptedSender{
 			life: &l, cancel: cancel, retries: rapid.IntRange(0, 4).Draw(t, "retries"), endAt: rapid.IntRange(0, 4).Draw(t, "end"),
 			sends: rapid.SliceOfN(rapid.SampledFrom([]error{ErrNotSent, ErrRefused, ErrLost, nil}), 1, 6).Draw(t, "sends"),
 		}
@@ -84,8 +84,9 @@
 	})
 }
 
-// A deadline that passes while nothing is known to run does not claim that it did.
-func TestEndedSaysWhatIsKnown(t *testing.T) {
+// A deadline that passes while the request is not known to run must not be answered
+// as if it had run.
+func TestEndedMatchesState(t *testing.T) {
 	passed, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
 	gone, leave := context.WithCancel(context.Background())
