--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Bucket is a token bucket: a daemon's share of a workspace's limit. It is not
+// Bucket is a token bucket for a daemon's share of a workspace's limit. It is not
 // safe for concurrent use.
 type Bucket struct {
 	tokens float64
-	at     time.Time
+	at     time.Time // of the last refill
 	fullAt time.Time
 }
 
-// bucketEps absorbs the rounding of the refill.
+// bucketEps absorbs rounding errors of the refill.
 const bucketEps = 1e-9
 
-// Take takes one request out of a bucket that refills with rate per second up
-// to burst. When it is empty, wait is the time until the next one.
+// Take takes one request out of a bucket that refills at rate per second up to
+// burst. If none is left, wait is the time until the next one.
 func (b *Bucket) Take(rate, burst float64, now time.Time) (ok bool, wait time.Duration) {
 	if rate <= 0 {
 		return true, 0
@@ -40,6 +40,5 @@
 	return false, time.Duration(math.Ceil((1 - b.tokens) / rate * float64(time.Second)))
 }
 
-// Idle reports whether a bucket is full again, so that a new one would be no
-// different.
+// Idle reports whether the bucket is full again and so equivalent to a new one.
 func (b *Bucket) Idle(now time.Time) bool { return !now.Before(b.fullAt) }
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// budgetSlots divide the window of a budget. One more is kept: the present slot
-// has only begun, and a window that ends now reaches into the oldest.
+// budgetSlots is the number of slots per window. One more slot is kept: the current
+// slot is incomplete, so a window that ends now reaches into the oldest one.
 const (
 	budgetSlots = 10
 	slotsKept   = budgetSlots + 1
 )
 
-// Budget bounds retries in a sliding window to a share of what earned them and a
-// slack, so that retries cannot multiply the load when many backend servers
-// fail. It is safe for concurrent use.
+// Budget limits the retries in a sliding window to a ratio of the requests plus a
+// slack, so that retries cannot multiply the load when many backend servers fail.
+// It is safe for concurrent use.
 type Budget struct {
 	window time.Duration
 
@@ -26,18 +26,18 @@
 	slot    int64
 }
 
-// Part is the part of a budget that a retry may use, 1 for all of it: daemons
-// that share a budget each use a part of its slack.
+// Part holds the fractions of a budget that a retry may use. Daemons that share a
+// budget each use a part of its slack.
 type Part struct {
-	Ratio float64 // of the retries that were earned here
-	Slack float64 // of the slack
+	Ratio float64 // fraction of the earned retries
+	Slack float64 // fraction of the slack
 }
 
-// Whole is the whole of a budget.
+// Whole is an entire budget.
 var Whole = Part{Ratio: 1, Slack: 1}
 
-// NewBudget returns a budget of ratio retries for each request of a window, and
-// slack beyond.
+// NewBudget returns a budget that allows, per window, ratio retries for each
+// request plus slack.
 func NewBudget(ratio, slack float64, window time.Duration) *Budget {
 	if window <= 0 {
 		window = budgetSlots * time.Second
@@ -61,7 +61,7 @@
 	b.slot = max(b.slot, slot)
 }
 
-// Earn counts a request.
+// Earn counts a request, which earns ratio retries.
 func (b *Budget) Earn(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,8 +81,7 @@
 	return float64(retries+1) <= p.Ratio*b.ratio*float64(earned)+p.Slack*b.slack
 }
 
-// sums returns what was earned and retried in the window. The caller holds the
-// lock.
+// sums returns the requests and retries in the window. The caller holds the lock.
 func (b *Budget) sums(now time.Time) (earned, retries int) {
 	b.advance(now)
 	for i := range b.earned {
@@ -92,7 +91,7 @@
 	return earned, retries
 }
 
-// Spend takes one retry out of a part of the budget; false means that none is
+// Spend takes one retry out of a part of the budget and reports whether one was
 // left.
 func (b *Budget) Spend(now time.Time, p Part) bool {
 	b.mu.Lock()
@@ -104,7 +103,7 @@
 	return true
 }
 
-// Return gives back a retry that was spent at a time and was not made.
+// Return returns a retry that was taken at spent and was not made.
 func (b *Budget) Return(spent time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -114,8 +113,8 @@
 	}
 }
 
-// Idle reports whether nothing happened within the window, so that a new budget
-// would be no different.
+// Idle reports whether the window holds no requests and no retries, so that the
+// budget is equivalent to a new one.
 func (b *Budget) Idle(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/budget_test.go
+++ b/admission/budget_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestBudgetHoldsInEverySlidingWindow(t *testing.T) {
+func TestBudgetBoundsEverySlidingWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 10 * time.Second
 		daemons := rapid.IntRange(1, 8).Draw(t, "daemons")
@@ -26,7 +26,7 @@
 				retries = append(retries, now)
 			}
 		}
-		// The requests of the window and of the one before it count for its retries.
+		// Requests of the window and of the one before it may earn its retries.
 		for _, end := range retries {
 			spent := 0
 			for _, r := range retries {
@@ -45,7 +45,7 @@
 	})
 }
 
-func TestBudgetComesBackAfterTheWindow(t *testing.T) {
+func TestBudgetRecoversAfterWindow(t *testing.T) {
 	b := NewBudget(0, 10, 10*time.Second)
 	now := time.Unix(1000, 0)
 	for b.Spend(now, Whole) {
@@ -54,8 +54,8 @@
 	require.True(t, b.Allows(now.Add(11*time.Second), Whole))
 }
 
-// What is earned as time goes on can be spent, beside one slack a window.
-func TestBudgetEarnsAShare(t *testing.T) {
+// Each window must allow the earned retries in addition to the slack.
+func TestBudgetAddsEarnedToSlack(t *testing.T) {
 	b := NewBudget(0.1, 10, 10*time.Second)
 	now := time.Unix(1000, 0)
 	spent := 0
--- a/admission/heap.go
+++ b/admission/heap.go
@@ -1,13 +1,13 @@
 package admission
 
-// node is an element of a minHeap that knows its own place in it.
+// node is an element of a minHeap that stores its own index.
 type node[T any] interface {
 	before(other T) bool
-	place(index int) // -1 when it is taken out
+	setIndex(index int) // -1 when it is removed
 }
 
-// minHeap implements heap.Interface; elements can be fixed and removed by their
-// place.
+// minHeap implements heap.Interface. Elements can be fixed and removed by their
+// index.
 type minHeap[T node[T]] []T
 
 // Len implements heap.Interface.
@@ -19,14 +19,14 @@
 // Swap implements heap.Interface.
 func (h minHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place(i)
-	h[j].place(j)
+	h[i].setIndex(i)
+	h[j].setIndex(j)
 }
 
 // Push implements heap.Interface.
 func (h *minHeap[T]) Push(x any) {
 	n := x.(T)
-	n.place(len(*h))
+	n.setIndex(len(*h))
 	*h = append(*h, n)
 }
 
@@ -37,7 +37,7 @@
 	var none T
 	old[len(old)-1] = none
 	*h = old[:len(old)-1]
-	last.place(-1)
+	last.setIndex(-1)
 	return last
 }
 
@@ -49,9 +49,9 @@
 	return w.seq < o.seq
 }
 
-func (w *Waiting) place(index int) { w.index = index }
+func (w *Waiting) setIndex(index int) { w.index = index }
 
-// before orders workspaces by their virtual time.
+// before orders flows by virtual time, then by workspace.
 func (f *flow) before(o *flow) bool {
 	if f.start != o.start {
 		return f.start < o.start
@@ -59,4 +59,4 @@
 	return f.workspace < o.workspace
 }
 
-func (f *flow) place(index int) { f.index = index }
+func (f *flow) setIndex(index int) { f.index = index }
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// LimitConfig bounds an adaptive concurrency limit.
+// LimitConfig configures an adaptive concurrency limit.
 type LimitConfig struct {
 	Initial   float64
 	Min, Max  float64
-	Tolerance float64 // latency above the least seen, as a factor, that is still fine
-	Smoothing float64 // weight of a new limit
+	Tolerance float64 // ratio of latency to its minimum that is accepted as normal
+	Smoothing float64 // weight of a new limit in the moving average
 }
 
-// DefaultLimitConfig returns bounds for continuously batching engines, whose
-// latency grows slowly with the batch until they are saturated.
+// DefaultLimitConfig returns a configuration for continuously batching engines,
+// whose latency grows slowly with the batch until they are saturated.
 func DefaultLimitConfig() LimitConfig {
 	return LimitConfig{Initial: 64, Min: 2, Max: 4096, Tolerance: 2.5, Smoothing: 0.12}
 }
 
-// Limit adapts how many requests one daemon keeps on one backend server, by the
-// gradient of latency: the least token time seen against the present one. It is
+// Limit adapts the number of requests that one daemon keeps in flight on one
+// backend server, by the ratio of the minimum token time to the current one. It is
 // not safe for concurrent use.
 type Limit struct {
 	cfg     LimitConfig
 	limit   float64
-	least   float64 // seconds, slowly forgotten
-	current float64 // seconds, smoothed
+	minimum float64 // token time in seconds, grows slowly by minimumGrowth
+	current float64 // token time in seconds, smoothed
 }
 
 // Gains of the latency estimates.
 const (
-	leastDecay  = 1.0005 // growth of the least latency per sample, so that it follows changes
-	currentGain = 0.1
+	minimumGrowth = 1.0005 // per sample, so that the minimum follows lasting changes
+	currentGain   = 0.1
 )
 
-// NewLimit returns a limit at its initial value.
+// NewLimit returns a Limit at its initial value.
 func NewLimit(cfg LimitConfig) *Limit { return &Limit{cfg: cfg, limit: cfg.Initial} }
 
-// Observe takes the token time of one request while inFlight were running, and
-// returns the new limit.
+// Observe adds the token time d of one request, measured with inFlight requests in
+// flight, and returns the new limit.
 func (l *Limit) Observe(d time.Duration, inFlight int) int {
 	x := d.Seconds()
 	if x <= 0 {
 		return l.Value()
 	}
-	if l.least == 0 {
-		l.least, l.current = x, x
+	if l.minimum == 0 {
+		l.minimum, l.current = x, x
 	}
-	l.least = math.Min(x, l.least*leastDecay)
+	l.minimum = math.Min(x, l.minimum*minimumGrowth)
 	l.current += currentGain * (x - l.current)
-	gradient := math.Max(0.5, math.Min(1, l.cfg.Tolerance*l.least/l.current))
+	gradient := math.Max(0.5, math.Min(1, l.cfg.Tolerance*l.minimum/l.current))
 	target := l.limit*gradient + math.Sqrt(l.limit)
 	if target > l.limit && float64(inFlight) < l.limit/2 {
-		return l.Value() // the limit is not what holds the load down
+		return l.Value() // the load is low for reasons other than the limit
 	}
 	l.limit += l.cfg.Smoothing * (target - l.limit)
 	l.limit = math.Max(l.cfg.Min, math.Min(l.cfg.Max, l.limit))
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,7 +1,7 @@
-// Package admission decides which request runs next and which is refused: an
-// adaptive concurrency limit per backend server, a queue per model that is fair
-// over workspaces, token buckets for workspace limits, and retry budgets. It is
-// pure: state and a clock in, decision and reasons out.
+// Package admission provides the parts that decide which request runs next and
+// which is refused: an adaptive concurrency limit per backend server, a queue that
+// is fair between workspaces, token buckets for workspace limits, and retry
+// budgets. It does no I/O and reads no clock; callers pass the current time.
 package admission
 
 import (
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Waiting is a request in the queue.
+// Waiting is a request in a Queue.
 type Waiting struct {
 	Workspace string
 	Weight    float64 // share of the workspace, above 0
 	Priority  int     // higher goes first
 	Deadline  time.Time
 	Cost      float64 // expected work, such as tokens; 0 counts as 1
-	Owner     any     // whatever the caller needs to find its request again
+	Owner     any     // set by the caller to identify its request
 
 	index int // in its flow's heap, -1 when not queued
 	seq   uint64
@@ -24,26 +24,26 @@
 	band  *band
 }
 
-// Queue orders waiting requests: the highest priority first, within it the
-// workspaces in proportion to their weights, within a workspace the earliest
-// deadline. It is not safe for concurrent use.
+// Queue orders waiting requests by priority, highest first. Within a priority it
+// serves workspaces in proportion to their weights, and within a workspace the
+// earliest deadline first. It is not safe for concurrent use.
 type Queue struct {
-	bands map[int]*band
-	order []int // priorities in use, highest first
-	size  int
-	seq   uint64
+	bands      map[int]*band
+	priorities []int // in use, highest first
+	size       int
+	seq        uint64
 }
 
 // band holds the requests of one priority.
 type band struct {
-	priority int
-	flows    map[string]*flow
-	active   minHeap[*flow]
-	virtual  float64 // start of the flow served last
+	priority    int
+	flows       map[string]*flow
+	active      minHeap[*flow]
+	virtualTime float64 // highest start of a flow when it was served
 }
 
-// flow holds the requests of one workspace in one band. start is its virtual
-// time: the work it got so far divided by its weight (start-time fair queueing).
+// flow holds the requests of one workspace in one band. start is its virtual time:
+// the work served so far divided by its weight (start-time fair queueing).
 type flow struct {
 	workspace string
 	start     float64
@@ -68,7 +68,7 @@
 	}
 	f := b.flows[w.Workspace]
 	if f == nil {
-		f = &flow{workspace: w.Workspace, index: -1, start: b.virtual}
+		f = &flow{workspace: w.Workspace, index: -1, start: b.virtualTime}
 		b.flows[w.Workspace] = f
 	}
 	f.weight = w.Weight
@@ -77,25 +77,25 @@
 	heap.Push(&f.items, w)
 	q.size++
 	if f.index < 0 {
-		// A workspace that was idle earns no credit for that time.
-		f.start = max(f.start, b.virtual)
+		// A workspace earns no credit for the time that it was idle.
+		f.start = max(f.start, b.virtualTime)
 		heap.Push(&b.active, f)
 	}
 }
 
 func (q *Queue) insertPriority(p int) {
 	i := 0
-	for i < len(q.order) && q.order[i] > p {
+	for i < len(q.priorities) && q.priorities[i] > p {
 		i++
 	}
-	q.order = append(q.order, 0)
-	copy(q.order[i+1:], q.order[i:])
-	q.order[i] = p
+	q.priorities = append(q.priorities, 0)
+	copy(q.priorities[i+1:], q.priorities[i:])
+	q.priorities[i] = p
 }
 
-// Peek returns the request that is next, or nil.
+// Peek returns the next request, or nil.
 func (q *Queue) Peek() *Waiting {
-	for _, p := range q.order {
+	for _, p := range q.priorities {
 		if b := q.bands[p]; len(b.active) > 0 {
 			return b.active[0].items[0]
 		}
@@ -103,14 +103,14 @@
 	return nil
 }
 
-// Pop takes the next request out of the queue, or returns nil.
+// Pop removes and returns the next request, or returns nil.
 func (q *Queue) Pop() *Waiting {
 	w := q.Peek()
 	if w == nil {
 		return nil
 	}
 	f, b := w.flow, w.band
-	b.virtual = max(b.virtual, f.start)
+	b.virtualTime = max(b.virtualTime, f.start)
 	f.start += max(w.Cost, 1) / w.Weight
 	q.detach(w)
 	if f.index >= 0 {
@@ -119,8 +119,8 @@
 	return w
 }
 
-// Remove takes a request out of the queue before its turn; false means that it
-// was not queued any more.
+// Remove removes a request that is not served and reports whether it was still
+// queued. The work is not charged to its workspace.
 func (q *Queue) Remove(w *Waiting) bool {
 	if w.flow == nil || w.index < 0 {
 		return false
@@ -137,27 +137,27 @@
 		return
 	}
 	heap.Remove(&b.active, f.index)
-	q.forgetIdle(b)
+	q.dropIdleFlows(b)
 }
 
-// forgetIdle drops the flows that are behind the band's virtual time once there
-// are many: a fresh flow would start at the same point.
-func (q *Queue) forgetIdle(b *band) {
+// dropIdleFlows drops the idle flows that are behind the band's virtual time once
+// there are many. A new flow would start at the same virtual time.
+func (q *Queue) dropIdleFlows(b *band) {
 	if len(b.flows) < 2*len(b.active)+64 {
 		return
 	}
 	for name, f := range b.flows {
-		if f.index < 0 && f.start <= b.virtual {
+		if f.index < 0 && f.start <= b.virtualTime {
 			delete(b.flows, name)
 		}
 	}
 }
 
-// Ahead returns the number of requests that would be served before a request of
+// Ahead estimates the number of requests that would be served before a request of
 // this workspace, weight and priority if it were queued now.
 func (q *Queue) Ahead(workspace string, weight float64, priority int) int {
 	ahead := 0
-	for _, p := range q.order {
+	for _, p := range q.priorities {
 		b := q.bands[p]
 		if p > priority {
 			ahead += b.queued()
@@ -169,8 +169,8 @@
 	return ahead
 }
 
-// Modest reports whether a workspace has no more requests waiting at a priority
-// than its weight among those that wait entitles it to.
+// Modest reports whether a workspace's part of the requests waiting at a priority
+// is within its weighted share.
 func (q *Queue) Modest(workspace string, weight float64, priority int) bool {
 	b := q.bands[priority]
 	if b == nil || b.flows[workspace] == nil {
@@ -184,6 +184,7 @@
 	return own*weights <= float64(b.queued())*weight
 }
 
+// queued returns the number of requests waiting in the band.
 func (b *band) queued() int {
 	n := 0
 	for _, f := range b.active {
@@ -192,8 +193,9 @@
 	return n
 }
 
-// aheadOf counts a workspace's own requests and, of each other one, at most its
-// share for the time that those take.
+// aheadOf estimates the requests of the band that are served before a new one of
+// the workspace: its own, and of each other workspace at most the share served
+// meanwhile.
 func (b *band) aheadOf(workspace string, weight float64) int {
 	own := 0
 	if f := b.flows[workspace]; f != nil {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// While workspaces have work waiting, they are served in proportion to their
-// weights, however much one of them asks for.
+// Workspaces with waiting requests must be served in proportion to their weights,
+// no matter how many requests one of them has.
 func TestFairByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
@@ -50,9 +50,8 @@
 	require.Zero(t, q.Len())
 }
 
-// Every pushed request comes out once, by Pop or by Remove, and an idle
-// workspace earns no credit.
-func TestQueueLosesNothing(t *testing.T) {
+// Every pushed request must leave the queue exactly once, by Pop or by Remove.
+func TestQueueKeepsEveryRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
 		in := map[*Waiting]bool{}
@@ -79,7 +78,7 @@
 	})
 }
 
-func TestBucketAndBudget(t *testing.T) {
+func TestBucket(t *testing.T) {
 	var b Bucket
 	now := time.Now()
 	taken := 0
@@ -94,7 +93,7 @@
 	require.InDelta(t, 105, taken, 1)
 }
 
-// The limit falls when latency rises under load and grows back when it is low.
+// The limit must grow while latency is constant and fall when it rises.
 func TestLimitAdapts(t *testing.T) {
 	l := NewLimit(DefaultLimitConfig())
 	for range 300 {
--- a/admission/rate.go
+++ b/admission/rate.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Rate measures how much of something comes a second, newer events counting
-// more. It is not safe for concurrent use.
+// Rate measures events per second with exponential decay. It is not safe for
+// concurrent use.
 type Rate struct {
 	sum float64
 	at  time.Time
@@ -21,7 +21,7 @@
 	r.sum += x
 }
 
-// PerSecond returns the rate.
+// PerSecond returns the rate of events.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	r.decay(now)
 	return r.sum * math.Ln2 / rateHalfLife.Seconds()
