--- a/routing/choose.go
+++ b/routing/choose.go
@@ -9,20 +9,20 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Errors of Choose.
+// Errors of Choose and Repair.
 var (
-	// ErrNoRoute says that no admissible pipeline tiles the layers.
+	// ErrNoRoute means that no admissible pipeline tiles the layers.
 	ErrNoRoute = errors.New("routing: no route")
-	// ErrFull says that pipelines exist but all are at their limits.
+	// ErrFull means that pipelines exist but all are at their limits.
 	ErrFull = errors.New("routing: all routes at their limits")
 )
 
-// Loads is the fresh knowledge that corrects the weights; indices are those of
-// Plan.Servers.
+// Loads is the live state of backend servers and links that is combined with the
+// weights of a plan. Server indices are those of Plan.Servers.
 type Loads interface {
 	// Load returns the expected requests in flight on the backend server.
 	Load(server int) float64
-	// Usable reports whether new work may go there.
+	// Usable reports whether the backend server may receive new work.
 	Usable(server int) bool
 	// Full reports whether the concurrency limit is reached.
 	Full(server int) bool
@@ -32,15 +32,15 @@
 	LinkLoad(link int) float64
 }
 
-// Options are the particulars of one request.
+// Options are the parameters of one choice.
 type Options struct {
-	FailureDomain string          // of this daemon; its backend servers come first at like load
+	FailureDomain string          // of this daemon; its backend servers are preferred as head at similar load
 	Avoid         map[string]bool // backend servers that must not be used
 	Warm          []string        // backend servers that probably cache the prompt's prefix
-	IgnoreLimits  bool            // recovery must not queue behind new work
+	IgnoreLimits  bool            // set for recovery, which must not queue behind new work
 }
 
-// Choice is a chosen route with what was seen.
+// Choice is a chosen route with details for the decision log.
 type Choice struct {
 	Route    topology.Route
 	Load     float64 // highest expected requests in flight on a hop
@@ -48,18 +48,19 @@
 	Affinity bool    // chosen for its prefix cache
 }
 
-// Costs that shift the choice between backend servers of like load.
+// Costs that affect the choice between backend servers of similar load.
 const (
 	remotePenalty = 1.05 // score factor of a head in another failure domain
-	warmSlack     = 1.3  // a warm head may be this much busier than the cold one
-	warmSlackBase = 2.0  // and this many requests, so that it counts at low load
+	warmSlack     = 1.3  // factor by which the score of a warm head may exceed that of the cold one
+	warmSlackBase = 2.0  // requests added to that bound, so that warm heads are preferred at low load
 )
 
-// samples is how many weighted samples compete for each hop.
-const samples = 2
+// samplesPerHop is the number of candidates sampled for each hop.
+const samplesPerHop = 2
 
-// Choose picks a route: hop by hop, two candidates sampled by flow weight and
-// the less loaded one taken. It allocates only the route.
+// Choose picks a route hop by hop: it samples two candidates by flow weight and
+// takes the less loaded one. Unless it must fall back to a search of all
+// pipelines, it allocates only the route.
 func Choose(p *Plan, l Loads, o Options, r *rand.Rand) (Choice, error) {
 	if !p.Routable() {
 		return Choice{}, ErrNoRoute
@@ -73,6 +74,7 @@
 	return c.search()
 }
 
+// chooser holds the inputs of one choice.
 type chooser struct {
 	p *Plan
 	l Loads
@@ -89,7 +91,7 @@
 	return c.o.IgnoreLimits || !c.l.Full(s)
 }
 
-// score is the expected work on a node relative to its capacity.
+// score returns the expected load of a node relative to its capacity.
 func (c *chooser) score(node int32) float64 {
 	n := &c.p.Nodes[node]
 	w := c.l.Weight(n.Server)
@@ -99,7 +101,7 @@
 	return (c.l.Load(n.Server) + 1) / (n.Cap * w)
 }
 
-// edgeScore adds the expected work on the link to that on the node.
+// edgeScore returns the score of an edge's node plus the expected load of its link.
 func (c *chooser) edgeScore(e edge) float64 {
 	s := c.score(e.to)
 	if e.id >= 0 {
@@ -108,6 +110,8 @@
 	return s
 }
 
+// headScore returns the score of a head, with the penalty for another failure
+// domain.
 func (c *chooser) headScore(e edge) float64 {
 	s := c.score(e.to)
 	if c.p.Servers[c.p.Nodes[e.to].Server].FailureDomain != c.o.FailureDomain {
@@ -116,8 +120,8 @@
 	return s
 }
 
-// walk goes hop by hop without looking back. It gives up where a hop's samples
-// are all unusable; search then looks at every pipeline.
+// walk picks a route hop by hop without backtracking. It returns false if all
+// samples of a hop are inadmissible; search then considers every pipeline.
 func (c *chooser) walk() (Choice, bool) {
 	var choice Choice
 	at, second := c.pick(c.p.heads, c.p.headCum, c.headScore)
@@ -151,7 +155,8 @@
 
 func (c *chooser) name(node int32) string { return c.p.Servers[c.p.Nodes[node].Server].Name }
 
-// pick samples edges by weight and returns the best and the next best node.
+// pick samples edges by weight and returns the best and the second best node, or
+// -1 for either.
 func (c *chooser) pick(edges []edge, cum []float64, score func(edge) float64) (best, second int32) {
 	best, second = -1, -1
 	total := cum[len(cum)-1]
@@ -159,7 +164,7 @@
 		return best, second
 	}
 	bestScore := math.Inf(1)
-	for range samples + 2 {
+	for range samplesPerHop + 2 {
 		i := sort.SearchFloat64s(cum, c.r.Float64()*total)
 		e := edges[min(i, len(edges)-1)]
 		node := e.to
@@ -178,8 +183,8 @@
 	return best, second
 }
 
-// warmHead returns a head that probably caches the prefix and is not much
-// busier than cold, or -1. A wrong guess costs a prefill, nothing else.
+// warmHead returns a head that probably caches the prefix and is not much more
+// loaded than cold, or -1. A wrong guess costs only a prefill.
 func (c *chooser) warmHead(cold int32) int32 {
 	if len(c.o.Warm) == 0 {
 		return -1
@@ -210,7 +215,7 @@
 }
 
 // search finds the pipeline with the lowest sum of scores among all admissible
-// ones, last layers first. It is the slow way, for when sampling found none.
+// ones. It is the slow path, used when sampling finds none.
 func (c *chooser) search() (Choice, error) {
 	w := c.cheapest(c.score)
 	if w.head < 0 {
@@ -222,6 +227,7 @@
 	return c.follow(w), nil
 }
 
+// anyWithoutLimits reports whether a pipeline would be admissible without limits.
 func (c *chooser) anyWithoutLimits() bool {
 	o := *c.o
 	o.IgnoreLimits = true
@@ -229,15 +235,16 @@
 	return free.cheapest(func(int32) float64 { return 1 }).head >= 0
 }
 
-// ways holds the cheapest way on from every node.
-type ways struct {
-	head int32
-	via  []int32
+// cheapestPaths holds the cheapest path from every node to the last layer.
+type cheapestPaths struct {
+	head int32   // of the cheapest pipeline, or -1
+	via  []int32 // next node by node, -1 at the end
 }
 
-func (c *chooser) cheapest(cost func(int32) float64) ways {
+// cheapest computes the cheapest paths over admissible nodes, last layers first.
+func (c *chooser) cheapest(cost func(int32) float64) cheapestPaths {
 	total := make([]float64, len(c.p.Nodes))
-	w := ways{head: -1, via: make([]int32, len(c.p.Nodes))}
+	w := cheapestPaths{head: -1, via: make([]int32, len(c.p.Nodes))}
 	for _, i := range c.p.order {
 		n := &c.p.Nodes[i]
 		w.via[i] = -1
@@ -274,7 +281,8 @@
 	return (c.l.LinkLoad(int(e.id)) + 1) / e.cap
 }
 
-func (c *chooser) follow(w ways) Choice {
+// follow returns the route along the cheapest pipeline.
+func (c *chooser) follow(w cheapestPaths) Choice {
 	var choice Choice
 	lo := 0
 	for at := w.head; at >= 0; at = w.via[at] {
@@ -285,11 +293,12 @@
 	return choice
 }
 
-// keepWeight makes one kept layer worth more than any difference of load.
-const keepWeight = 1e6
+// keptLayerWeight makes one kept layer outweigh any difference in load between
+// routes.
+const keptLayerWeight = 1e6
 
-// Repair picks the route that keeps the most layers of old on the backend
-// servers that ran them, and among those the least loaded.
+// Repair picks the route that keeps the most layers of old on the backend servers
+// that ran them, and among those routes the least loaded. It ignores limits.
 func Repair(p *Plan, l Loads, o Options, old topology.Route) (Choice, error) {
 	if !p.Routable() {
 		return Choice{}, ErrNoRoute
@@ -301,7 +310,7 @@
 		cost := c.score(node)
 		if i := old.Index(p.Servers[n.Server].Name); i >= 0 {
 			if x := old[i].Layers.Intersect(n.Layers); !x.Empty() {
-				cost -= keepWeight * float64(x.Hi-x.Lo)
+				cost -= keptLayerWeight * float64(x.Hi-x.Lo)
 			}
 		}
 		return cost
--- a/routing/maxflow.go
+++ b/routing/maxflow.go
@@ -6,7 +6,7 @@
 // counts as saturated.
 const flowEps = 1e-6
 
-// arc is a directed arc of the residual network; its reverse is at index^1.
+// arc is a directed arc of the residual network. Its reverse is at index^1.
 type arc struct {
 	to  int32
 	cap float64
@@ -28,7 +28,7 @@
 	}
 }
 
-// add puts an arc and its reverse into the network and returns its index.
+// add adds an arc and its reverse to the network and returns the arc's index.
 func (n *network) add(from, to int, capacity float64) int {
 	id := len(n.arcs)
 	n.arcs = append(n.arcs, arc{int32(to), capacity}, arc{int32(from), 0})
@@ -37,10 +37,10 @@
 	return id
 }
 
-// maxFlow pushes as much as possible from s to t and returns the amount.
+// maxFlow computes a maximum flow from s to t and returns its value.
 func (n *network) maxFlow(s, t int) float64 {
 	total := 0.0
-	for n.layer(s, t) {
+	for n.setLevels(s, t) {
 		clear(n.iter)
 		for {
 			pushed := n.push(s, t, math.Inf(1))
@@ -53,9 +53,9 @@
 	return total
 }
 
-// layer sets the breadth-first level of each node reachable in the residual
-// network and reports whether t is.
-func (n *network) layer(s, t int) bool {
+// setLevels sets the breadth-first level of each node reachable from s in the
+// residual network and reports whether t is reachable.
+func (n *network) setLevels(s, t int) bool {
 	for i := range n.level {
 		n.level[i] = -1
 	}
@@ -76,6 +76,8 @@
 	return n.level[t] >= 0
 }
 
+// push sends up to limit along one path of increasing levels from u to t and
+// returns the amount.
 func (n *network) push(u, t int, limit float64) float64 {
 	if u == t {
 		return limit
@@ -97,6 +99,6 @@
 	return 0
 }
 
-// reachable reports, after maxFlow, whether a node is on the source's side of
-// the minimum cut.
+// reachable reports whether a node is on the source's side of the minimum cut. It
+// is valid after maxFlow.
 func (n *network) reachable(node int) bool { return n.level[node] >= 0 }
--- a/routing/plan.go
+++ b/routing/plan.go
@@ -1,7 +1,7 @@
-// Package routing decides which pipeline a request takes. Build computes, on
-// change, the throughput bound of a model and balanced weights for its
-// pipelines; Choose picks a pipeline for each request from those weights and
-// fresh knowledge of load. Both are pure: state in, decision out.
+// Package routing decides which pipeline a request takes. Build computes the
+// throughput bound of a model and balanced weights for its pipelines whenever the
+// configuration or the fleet changes. Choose picks a pipeline for each request from
+// those weights and the current load. Neither does I/O.
 package routing
 
 import (
@@ -11,11 +11,12 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// unlimited stands in for a link whose capacity is not known, in tokens per second.
+// unlimited is the capacity, in tokens per second, of a link that is not known to
+// limit.
 const unlimited = 1e12
 
-// defaultCapacity is assumed, in tokens per second, of a backend server that
-// neither declares nor reports a capacity.
+// defaultCapacity is the capacity, in tokens per second, assumed for a backend
+// server that neither declares nor reports one.
 const defaultCapacity = 100.0
 
 // Candidate is a backend server that may serve parts of a model.
@@ -27,12 +28,12 @@
 	Ranges        []topology.LayerRange
 }
 
-// Input is all that a plan depends on.
+// Input holds everything that a plan depends on.
 type Input struct {
 	Layers  int
 	Servers []Candidate
-	// Link returns the capacity of a link in tokens per second; 0 or a nil
-	// function mean that it is not known to limit.
+	// Link returns the capacity of a link in tokens per second. If it is nil or
+	// returns 0, the link is not known to limit.
 	Link func(from, to int) float64
 }
 
@@ -40,10 +41,10 @@
 type Node struct {
 	Server int // index into Plan.Servers
 	Layers topology.LayerRange
-	Cap    float64 // tokens per second
-	next   []edge  // admissible next hops; empty for a last hop
-	cum    []float64
-	final  bool
+	Cap    float64   // tokens per second
+	next   []edge    // admissible next hops; empty for a last hop
+	cum    []float64 // cumulative flow of next
+	final  bool      // holds the last layer
 }
 
 type edge struct {
@@ -51,7 +52,7 @@
 	id   int32 // index into Plan.Links, -1 for a link that is not known to limit
 	cap  float64
 	flow float64
-	cost float64 // of the link in the balancing pass
+	cost float64 // of the link, used by balance
 }
 
 // Plan is an immutable routing plan of a model for one class of requests.
@@ -63,8 +64,8 @@
 	Cut     []CutItem
 	Links   []PlanLink
 	heads   []edge
-	headCum []float64
-	order   []int32 // node indices, last layers first
+	headCum []float64 // cumulative flow of heads
+	order   []int32   // node indices, last layers first
 }
 
 // PlanLink is a link with a limited capacity.
@@ -80,7 +81,7 @@
 // Heads returns the nodes that may run the first layers.
 func (p *Plan) Heads() []int32 { return targets(p.heads) }
 
-// Next returns the nodes that may follow a node; none follow a last hop.
+// Next returns the nodes that may follow a node, or nil if it is a last hop.
 func (p *Plan) Next(node int32) []int32 {
 	if p.Nodes[node].final {
 		return nil
@@ -96,7 +97,7 @@
 	return out
 }
 
-// RouteOf returns the route through the nodes.
+// RouteOf returns the route through nodes.
 func (p *Plan) RouteOf(nodes []int32) topology.Route {
 	route := make(topology.Route, 0, len(nodes))
 	lo := 0
@@ -118,8 +119,9 @@
 // Routable reports whether some pipeline tiles all layers.
 func (p *Plan) Routable() bool { return len(p.heads) > 0 }
 
-// Build makes a plan. A hop always runs to the end of what its backend server
-// holds: any tiling can be shortened to such a one, so nothing is lost.
+// Build returns a plan. Each hop runs to the end of the layers that its backend
+// server holds. Any tiling can be shortened to one of this form, so no admissible
+// pipeline is missed.
 func Build(in Input) *Plan {
 	p := &Plan{Layers: in.Layers, Servers: in.Servers}
 	p.addNodes()
@@ -134,7 +136,8 @@
 	return p
 }
 
-// addNodes splits a server's capacity over its disjoint ranges.
+// addNodes adds a node for each range of a backend server, whose capacity is split
+// equally between its disjoint ranges.
 func (p *Plan) addNodes() {
 	for i := range p.Servers {
 		s := &p.Servers[i]
@@ -158,6 +161,7 @@
 	slices.SortFunc(p.order, func(a, b int32) int { return p.Nodes[b].Layers.Hi - p.Nodes[a].Layers.Hi })
 }
 
+// connect adds edges from each node to those that can run the next layers.
 func (p *Plan) connect(link func(from, to int) float64) {
 	for i := range p.Nodes {
 		u := &p.Nodes[i]
@@ -195,16 +199,17 @@
 
 // prune drops edges to nodes from which the last layer cannot be reached.
 func (p *Plan) prune() {
-	alive := make([]bool, len(p.Nodes))
+	reachesEnd := make([]bool, len(p.Nodes))
 	for _, i := range p.order {
 		n := &p.Nodes[i]
-		n.next = slices.DeleteFunc(n.next, func(e edge) bool { return !alive[e.to] })
-		alive[i] = n.final || len(n.next) > 0
+		n.next = slices.DeleteFunc(n.next, func(e edge) bool { return !reachesEnd[e.to] })
+		reachesEnd[i] = n.final || len(n.next) > 0
 	}
-	p.heads = slices.DeleteFunc(p.heads, func(e edge) bool { return !alive[e.to] })
+	p.heads = slices.DeleteFunc(p.heads, func(e edge) bool { return !reachesEnd[e.to] })
 }
 
-// solve computes the bound and the cut that limits it.
+// solve computes the bound and the minimum cut. Node i of the plan is the arc from
+// 2i to 2i+1 of the network.
 func (p *Plan) solve() {
 	source := 2 * len(p.Nodes)
 	sink := source + 1
@@ -226,6 +231,7 @@
 	p.findCut(net)
 }
 
+// findCut sets the backend servers and links of the minimum cut.
 func (p *Plan) findCut(net *network) {
 	for i := range p.Nodes {
 		n := &p.Nodes[i]
@@ -245,27 +251,27 @@
 	}
 }
 
-// Limits of the balancing pass: at least minPushes, and as many as keep the
-// edge visits of one plan below visitBudget.
+// Limits of balance: as many pushes, between minPushes and maxPushes, as keep the
+// edge visits of one plan below maxEdgeVisits.
 const (
-	minPushes   = 48
-	maxPushes   = 768
-	visitBudget = 4_000_000
+	minPushes     = 48
+	maxPushes     = 768
+	maxEdgeVisits = 4_000_000
 )
 
-// steepness shapes the cost of utilisation in the balancing pass: high values
-// come near the maximum flow, low ones spread more evenly.
+// steepness scales the exponent of the cost of utilization. High values approach
+// the maximum flow, low values spread the load more evenly.
 const steepness = 30.0
 
 // balance routes the bound in small equal parts, each along the pipeline whose
-// hops and links are least utilised (after Garg and Koenemann, "Faster and
-// simpler algorithms for multicommodity flow", 1998). A plain maximum flow
-// would load few backend servers of a wide stage fully and leave others idle.
+// hops and links are least utilized (after Garg and Koenemann, "Faster and
+// simpler algorithms for multicommodity flow", 1998). A plain maximum flow may
+// saturate some backend servers of a wide stage and leave others idle.
 func (p *Plan) balance() {
-	pushes := min(maxPushes, max(minPushes, visitBudget/max(1, p.edgeCount())))
+	pushes := min(maxPushes, max(minPushes, maxEdgeVisits/max(1, p.edgeCount())))
 	b := newBalancer(p, p.Bound/float64(pushes))
 	for range pushes {
-		b.pushOne()
+		b.pushPart()
 	}
 }
 
@@ -277,15 +283,15 @@
 	return n
 }
 
-// balancer keeps the flow and cost of nodes and the cheapest way on from each.
-// Costs change only along the way that was pushed last, so they are kept.
+// balancer holds the flow and cost of nodes and the cheapest path from each. Costs
+// are cached, since a push changes only those along its path.
 type balancer struct {
 	p     *Plan
 	part  float64
 	flow  []float64 // by node
-	price []float64 // of the node itself
-	total []float64 // of the cheapest way from the node to the end
-	via   []int32   // index into next of that way, -1 at the end
+	price []float64 // cost of the node itself
+	total []float64 // cost of the cheapest path from the node to the end
+	via   []int32   // index into next along that path, -1 at the end
 }
 
 func newBalancer(p *Plan, part float64) *balancer {
@@ -301,18 +307,18 @@
 }
 
 func (b *balancer) priceNode(i int32) {
-	b.price[i] = utilisationCost((b.flow[i] + b.part) / b.p.Nodes[i].Cap)
+	b.price[i] = utilizationCost((b.flow[i] + b.part) / b.p.Nodes[i].Cap)
 }
 
 func (b *balancer) priceEdge(e *edge) {
 	if e.id >= 0 {
-		e.cost = utilisationCost((e.flow + b.part) / e.cap)
+		e.cost = utilizationCost((e.flow + b.part) / e.cap)
 	}
 }
 
-// pushOne routes one part along the cheapest pipeline.
-func (b *balancer) pushOne() {
-	b.findWays()
+// pushPart routes one part along the cheapest pipeline.
+func (b *balancer) pushPart() {
+	b.findPaths()
 	best := 0
 	for i, e := range b.p.heads {
 		if b.total[e.to] < b.total[b.p.heads[best].to] {
@@ -333,8 +339,8 @@
 	}
 }
 
-// findWays computes the cheapest way on from every node, last layers first.
-func (b *balancer) findWays() {
+// findPaths computes the cheapest path from every node, last layers first.
+func (b *balancer) findPaths() {
 	for _, i := range b.p.order {
 		n := &b.p.Nodes[i]
 		b.via[i] = -1
@@ -353,9 +359,10 @@
 	}
 }
 
-func utilisationCost(u float64) float64 { return math.Exp(steepness*math.Min(u, 4)) - 1 }
+func utilizationCost(u float64) float64 { return math.Exp(steepness*math.Min(u, 4)) - 1 }
 
-// accumulate prepares the weighted sampling of heads and next hops.
+// accumulate computes the cumulative flows for weighted sampling of heads and next
+// hops.
 func (p *Plan) accumulate() {
 	p.headCum = cumulate(p.heads)
 	for i := range p.Nodes {
--- a/routing/planner.go
+++ b/routing/planner.go
@@ -19,8 +19,7 @@
 	Adapter string
 }
 
-// Binding ties a plan to the live state of its backend servers. It implements
-// Loads at one moment.
+// Binding is a plan with the live state of its backend servers and links.
 type Binding struct {
 	Plan     *Plan
 	servers  []*fleet.Server
@@ -30,7 +29,7 @@
 	built    time.Time
 }
 
-// At returns the loads as of now.
+// At returns the loads at time now.
 func (b *Binding) At(now time.Time) Snapshot { return Snapshot{b: b, now: now} }
 
 // Snapshot implements Loads for one decision.
@@ -51,8 +50,8 @@
 // Weight implements Loads.
 func (s Snapshot) Weight(i int) float64 { return s.b.servers[i].Weight() }
 
-// LinkLoad implements Loads. Of a link only this daemon's requests are known;
-// those of others are taken to be in proportion to the loads of its sender.
+// LinkLoad implements Loads. Only this daemon's requests on a link are known, so
+// they are scaled by the ratio of the sender's load to this daemon's part of it.
 func (s Snapshot) LinkLoad(i int) float64 {
 	own := float64(s.b.links[i].InFlight())
 	from := s.b.servers[s.b.Plan.Links[i].From]
@@ -64,13 +63,14 @@
 
 // Limits of the plan cache.
 const (
-	maxPlans     = 4096
-	rebuildPause = 20 * time.Millisecond // least time between two builds of a plan
+	maxPlans           = 4096
+	minRebuildInterval = 20 * time.Millisecond // between two builds of a plan after fleet changes
 )
 
-// Planner keeps the plans of the classes and models in use and rebuilds them
-// when the configuration or the fleet has changed. An old plan stays in use
-// while a new one is built: usability is checked again at each choice.
+// Planner caches the plans of the classes and models in use and rebuilds them when
+// the configuration or the fleet changes. The old plan stays in use during a
+// rebuild, since usability is checked again at each choice. It is safe for
+// concurrent use.
 type Planner struct {
 	table *fleet.Table
 	now   func() time.Time
@@ -79,6 +79,7 @@
 	plans map[Key]*entry
 }
 
+// entry holds a cached plan. building is held while the plan is built.
 type entry struct {
 	current  atomic.Pointer[Binding]
 	building sync.Mutex
@@ -89,8 +90,8 @@
 	return &Planner{table: table, now: now, plans: map[Key]*entry{}}
 }
 
-// Serving returns the plan of the model's version, or of the previous one while
-// no pipeline holds the new, and the version that it is for.
+// Serving returns the plan of the model's version and that version, or those of
+// the previous version while no pipeline holds the new one.
 func (p *Planner) Serving(snap *topology.Snapshot, c topology.Class, m *topology.Model, adapter string) (*Binding, string) {
 	b := p.Plan(snap, c, m, adapter)
 	if b.Plan.Routable() || m.Previous == "" {
@@ -104,17 +105,17 @@
 	return b, m.Version
 }
 
-// Plan returns the plan for a class, model and adapter under the configuration.
-// An old plan is returned while a new one is built beside the requests.
+// Plan returns the plan for a class, model and adapter under the configuration. If
+// the plan is outdated, it is returned and rebuilt in the background.
 func (p *Planner) Plan(snap *topology.Snapshot, c topology.Class, m *topology.Model, adapter string) *Binding {
 	e := p.entry(Key{Class: c.Key, Model: m.Name, Version: m.Version, Adapter: adapter})
 	b := e.current.Load()
 	if b == nil {
-		return p.first(e, snap, c, m, adapter)
+		return p.buildFirst(e, snap, c, m, adapter)
 	}
 	version := p.table.Version()
 	fresh := b.revision == snap.Routing && b.version == version
-	tooSoon := b.revision == snap.Routing && p.now().Sub(b.built) < rebuildPause
+	tooSoon := b.revision == snap.Routing && p.now().Sub(b.built) < minRebuildInterval
 	if fresh || tooSoon || !e.building.TryLock() {
 		return b
 	}
@@ -125,8 +126,8 @@
 	return b
 }
 
-// first builds a plan that nobody has asked for yet; all who ask wait for it.
-func (p *Planner) first(e *entry, snap *topology.Snapshot, c topology.Class, m *topology.Model, adapter string) *Binding {
+// buildFirst builds a plan that is not cached. Concurrent callers wait for it.
+func (p *Planner) buildFirst(e *entry, snap *topology.Snapshot, c topology.Class, m *topology.Model, adapter string) *Binding {
 	e.building.Lock()
 	defer e.building.Unlock()
 	if b := e.current.Load(); b != nil {
@@ -149,7 +150,7 @@
 	return e
 }
 
-// evict drops any one plan when the cache is full; it is rebuilt if needed.
+// evict drops an arbitrary plan when the cache is full. The caller holds the lock.
 func (p *Planner) evict() {
 	if len(p.plans) < maxPlans {
 		return
@@ -185,8 +186,9 @@
 	return b
 }
 
-// linkRate is the declared capacity of a link times what is left of it. A link
-// without a declared capacity starts from that of the sending backend server.
+// linkRate returns the declared capacity of a link, scaled by its link factor. A
+// slow link without a declared capacity is scaled from the capacity of the sending
+// backend server.
 func linkRate(view *fleet.View, from, to *fleet.Info) float64 {
 	declared := from.Config.LinkTo(to.Config)
 	factor := view.LinkFactor(from.Config.Name, to.Config.Name)
@@ -199,8 +201,9 @@
 	return declared * factor
 }
 
-// servable returns the layers that a backend server may serve for the class:
-// held in the right version with the adapter, and allowed by stages and rules.
+// servable returns the layers that a backend server may serve for the class: those
+// that it holds in the model's version with the adapter, and that stages and rules
+// allow.
 func servable(snap *topology.Snapshot, c topology.Class, m *topology.Model, adapter string, info *fleet.Info) []topology.LayerRange {
 	var out []topology.LayerRange
 	for i := range info.Holdings {
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -5,9 +5,10 @@
 	"sync"
 )
 
-// Prefixes remembers which backend servers probably cache a prompt's prefix. It
-// is a guess: entries come from this daemon's own requests and from cache
-// events, which are late and incomplete. A wrong guess costs a prefill.
+// Prefixes records which backend servers probably cache a prompt's prefix. Entries
+// come from this daemon's requests and from cache events, which are late and
+// incomplete, so they may be wrong. A wrong entry costs a prefill. It is safe for
+// concurrent use.
 type Prefixes struct {
 	mu      sync.Mutex
 	servers map[uint64][]string
@@ -15,24 +16,24 @@
 	next    int
 }
 
-// Limits of what is remembered.
+// Limits of Prefixes.
 const (
 	maxPrefixes        = 16384
 	maxServersOfPrefix = 3
 )
 
-// NewPrefixes returns an empty memory.
+// NewPrefixes returns an empty Prefixes.
 func NewPrefixes() *Prefixes { return &Prefixes{servers: map[uint64][]string{}} }
 
-// Servers returns the backend servers that probably cache the prefix, the most
-// recent first. The slice must not be changed.
+// Servers returns the backend servers that probably cache the prefix, most recent
+// first. The slice must not be changed.
 func (p *Prefixes) Servers(key uint64) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.servers[key]
 }
 
-// Sent notes that a prompt with the prefix was sent to the backend server.
+// Sent records that a prompt with the prefix was sent to the backend server.
 func (p *Prefixes) Sent(key uint64, server string) {
 	if key == 0 {
 		return
@@ -51,11 +52,13 @@
 	}
 	p.servers[key] = fresh
 	if !known {
-		p.remember(key)
+		p.addKey(key)
 	}
 }
 
-func (p *Prefixes) remember(key uint64) {
+// addKey adds a key to the ring and drops the oldest one when the ring is full. The
+// caller holds the lock.
+func (p *Prefixes) addKey(key uint64) {
 	if len(p.order) < maxPrefixes {
 		p.order = append(p.order, key)
 		return
@@ -65,7 +68,7 @@
 	p.next = (p.next + 1) % maxPrefixes
 }
 
-// Evicted notes that the backend server dropped the prefix.
+// Evicted records that the backend server dropped the prefix.
 func (p *Prefixes) Evicted(key uint64, server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +78,7 @@
 		return
 	}
 	if len(old) == 1 {
-		p.servers[key] = []string{""} // keeps its place in the ring
+		p.servers[key] = []string{""} // the key must stay known while it is in the ring
 		return
 	}
 	p.servers[key] = slices.Delete(slices.Clone(old), i, i+1)
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -13,18 +13,19 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// still is a fleet at rest.
-type still struct{ down, full map[int]bool }
-
-func (still) Load(int) float64    { return 0 }
-func (s still) Usable(i int) bool { return !s.down[i] }
-func (s still) Full(i int) bool   { return s.full[i] }
-func (still) Weight(int) float64  { return 1 }
-func (still) LinkLoad(int) float64 {
+// idleLoads is a fleet without load.
+type idleLoads struct{ down, full map[int]bool }
+
+func (idleLoads) Load(int) float64    { return 0 }
+func (s idleLoads) Usable(i int) bool { return !s.down[i] }
+func (s idleLoads) Full(i int) bool   { return s.full[i] }
+func (idleLoads) Weight(int) float64  { return 1 }
+func (idleLoads) LinkLoad(int) float64 {
 	return 0
 }
 
-func staged(stages, width, layers int, capacity func(stage, i int) float64) Input {
+// stagedInput returns an input with equal stages of width backend servers each.
+func stagedInput(stages, width, layers int, capacity func(stage, i int) float64) Input {
 	in := Input{Layers: layers}
 	per := layers / stages
 	for st := range stages {
@@ -39,7 +40,7 @@
 }
 
 func TestBoundAndCut(t *testing.T) {
-	in := staged(3, 2, 6, func(st, _ int) float64 { return []float64{100, 30, 80}[st] })
+	in := stagedInput(3, 2, 6, func(st, _ int) float64 { return []float64{100, 30, 80}[st] })
 	p := Build(in)
 	require.InDelta(t, 60, p.Bound, 1e-3)
 	require.Len(t, p.Cut, 2)
@@ -55,13 +56,13 @@
 	require.Contains(t, p.Cut, CutItem{BackendServer: "s1-0", Next: "s2-0", Capacity: 5})
 }
 
-// Any overlapping holdings: a route that is chosen tiles the layers exactly and
-// uses only usable backend servers; none is found only if none exists.
+// With any overlapping holdings, a chosen route must tile the layers, and Choose
+// must find a route if one exists.
 func TestChosenRoutesTile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 12).Draw(t, "layers")
 		in := Input{Layers: layers}
-		s := still{down: map[int]bool{}, full: map[int]bool{}}
+		s := idleLoads{down: map[int]bool{}, full: map[int]bool{}}
 		for i := range rapid.IntRange(0, 10).Draw(t, "servers") {
 			lo := rapid.IntRange(0, layers-1).Draw(t, "lo")
 			hi := rapid.IntRange(lo+1, layers).Draw(t, "hi")
@@ -83,13 +84,13 @@
 		}
 		require.NoError(t, err)
 		require.NoError(t, c.Route.CheckTiling(layers))
-		again, err := Repair(p, s, Options{}, c.Route)
+		repaired, err := Repair(p, s, Options{}, c.Route)
 		require.NoError(t, err)
-		require.NoError(t, again.Route.CheckTiling(layers))
+		require.NoError(t, repaired.Route.CheckTiling(layers))
 	})
 }
 
-// tiles reports whether usable backend servers hold all layers without a hole.
+// tiles reports whether the backend servers for which ok holds cover all layers.
 func tiles(in Input, ok func(int) bool) bool {
 	at := 0
 	for at < in.Layers {
@@ -107,7 +108,7 @@
 	return true
 }
 
-func TestBrokenRouteFires(t *testing.T) {
+func TestInvalidRouteViolatesInvariant(t *testing.T) {
 	before := invariant.Count(invariant.LayersOnceInOrder)
 	for _, r := range []topology.Route{
 		{{Layers: topology.LayerRange{Lo: 0, Hi: 2}}, {Layers: topology.LayerRange{Lo: 1, Hi: 4}}},
@@ -120,27 +121,27 @@
 	require.Equal(t, before+4, invariant.Count(invariant.LayersOnceInOrder))
 }
 
-// Repair keeps the hops that survived, also when they are the busier ones.
+// Repair must keep all surviving hops, even if others are less loaded.
 func TestRepairKeepsSurvivors(t *testing.T) {
-	p := Build(staged(4, 3, 8, func(_, i int) float64 { return float64(10 * (1 + i)) }))
-	c, err := Choose(p, still{}, Options{}, rand.New(rand.NewPCG(3, 4)))
+	p := Build(stagedInput(4, 3, 8, func(_, i int) float64 { return float64(10 * (1 + i)) }))
+	c, err := Choose(p, idleLoads{}, Options{}, rand.New(rand.NewPCG(3, 4)))
 	require.NoError(t, err)
 	dead := c.Route[2].BackendServer
-	again, err := Repair(p, still{}, Options{Avoid: map[string]bool{dead: true}}, c.Route)
+	repaired, err := Repair(p, idleLoads{}, Options{Avoid: map[string]bool{dead: true}}, c.Route)
 	require.NoError(t, err)
-	require.False(t, again.Route.Uses(dead))
-	require.Equal(t, 6, again.Route.Shared(c.Route))
+	require.False(t, repaired.Route.Uses(dead))
+	require.Equal(t, 6, repaired.Route.Shared(c.Route))
 }
 
 func TestWarmHead(t *testing.T) {
-	p := Build(staged(2, 4, 4, func(int, int) float64 { return 10 }))
+	p := Build(stagedInput(2, 4, 4, func(int, int) float64 { return 10 }))
 	r := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		c, err := Choose(p, still{}, Options{Warm: []string{"s0-3", "gone"}}, r)
+		c, err := Choose(p, idleLoads{}, Options{Warm: []string{"s0-3", "gone"}}, r)
 		require.NoError(t, err)
 		require.Equal(t, "s0-3", c.Route[0].BackendServer)
 	}
-	c, err := Choose(p, still{full: map[int]bool{3: true}}, Options{Warm: []string{"s0-3"}}, r)
+	c, err := Choose(p, idleLoads{full: map[int]bool{3: true}}, Options{Warm: []string{"s0-3"}}, r)
 	require.NoError(t, err)
 	require.NotEqual(t, "s0-3", c.Route[0].BackendServer)
 }
@@ -160,10 +161,11 @@
 	require.LessOrEqual(t, len(p.servers), maxPrefixes)
 }
 
-// mixed has four kinds of accelerator and links that differ a hundredfold.
-func mixed(servers int) Input {
+// mixedInput returns an input with four kinds of accelerators and links that differ
+// by a factor of 100.
+func mixedInput(servers int) Input {
 	r := rand.New(rand.NewPCG(7, 7))
-	in := staged(8, servers/8, 64, func(int, int) float64 { return 100 * math.Exp2(float64(r.IntN(4))) })
+	in := stagedInput(8, servers/8, 64, func(int, int) float64 { return 100 * math.Exp2(float64(r.IntN(4))) })
 	slow := make([]bool, servers)
 	for i := range slow {
 		slow[i] = r.IntN(3) == 0
@@ -180,7 +182,7 @@
 func BenchmarkBound(b *testing.B) {
 	for _, n := range []int{40, 152, 304, 600} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			in := mixed(n)
+			in := mixedInput(n)
 			for b.Loop() {
 				require.Positive(b, Build(in).Bound)
 			}
@@ -191,11 +193,11 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{40, 152, 304, 600} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			p := Build(mixed(n))
+			p := Build(mixedInput(n))
 			r := rand.New(rand.NewPCG(1, 1))
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Choose(p, still{}, Options{}, r); err != nil {
+				if _, err := Choose(p, idleLoads{}, Options{}, r); err != nil {
 					b.Fatal(err)
 				}
 			}
