--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -201,15 +201,15 @@
 	return time.Duration(math.Min(s, 3600) * float64(time.Second))
 }
 
-// Release returns a ticket. The request produced tokens of the asked tokens that
-// it was allowed.
-func (g *Gate) Release(t *ticket, tokens, asked int) {
+// Release returns a ticket of a request that produced tokens out of at most
+// requested ones.
+func (g *Gate) Release(t *ticket, tokens, requested int) {
 	now := g.clock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.releaseRoute(t)
 	g.inFlight--
-	g.queueFor(t.key).observe(now.Sub(t.began), tokens, asked, now)
+	g.queueFor(t.key).observe(now.Sub(t.began), tokens, requested, now)
 	g.grantWaiting()
 }
 
--- a/dispatch/planqueue.go
+++ b/dispatch/planqueue.go
@@ -67,10 +67,10 @@
 func (q *planQueue) buffering(now time.Time) bool { return now.Sub(q.lastRouted) < bufferTimeout }
 
 // observe updates the service time and, while requests wait, the rate.
-func (q *planQueue) observe(d time.Duration, tokens, asked int, now time.Time) {
+func (q *planQueue) observe(d time.Duration, tokens, requested int, now time.Time) {
 	if tokens > 0 {
 		smooth(&q.perToken, d.Seconds()/float64(tokens))
-		smooth(&q.usedRatio, float64(tokens)/float64(max(1, asked)))
+		smooth(&q.usedRatio, float64(tokens)/float64(max(1, requested)))
 	}
 	if q.queue.Len() > 0 && !q.lastEnd.IsZero() {
 		q.observeRate(now.Sub(q.lastEnd).Seconds())
--- a/dispatch/policy_test.go
+++ b/dispatch/policy_test.go
@@ -117,7 +117,7 @@
 	var out overloadResult
 	var refusals []time.Duration
 	alerts, alertsOK, late := 0, 0, 0
-	served, asked := map[string]float64{}, map[string]float64{}
+	served, requested := map[string]float64{}, map[string]float64{}
 	total := 0.0
 	for _, r := range rs {
 		if r.began.Before(from) {
@@ -131,7 +131,7 @@
 			}
 		}
 		if r.priority == 0 {
-			asked[r.workspace] += float64(r.asked)
+			requested[r.workspace] += float64(r.requested)
 		}
 		if ok {
 			total += float64(r.tokens)
@@ -152,7 +152,7 @@
 	if n := len(refusals); n > 0 {
 		out.refusal, out.late = refusals[n*99/100], float64(late)/float64(n)
 	}
-	out.fairShare, out.fairMean = shares(served, asked)
+	out.fairShare, out.fairMean = shares(served, requested)
 	return out
 }
 
@@ -160,14 +160,14 @@
 // equal part of all tokens served, or what they requested if that is less. It
 // returns the lowest ratio, which varies a lot with few requests, and the ratio of
 // all together.
-func shares(served, asked map[string]float64) (least, mean float64) {
+func shares(served, requested map[string]float64) (least, mean float64) {
 	sum := 0.0
 	for _, n := range served {
 		sum += n
 	}
 	got, due := 0.0, 0.0
 	least = 1e9
-	for name, n := range asked {
+	for name, n := range requested {
 		if name == "greedy" {
 			continue
 		}
@@ -265,7 +265,7 @@
 	n := 0
 	for _, r := range rs {
 		if !r.began.Before(from) && r.began.Before(to) {
-			n += r.asked
+			n += r.requested
 		}
 	}
 	return float64(n) / to.Sub(from).Seconds()
@@ -293,7 +293,7 @@
 				gaps, restarts = append(gaps, g...), append(restarts, a...)
 				for _, r := range rs {
 					tokens += len(r.times)
-					if r.err != nil || len(r.times) != r.asked {
+					if r.err != nil || len(r.times) != r.requested {
 						lost++
 					}
 				}
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -448,7 +448,7 @@
 	priority  int
 	began     time.Time
 	tokens    int
-	asked     int         // tokens requested
+	requested int         // in tokens
 	times     []time.Time // arrival of each token
 	err       *apierror.Error
 	took      time.Duration
@@ -516,7 +516,7 @@
 		defer cancel()
 		ctx = c
 	}
-	r := &result{workspace: req.Workspace.Name, priority: req.Priority, asked: req.MaxTokens, began: time.Now()}
+	r := &result{workspace: req.Workspace.Name, priority: req.Priority, requested: req.MaxTokens, began: time.Now()}
 	s := &simSink{}
 	out, err := d.Do(ctx, req, s)
 	r.took, r.times, r.tokens = time.Since(r.began), s.times, out.Tokens
