--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -13,15 +13,15 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// settle waits until the members agree.
-func (f *testFleet) settle() {
+// waitForAgreement waits until agree holds and panics if it does not.
+func (f *testFleet) waitForAgreement() {
 	if _, ok := within(time.Minute, f.agree); !ok {
 		panic("no agreement")
 	}
 }
 
-// BenchmarkInForce reports the time until a change is in force everywhere, in
-// virtual time with links of no delay: what is left is waiting and steps.
+// BenchmarkInForce reports the virtual time until a change is in force on all
+// daemons, over links without delay.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{8, 32, 128} {
 		b.Run(fmt.Sprintf("daemons=%d", n), func(b *testing.B) {
@@ -29,7 +29,7 @@
 				var took []time.Duration
 				virtual.Run(b, func() {
 					f := newFleet(n)
-					f.settle()
+					f.waitForAgreement()
 					time.Sleep(5 * time.Second)
 					for i := range 30 {
 						time.Sleep(137 * time.Millisecond)
@@ -50,23 +50,23 @@
 	}
 }
 
-// cpu returns the processor time that this process has used.
-func cpu() time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkControl reports what one daemon spends on control in a virtual
-// second: bytes sent, processor time, and store calls of the whole fleet; idle,
-// or with five and a half changes a second.
+// BenchmarkControl reports the cost of the control plane per virtual second: bytes
+// sent, processor time and heap of one daemon, and store calls of the whole fleet.
+// The fleet is idle or processes controlChanges changes.
 func BenchmarkControl(b *testing.B) {
 	for _, n := range []int{8, 32, 128} {
 		for _, changes := range []int{0, controlChanges} {
 			b.Run(fmt.Sprintf("daemons=%d/changes=%d", n, changes), func(b *testing.B) {
 				for b.Loop() {
 					var r controlCost
-					virtual.Run(b, func() { r = control(n, changes, 200) })
+					virtual.Run(b, func() { r = measureControl(n, changes, 200) })
 					r.report(b)
 				}
 			})
@@ -74,20 +74,20 @@
 	}
 }
 
-// BenchmarkWorkspaces is the same over the number of workspaces.
+// BenchmarkWorkspaces reports the same costs by the number of workspaces.
 func BenchmarkWorkspaces(b *testing.B) {
 	for _, w := range []int{1000, 5000, 19000} {
 		b.Run(fmt.Sprintf("workspaces=%d", w), func(b *testing.B) {
 			for b.Loop() {
 				var r controlCost
-				virtual.Run(b, func() { r = control(3, 20, w) })
+				virtual.Run(b, func() { r = measureControl(3, 20, w) })
 				r.report(b)
 			}
 		})
 	}
 }
 
-// A day has 1,100 changes; within controlLength there are controlChanges.
+// Configuration changes in a run, and its length in seconds.
 const (
 	controlLength  = 20
 	controlChanges = 110
@@ -104,9 +104,9 @@
 	b.ReportMetric(r.heap/1e6, "heap_MB")
 }
 
-// control runs a fleet for a while and returns the cost of one daemon; store calls
-// are the fleet's.
-func control(n, changes, workspaces int) controlCost {
+// measureControl runs a fleet for controlLength seconds and returns the cost of
+// one daemon; store calls are those of the fleet.
+func measureControl(n, changes, workspaces int) controlCost {
 	const length = controlLength
 	f := newFleet(0)
 	for i := range workspaces {
@@ -115,17 +115,17 @@
 	for range n {
 		f.add()
 	}
-	f.settle()
+	f.waitForAgreement()
 	time.Sleep(10 * time.Second)
 	runtime.GC()
-	sentBefore, callsBefore, cpuBefore := f.sent(), f.calls(), cpu()
+	sentBefore, callsBefore, cpuBefore := f.sent(), f.calls(), cpuTime()
 	for i := range length * 10 {
 		for range changes*(i+1)/(length*10) - changes*i/(length*10) {
 			f.setWorkspace(i%workspaces, float64(2+i))
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	used := cpu() - cpuBefore
+	used := cpuTime() - cpuBefore
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
@@ -159,14 +159,14 @@
 	return n
 }
 
-// BenchmarkTakeover reports the time until a killed daemon's duties are all with
-// others, in virtual time.
+// BenchmarkTakeover reports the virtual time until all roles of a killed daemon
+// are reassigned.
 func BenchmarkTakeover(b *testing.B) {
 	for b.Loop() {
 		var took []time.Duration
 		virtual.Run(b, func() {
 			f := newFleet(8)
-			f.settle()
+			f.waitForAgreement()
 			for i := range 6 {
 				time.Sleep(5 * time.Second)
 				f.kill(fmt.Sprintf("daemon-%03d", i))
@@ -176,7 +176,7 @@
 				}
 				took = append(took, d)
 				f.add()
-				f.settle()
+				f.waitForAgreement()
 			}
 			f.close()
 		})
--- a/peer/demand.go
+++ b/peer/demand.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// PathDemand is where a daemon says what its callers ask of each model.
+// PathDemand is the path that returns the demand of a daemon's callers by model.
 const PathDemand = "/peer/v1/demand"
 
 // ModelDemand is the demand for one model.
@@ -15,14 +15,14 @@
 	Tokens float64 `cbor:"2,keyasint"` // per second
 }
 
-// demandCall asks for the demands of a daemon.
-type demandCall struct{}
+// demandRequest requests the demands of a daemon.
+type demandRequest struct{}
 
-// demandParallel bounds the calls under way at once.
-const demandParallel = 16
+// maxDemandCalls limits the concurrent demand calls.
+const maxDemandCalls = 16
 
-// Demands asks every daemon and returns the demand of the whole fleet by model,
-// in tokens per second. Daemons that do not answer count for nothing.
+// Demands queries every daemon and returns the demand of the whole fleet by
+// model, in tokens per second. Daemons that do not answer are left out.
 func (n *Node) Demands(ctx context.Context, own []ModelDemand) map[string]float64 {
 	sum := map[string]float64{}
 	var mu sync.Mutex
@@ -34,7 +34,7 @@
 		}
 	}
 	add(own)
-	slots := make(chan struct{}, demandParallel)
+	slots := make(chan struct{}, maxDemandCalls)
 	var wg sync.WaitGroup
 	for _, m := range n.working() {
 		if m.Name == n.opts.Self.Name {
@@ -43,10 +43,10 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			cctx, cancel := context.WithTimeout(ctx, dialTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			var part []ModelDemand
-			if n.call(cctx, m.Name, PathDemand, demandCall{}, &part) == nil {
+			if n.call(callCtx, m.Name, PathDemand, demandRequest{}, &part) == nil {
 				add(part)
 			}
 		})
@@ -55,10 +55,10 @@
 	return sum
 }
 
-// ServeDemand adds the handler that answers with this daemon's demands.
+// ServeDemand adds the handler that returns this daemon's demands.
 func (n *Node) ServeDemand(mux *http.ServeMux, own func() []ModelDemand) {
 	mux.HandleFunc("POST "+PathDemand, func(w http.ResponseWriter, r *http.Request) {
-		var in demandCall
+		var in demandRequest
 		if n.readCall(w, r, &in) {
 			n.writeCall(w, own())
 		}
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -22,7 +22,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// testFleet is a fleet of nodes with real catalogs on a network in memory.
+// testFleet is a fleet of nodes with catalogs on an in-memory network.
 type testFleet struct {
 	net     *memnet.Net
 	store   *memstore.Store
@@ -40,7 +40,7 @@
 	done    sync.WaitGroup
 }
 
-// statuses remembers what it is told.
+// statuses records the statuses that it takes.
 type statuses struct {
 	mu    sync.Mutex
 	known map[string]backend.Status
@@ -74,7 +74,7 @@
 
 func ipOf(i int) string { return fmt.Sprintf("10.1.%d.%d", i/250, i%250+1) }
 
-// add starts a daemon that knows the first few others as seeds.
+// add starts a daemon that has up to three others as seeds.
 func (f *testFleet) add() *testDaemon {
 	i := f.count
 	f.count++
@@ -111,7 +111,7 @@
 	return d
 }
 
-// kill ends a daemon as a crash does.
+// kill stops a daemon without Leave, as a crash does.
 func (f *testFleet) kill(name string) {
 	d := f.daemons[name]
 	delete(f.daemons, name)
@@ -128,19 +128,20 @@
 	time.Sleep(time.Minute)
 }
 
-// within waits until ok holds and returns how long that took.
+// within waits up to limit until ok holds. It returns the time taken and whether
+// ok held.
 func within(limit time.Duration, ok func() bool) (time.Duration, bool) {
-	began := time.Now()
-	for time.Since(began) <= limit {
+	start := time.Now()
+	for time.Since(start) <= limit {
 		if ok() {
-			return time.Since(began), true
+			return time.Since(start), true
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return limit, false
 }
 
-// agree reports whether every daemon sees exactly the living ones as working.
+// agree reports whether the working set of every daemon is the running daemons.
 func (f *testFleet) agree() bool {
 	for _, d := range f.daemons {
 		w := d.node.working()
@@ -175,7 +176,7 @@
 	return true
 }
 
-func inFleet(t *testing.T, n int, fn func(f *testFleet)) {
+func runFleet(t *testing.T, n int, fn func(f *testFleet)) {
 	virtual.Test(t, func(t *testing.T) {
 		f := newFleet(n)
 		defer f.close()
@@ -185,8 +186,8 @@
 	})
 }
 
-func TestDeathAndReplacement(t *testing.T) {
-	inFleet(t, 12, func(f *testFleet) {
+func TestFailureAndReplacement(t *testing.T) {
+	runFleet(t, 12, func(f *testFleet) {
 		f.kill("daemon-003")
 		took, ok := within(15*time.Second, f.agree)
 		require.True(t, ok)
@@ -197,9 +198,9 @@
 	})
 }
 
-// A daemon that leaves is out of all duties at once, without suspicion.
+// A daemon that leaves is removed from all working sets at once.
 func TestLeave(t *testing.T) {
-	inFleet(t, 8, func(f *testFleet) {
+	runFleet(t, 8, func(f *testFleet) {
 		d := f.daemons["daemon-002"]
 		d.node.Leave()
 		time.Sleep(200 * time.Millisecond)
@@ -212,10 +213,10 @@
 	})
 }
 
-// Failure domains that are cut off for minutes come back, and the configuration
-// that changed meanwhile is in force everywhere soon after.
+// After a partition of minutes heals, members agree again and the configuration
+// that changed meanwhile is in force on all daemons.
 func TestPartition(t *testing.T) {
-	inFleet(t, 12, func(f *testFleet) {
+	runFleet(t, 12, func(f *testFleet) {
 		v := f.setModel(4)
 		_, ok := within(5*time.Second, func() bool { return f.inForce(v) })
 		require.True(t, ok)
@@ -240,10 +241,10 @@
 	})
 }
 
-// Half of the daemons are replaced within a minute while configuration changes;
-// no daemon ever goes back to a lower version.
+// While half of the daemons are replaced and configuration changes, no daemon
+// goes back to a lower version.
 func TestHalfReplaced(t *testing.T) {
-	inFleet(t, 16, func(f *testFleet) {
+	runFleet(t, 16, func(f *testFleet) {
 		highest := map[*catalog.Catalog]store.Position{}
 		v := store.Position(0)
 		for i := range 8 {
@@ -264,17 +265,17 @@
 	})
 }
 
-// A daemon that starts while the store is down gets the configuration from
-// another, and the store's return is not met by all at once.
+// A daemon that starts during a store outage gets the configuration from a peer,
+// and the end of the outage causes a bounded number of store calls.
 func TestStartDuringOutage(t *testing.T) {
-	inFleet(t, 8, func(f *testFleet) {
+	runFleet(t, 8, func(f *testFleet) {
 		v := f.setModel(4)
 		_, ok := within(5*time.Second, func() bool { return f.inForce(v) })
 		require.True(t, ok)
 		f.store.SetFaults(memstore.Faults{Outage: true})
 		time.Sleep(10 * time.Minute)
-		fresh := f.add()
-		took, ok := within(10*time.Second, func() bool { return fresh.catalog.Mark().Revision == v })
+		started := f.add()
+		took, ok := within(10*time.Second, func() bool { return started.catalog.Mark().Revision == v })
 		require.True(t, ok)
 		require.LessOrEqual(t, took, 3*time.Second)
 		before, _ := f.store.Calls()
@@ -287,9 +288,9 @@
 	})
 }
 
-// Reports on backend servers reach everybody once they are new.
-func TestStatusesSpread(t *testing.T) {
-	inFleet(t, 9, func(f *testFleet) {
+// A new status of a backend server reaches all daemons.
+func TestStatusPropagation(t *testing.T) {
+	runFleet(t, 9, func(f *testFleet) {
 		for _, d := range f.daemons {
 			if d.node.Owns("engine") {
 				d.node.PublishStatus(backend.Status{BackendServer: "engine", Boot: 1, Seq: 7, Leaving: true})
@@ -297,46 +298,46 @@
 			}
 		}
 		time.Sleep(time.Second)
-		told := 0
+		received := 0
 		owners := 0
 		for _, d := range f.daemons {
-			told += len(d.node.statuses.Known())
+			received += len(d.node.statuses.Known())
 			if d.node.Owns("engine") {
 				owners++
 			}
 		}
-		require.Equal(t, 8, told, "all but the one that read it")
-		require.Equal(t, ownersOfServer, owners)
+		require.Equal(t, 8, received, "all but the one that read it")
+		require.Equal(t, ownersPerServer, owners)
 	})
 }
 
-// A changed VM list that one watcher read reaches everybody; a watcher whose
-// list lags does not bring the old one back.
-func TestVMListSpreads(t *testing.T) {
-	inFleet(t, 9, func(f *testFleet) {
+// A changed VM list that one watcher read reaches all daemons, and a watcher that
+// still reads the old list does not restore it.
+func TestVMListPropagation(t *testing.T) {
+	runFleet(t, 9, func(f *testFleet) {
 		var mu sync.Mutex
-		have := map[string]store.VMState{}
+		states := map[string]store.VMState{}
 		for name, d := range f.daemons {
 			d.node.OnVMs(func(vms []store.VM) {
 				mu.Lock()
 				defer mu.Unlock()
-				have[name] = vms[0].State
+				states[name] = vms[0].State
 			})
 		}
 		live := []store.VM{{Name: "b", State: store.VMLive}}
 		leaving := []store.VM{{Name: "b", State: store.VMLeaving}}
-		early, late := f.daemons["daemon-001"].node, f.daemons["daemon-005"].node
-		early.PublishVMs(live)
-		late.PublishVMs(live)
+		current, stale := f.daemons["daemon-001"].node, f.daemons["daemon-005"].node
+		current.PublishVMs(live)
+		stale.PublishVMs(live)
 		time.Sleep(time.Second)
-		early.PublishVMs(leaving)
+		current.PublishVMs(leaving)
 		time.Sleep(time.Second)
-		late.PublishVMs(live) // still the old list
+		stale.PublishVMs(live) // still the old list
 		time.Sleep(time.Second)
 		mu.Lock()
 		defer mu.Unlock()
-		require.Len(t, have, 9)
-		for name, state := range have {
+		require.Len(t, states, 9)
+		for name, state := range states {
 			require.Equal(t, store.VMLeaving, state, name)
 		}
 	})
--- a/peer/follow.go
+++ b/peer/follow.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// followCheck is the period at which a daemon looks whether it should follow
-// the store itself.
-const followCheck = 250 * time.Millisecond
+// followCheckInterval is the interval between two checks of whether this daemon
+// should follow the store itself.
+const followCheckInterval = 250 * time.Millisecond
 
-// Follow calls run, which follows the store until its context ends, while this
-// daemon is a watcher of its failure domain or hears from nobody.
+// Follow calls run, which follows the store until its context ends, while
+// ShouldFollow returns true. It returns when ctx ends.
 func (n *Node) Follow(ctx context.Context, run func(context.Context)) {
-	t := time.NewTicker(followCheck)
+	t := time.NewTicker(followCheckInterval)
 	defer t.Stop()
 	for ctx.Err() == nil {
 		if n.ShouldFollow() {
-			n.followWhileDue(ctx, t.C, run)
+			n.followWhileAssigned(ctx, t.C, run)
 		}
 		select {
 		case <-ctx.Done():
@@ -26,8 +26,8 @@
 	}
 }
 
-// followWhileDue returns when this daemon need not follow any more.
-func (n *Node) followWhileDue(ctx context.Context, check <-chan time.Time, run func(context.Context)) {
+// followWhileAssigned calls run and cancels it when ShouldFollow returns false.
+func (n *Node) followWhileAssigned(ctx context.Context, check <-chan time.Time, run func(context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Go(func() { run(ctx) })
--- a/peer/link.go
+++ b/peer/link.go
@@ -13,22 +13,22 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// linkQueue is how many frames may wait on a link. A link that is slower than
-// that is closed: it will be opened again and brought up to date.
-const linkQueue = 512
+// maxLinkQueue is the number of frames that may wait on a link. A link whose
+// queue is full is closed; the next one resynchronizes the peer.
+const maxLinkQueue = 512
 
-// link is one WebSocket to another daemon.
+// link is a WebSocket connection to another daemon.
 type link struct {
-	node   *Node
-	peer   Member
-	conn   *websocket.Conn
-	out    chan []byte
-	heard  atomic.Int64 // Unix nanoseconds
-	cancel context.CancelFunc
-	once   sync.Once
+	node        *Node
+	peer        Member
+	conn        *websocket.Conn
+	out         chan []byte
+	lastContact atomic.Int64 // time of the last frame received, Unix nanoseconds
+	cancel      context.CancelFunc
+	once        sync.Once
 }
 
-func (l *link) heardAt() time.Time { return time.Unix(0, l.heard.Load()) }
+func (l *link) lastContactAt() time.Time { return time.Unix(0, l.lastContact.Load()) }
 
 func (l *link) send(data []byte) {
 	select {
@@ -45,29 +45,29 @@
 	})
 }
 
-// serveLink greets, registers the link and reads it until it ends.
+// serveLink exchanges hellos, registers the link and reads it until it ends.
 func (n *Node) serveLink(ctx context.Context, c *websocket.Conn) {
 	defer func() { _ = c.CloseNow() }()
 	c.SetReadLimit(maxFrameBytes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	peer, err := n.greet(ctx, c)
+	peer, err := n.exchangeHellos(ctx, c)
 	if err != nil {
 		return
 	}
-	l := &link{node: n, peer: peer, conn: c, out: make(chan []byte, linkQueue), cancel: cancel}
-	l.heard.Store(time.Now().UnixNano())
+	l := &link{node: n, peer: peer, conn: c, out: make(chan []byte, maxLinkQueue), cancel: cancel}
+	l.lastContact.Store(time.Now().UnixNano())
 	if !n.register(l) {
 		return
 	}
 	go l.write(ctx)
-	n.welcome(l)
+	n.sendState(l)
 	err = l.read(ctx)
 	n.unregister(l, err)
 }
 
-// greet exchanges hellos.
-func (n *Node) greet(ctx context.Context, c *websocket.Conn) (Member, error) {
+// exchangeHellos sends this daemon's hello and returns the member in the peer's.
+func (n *Node) exchangeHellos(ctx context.Context, c *websocket.Conn) (Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	n.mu.Lock()
@@ -94,46 +94,47 @@
 	return f.Hello.Self, nil
 }
 
-// register adds a link; false means that there is one already.
+// register adds a link, replacing a silent or older one to the same daemon. It
+// returns false if there is a live one already.
 func (n *Node) register(l *link) bool {
 	n.mu.Lock()
 	old := n.links[l.peer.Name]
-	if old != nil && time.Since(old.heardAt()) < n.opts.Suspect && old.peer.Incarnation >= l.peer.Incarnation {
+	if old != nil && time.Since(old.lastContactAt()) < n.opts.Suspect && old.peer.Incarnation >= l.peer.Incarnation {
 		n.mu.Unlock()
 		return false
 	}
 	n.links[l.peer.Name] = l
-	n.lastHeard = time.Now()
-	news, changed := n.members.Apply(l.peer, time.Now())
+	n.lastContactAt = time.Now()
+	update, changed := n.members.Apply(l.peer, time.Now())
 	n.mu.Unlock()
 	if old != nil {
 		old.close("replaced")
 	}
 	if changed {
-		n.spread(news, l.peer.Name)
+		n.broadcastMember(update, l.peer.Name)
 	}
 	return true
 }
 
-// unregister drops a link that ended and suspects the daemon behind it, unless
-// it said that it leaves. A daemon that lives denies it within one round trip.
+// unregister removes a link that ended and marks its daemon as suspect. A daemon
+// that is alive refutes this within one round trip.
 func (n *Node) unregister(l *link, err error) {
 	n.mu.Lock()
-	mine := n.links[l.peer.Name] == l
-	if mine {
+	current := n.links[l.peer.Name] == l
+	if current {
 		delete(n.links, l.peer.Name)
-		delete(n.differs, l.peer.Name)
+		delete(n.mismatches, l.peer.Name)
 	}
 	n.mu.Unlock()
 	l.close("ended")
-	if mine && err != nil {
-		n.accuse(l.peer.Name)
+	if current && err != nil {
+		n.markSuspect(l.peer.Name)
 	}
 }
 
-// welcome brings the other side up to date on members and backend servers; its
-// heartbeats will tell whether it needs configuration.
-func (n *Node) welcome(l *link) {
+// sendState sends members, VMs and backend server statuses to a new peer.
+// Configuration is sent on request, after heartbeats have been compared.
+func (n *Node) sendState(l *link) {
 	n.mu.Lock()
 	f := &Frame{Members: n.members.All(), Beat: &Beat{Mark: n.catalog.Mark()}}
 	if vms := n.vms; vms.ReadAt > 0 {
@@ -178,7 +179,7 @@
 			return err
 		}
 		now := time.Now()
-		l.heard.Store(now.UnixNano())
+		l.lastContact.Store(now.UnixNano())
 		l.node.received.Add(int64(len(data)))
 		f, err := decodeFrame(data)
 		if err != nil {
@@ -189,127 +190,131 @@
 	}
 }
 
-// handle takes a frame.
+// handle applies a frame.
 func (n *Node) handle(l *link, f *Frame, now time.Time) {
 	n.mu.Lock()
-	n.lastHeard = now
+	n.lastContactAt = now
 	n.mu.Unlock()
 	for _, m := range f.Members {
-		n.takeMember(l, m, now)
+		n.applyMember(l, m, now)
 	}
 	if len(f.Objects) > 0 {
-		n.takeObjects(f.Objects, l.peer.Name)
+		n.applyObjects(f.Objects, l.peer.Name)
 	}
 	for _, st := range f.Statuses {
-		n.takeStatus(st, l.peer.Name)
+		n.applyStatus(st, l.peer.Name)
 	}
 	if f.VMs != nil {
-		n.takeVMs(*f.VMs, l.peer.Name)
+		n.applyVMs(*f.VMs, l.peer.Name)
 	}
 	if f.Want != nil {
-		n.answer(l, f.Want)
+		n.sendMissing(l, f.Want)
 	}
 	if len(f.Snapshot) > 0 {
-		n.takeSnapshot(l, f.Snapshot)
+		n.applySnapshot(l, f.Snapshot)
 	}
 	if f.Beat != nil {
-		n.compare(l, f.Beat, now)
+		n.compareMarks(l, f.Beat, now)
 	}
 }
 
-func (n *Node) takeMember(l *link, m Member, now time.Time) {
+func (n *Node) applyMember(l *link, m Member, now time.Time) {
 	n.mu.Lock()
-	pass, changed := n.members.Apply(m, now)
-	mine := changed && pass.Name == n.opts.Self.Name
+	update, changed := n.members.Apply(m, now)
+	refuted := changed && update.Name == n.opts.Self.Name
 	n.mu.Unlock()
 	if !changed {
 		return
 	}
 	from := l.peer.Name
-	if mine {
-		from = "" // a denial goes back to the accuser too
+	if refuted {
+		from = "" // a refutation also goes back to the peer that sent the suspicion
 	}
-	n.spread(pass, from)
+	n.broadcastMember(update, from)
 }
 
-// takeObjects applies configuration from a peer and passes on what was new.
-func (n *Node) takeObjects(objects []store.Object, from string) {
-	newer := map[store.ID]store.Position{}
+// applyObjects applies configuration from a peer and forwards the objects that
+// were newer.
+func (n *Node) applyObjects(objects []store.Object, from string) {
+	newVersions := map[store.ID]store.Position{}
 	for _, v := range n.catalog.Apply(objects...) {
-		newer[store.ID{Kind: v.Kind, Name: v.Name}] = v.Seen
+		newVersions[store.ID{Kind: v.Kind, Name: v.Name}] = v.Seen
 	}
-	var fresh []store.Object
+	var newObjects []store.Object
 	for _, o := range objects {
-		if newer[o.ID()] == o.Version {
-			fresh = append(fresh, o)
+		if newVersions[o.ID()] == o.Version {
+			newObjects = append(newObjects, o)
 		}
 	}
-	if len(fresh) > 0 {
-		n.broadcast(&Frame{Objects: fresh}, from)
+	if len(newObjects) > 0 {
+		n.broadcast(&Frame{Objects: newObjects}, from)
 	}
 }
 
-// PublishObjects passes on configuration that this daemon read from the store.
+// PublishObjects broadcasts configuration that this daemon read from the store.
 func (n *Node) PublishObjects(objects []store.Object) {
 	if len(objects) > 0 {
 		n.broadcast(&Frame{Objects: objects}, "")
 	}
 }
 
-// PublishStatus passes on a report that this daemon read itself, if its
-// structure is new; loads travel on replies.
+// PublishStatus broadcasts a status that this daemon read itself, if it is newer
+// than those seen before. Loads are carried by replies instead.
 func (n *Node) PublishStatus(st backend.Status) {
-	if n.isNew(st) {
+	if n.recordIfNewer(st) {
 		n.broadcast(&Frame{Statuses: []backend.Status{st}}, "")
 	}
 }
 
-func (n *Node) takeStatus(st backend.Status, from string) {
-	if !n.isNew(st) {
+func (n *Node) applyStatus(st backend.Status, from string) {
+	if !n.recordIfNewer(st) {
 		return
 	}
 	n.statuses.Take(st)
 	n.broadcast(&Frame{Statuses: []backend.Status{st}}, from)
 }
 
-// isNew notes a report and reports whether it is newer than any before.
-func (n *Node) isNew(st backend.Status) bool {
+// recordIfNewer reports whether a status is newer than all seen before, and
+// records its version if so.
+func (n *Node) recordIfNewer(st backend.Status) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	old, known := n.seen[st.BackendServer]
 	if known && (st.Boot < old.boot || st.Boot == old.boot && st.Seq <= old.seq) {
 		return false
 	}
-	n.seen[st.BackendServer] = stamp{st.Boot, st.Seq}
+	n.seen[st.BackendServer] = statusVersion{st.Boot, st.Seq}
 	return true
 }
 
-// compare asks for configuration when a neighbour's mark has differed for a
-// while: news on its way would have arrived by then.
-func (n *Node) compare(l *link, b *Beat, now time.Time) {
+// compareMarks requests configuration when a peer's mark has differed for
+// mismatchThreshold heartbeats, which leaves time for updates in transit. An
+// empty catalog requests it at once.
+func (n *Node) compareMarks(l *link, b *Beat, now time.Time) {
 	mine := n.catalog.Mark()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if b.Mark == mine {
-		n.differs[l.peer.Name] = 0
+		n.mismatches[l.peer.Name] = 0
 		return
 	}
-	n.differs[l.peer.Name]++
+	n.mismatches[l.peer.Name]++
 	empty := mine.Revision == 0
-	due := n.differs[l.peer.Name] >= differBeats && now.Sub(n.wantedAt) >= wantPause
+	due := n.mismatches[l.peer.Name] >= mismatchThreshold && now.Sub(n.configRequestedAt) >= configRequestInterval
 	if b.Mark.Revision < mine.Revision || !due && !empty {
 		return
 	}
-	n.wantedAt = now
+	n.configRequestedAt = now
 	data, err := encode(&Frame{Want: &Want{Mark: mine}})
 	if err == nil {
 		l.send(data)
 	}
 }
 
-// answer sends what another daemon lacks: the changes above its revision, or
-// everything when that would not do.
-func (n *Node) answer(l *link, w *Want) {
+// sendMissing sends the objects that a peer lacks: the changes above its
+// revision, or a snapshot if it has no configuration, or if the changes number
+// none or more than maxDelta.
+func (n *Node) sendMissing(l *link, w *Want) {
 	objects := n.catalog.Since(w.Mark.Revision)
 	if w.Mark.Revision > 0 && len(objects) > 0 && len(objects) <= maxDelta {
 		n.sendTo(l, &Frame{Objects: objects})
@@ -323,15 +328,15 @@
 	n.sendTo(l, &Frame{Snapshot: data})
 }
 
-// maxDelta is the number of objects from which a snapshot is sent instead.
+// maxDelta is the maximum number of objects sent without a snapshot.
 const maxDelta = 500
 
-func (n *Node) takeSnapshot(l *link, data []byte) {
+func (n *Node) applySnapshot(l *link, data []byte) {
 	objects, err := unpackObjects(data)
 	if err != nil {
 		_ = level.Warn(n.logger).Log("msg", "bad snapshot", "peer", l.peer.Name, "err", err)
 		return
 	}
-	verdicts := n.catalog.Apply(objects...)
-	_ = level.Info(n.logger).Log("msg", "snapshot applied", "peer", l.peer.Name, "objects", len(objects), "newer", len(verdicts))
+	applied := n.catalog.Apply(objects...)
+	_ = level.Info(n.logger).Log("msg", "snapshot applied", "peer", l.peer.Name, "objects", len(objects), "newer", len(applied))
 }
--- a/peer/member.go
+++ b/peer/member.go
@@ -1,7 +1,6 @@
-// Package peer makes many daemons one fleet: they find each other, notice who
-// has gone, and pass on configuration and the state of backend servers over a
-// few links each. Nothing here is all-to-all: a daemon keeps a bounded number
-// of links, and only changes travel.
+// Package peer joins daemons into a fleet. It discovers daemons, detects failed
+// ones, and distributes configuration and backend server statuses. Each daemon
+// keeps a bounded number of links, and links carry only changes.
 package peer
 
 import (
@@ -12,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is the state of a daemon as others see it.
+// State is the membership state of a daemon.
 type State uint8
 
-// The states, by precedence within one incarnation.
+// The states in ascending precedence within one incarnation.
 const (
 	Alive State = iota
 	Leaving
@@ -29,15 +28,15 @@
 // Member is one daemon.
 type Member struct {
 	Name          string `cbor:"1,keyasint"`
-	Address       string `cbor:"2,keyasint"` // of its peers' listener
+	Address       string `cbor:"2,keyasint"` // of its peer listener
 	FailureDomain string `cbor:"3,keyasint"`
 	Region        string `cbor:"4,keyasint"`
-	Incarnation   uint64 `cbor:"5,keyasint"` // only the daemon itself raises it
+	Incarnation   uint64 `cbor:"5,keyasint"` // raised only by the daemon itself
 	State         State  `cbor:"6,keyasint"`
-	Operators     string `cbor:"7,keyasint"` // address of its operators' listener
+	Operators     string `cbor:"7,keyasint"` // address of its operator listener
 }
 
-// supersedes reports whether news a replaces news b about the same daemon.
+// supersedes reports whether m replaces b, an update about the same daemon.
 func (m Member) supersedes(b Member) bool {
 	if m.Incarnation != b.Incarnation {
 		return m.Incarnation > b.Incarnation
@@ -45,97 +44,101 @@
 	return m.State > b.State
 }
 
-// Members is what one daemon knows of the fleet. It is pure and not safe for
-// concurrent use.
+// Members is a daemon's table of the fleet's members. It has no side effects and
+// is not safe for concurrent use.
 type Members struct {
-	self    Member
-	suspect time.Duration // from suspicion to death
-	forget  time.Duration // from death to oblivion
-	others  map[string]*record
-	working []Member // cached; nil after a change
-	version uint64   // grows with each change
+	self           Member
+	suspectTimeout time.Duration // time from Suspect to Dead
+	deadRetention  time.Duration // time from Dead to removal
+	others         map[string]*record
+	working        []Member // cache of Working; nil after a change
+	version        uint64   // incremented by each change
 }
 
 type record struct {
 	Member
-	since time.Time // of the state
+	since time.Time // when State was entered
 }
 
-// NewMembers returns a table that knows only the daemon itself.
-func NewMembers(self Member, suspect, forget time.Duration) *Members {
-	return &Members{self: self, suspect: suspect, forget: forget, others: map[string]*record{}}
+// NewMembers returns a table that contains only the daemon itself.
+func NewMembers(self Member, suspectTimeout, deadRetention time.Duration) *Members {
+	return &Members{self: self, suspectTimeout: suspectTimeout, deadRetention: deadRetention, others: map[string]*record{}}
 }
 
 // Self returns the daemon's own entry.
 func (t *Members) Self() Member { return t.self }
 
-// Leave marks the daemon itself as leaving and returns the news.
+// Leave marks the daemon itself as leaving and returns the update to broadcast.
 func (t *Members) Leave() Member {
 	t.self.State = Leaving
 	t.self.Incarnation++
-	t.touch()
+	t.markChanged()
 	return t.self
 }
 
-// Apply takes news and returns what must be passed on: the news itself if it is
-// new, or a denial if others wrongly hold this daemon to be suspect or dead.
-func (t *Members) Apply(news Member, now time.Time) (pass Member, changed bool) {
-	if news.Name == t.self.Name {
-		return t.deny(news)
+// Apply applies an update and returns the one to forward: the update itself if
+// it changes the table, or a refutation if it wrongly states that this daemon is
+// leaving, suspect or dead.
+func (t *Members) Apply(update Member, now time.Time) (forward Member, changed bool) {
+	if update.Name == t.self.Name {
+		return t.refute(update)
 	}
-	r := t.others[news.Name]
-	if r != nil && !news.supersedes(r.Member) {
+	r := t.others[update.Name]
+	if r != nil && !update.supersedes(r.Member) {
 		return Member{}, false
 	}
-	if r == nil && news.State == Dead {
+	if r == nil && update.State == Dead {
 		return Member{}, false
 	}
-	t.others[news.Name] = &record{Member: news, since: now}
-	t.touch()
-	return news, true
+	t.others[update.Name] = &record{Member: update, since: now}
+	t.markChanged()
+	return update, true
 }
 
-func (t *Members) deny(news Member) (Member, bool) {
-	stale := news.Incarnation < t.self.Incarnation
-	if stale || news.Incarnation == t.self.Incarnation && news.State <= t.self.State {
+// refute raises the own incarnation if an update supersedes the own entry.
+func (t *Members) refute(update Member) (Member, bool) {
+	stale := update.Incarnation < t.self.Incarnation
+	if stale || update.Incarnation == t.self.Incarnation && update.State <= t.self.State {
 		return Member{}, false
 	}
-	t.self.Incarnation = news.Incarnation + 1
-	t.touch()
+	t.self.Incarnation = update.Incarnation + 1
+	t.markChanged()
 	return t.self, true
 }
 
-// Accuse returns the news that a daemon does not answer.
+// Accuse marks a daemon as suspect and returns the update. It returns false if
+// the daemon is unknown, suspect or dead.
 func (t *Members) Accuse(name string, now time.Time) (Member, bool) {
 	r := t.others[name]
 	if r == nil || r.State >= Suspect {
 		return Member{}, false
 	}
-	news := r.Member
-	news.State = Suspect
-	return t.Apply(news, now)
+	update := r.Member
+	update.State = Suspect
+	return t.Apply(update, now)
 }
 
-// Tick turns long suspicion into death and forgets the long dead. It returns
-// the daemons that died now.
+// Tick marks daemons that have been suspect for suspectTimeout as dead and
+// removes those that have been dead for deadRetention. It returns the daemons
+// newly marked as dead.
 func (t *Members) Tick(now time.Time) []Member {
 	var died []Member
 	for name, r := range t.others {
 		age := now.Sub(r.since)
-		if r.State == Suspect && age >= t.suspect {
+		if r.State == Suspect && age >= t.suspectTimeout {
 			r.State, r.since = Dead, now
-			t.touch()
+			t.markChanged()
 			died = append(died, r.Member)
 		}
-		if r.State == Dead && age >= t.forget {
+		if r.State == Dead && age >= t.deadRetention {
 			delete(t.others, name)
-			t.touch()
+			t.markChanged()
 		}
 	}
 	return died
 }
 
-// Get returns what is known of a daemon.
+// Get returns the entry of a daemon.
 func (t *Members) Get(name string) (Member, bool) {
 	if name == t.self.Name {
 		return t.self, true
@@ -147,7 +150,7 @@
 	return r.Member, true
 }
 
-// All returns every daemon known, the daemon itself included, by name.
+// All returns every known daemon, including this one, sorted by name.
 func (t *Members) All() []Member {
 	out := []Member{t.self}
 	for _, r := range t.others {
@@ -157,25 +160,25 @@
 	return out
 }
 
-// NotLongDead returns every daemon known, the daemon itself included, but those that have
-// been dead for a time.
-func (t *Members) NotLongDead(dead time.Duration, now time.Time) []Member {
+// NotLongDead returns every known daemon, including this one, except those that have been
+// dead for the given time.
+func (t *Members) NotLongDead(retention time.Duration, now time.Time) []Member {
 	return slices.DeleteFunc(t.All(), func(m Member) bool {
-		return m.State == Dead && now.Sub(t.others[m.Name].since) >= dead
+		return m.State == Dead && now.Sub(t.others[m.Name].since) >= retention
 	})
 }
 
-// touch notes a change.
-func (t *Members) touch() {
+// markChanged records that the table has changed.
+func (t *Members) markChanged() {
 	t.working = nil
 	t.version++
 }
 
-// Version grows with each change.
+// Version returns a number that each change increments.
 func (t *Members) Version() uint64 { return t.version }
 
-// Working returns the daemons that take duties: alive, or suspect for now. The
-// slice must not be changed.
+// Working returns the daemons that can be assigned roles: those alive or suspect.
+// The caller must not modify the slice.
 func (t *Members) Working() []Member {
 	if t.working == nil {
 		t.working = slices.DeleteFunc(t.All(), func(m Member) bool { return m.State == Leaving || m.State == Dead })
@@ -183,10 +186,10 @@
 	return t.working
 }
 
-// rank orders daemons for one duty, the same on every daemon that knows the same
-// fleet (rendezvous hashing); few duties move when the fleet changes.
-func rank(duty string, members []Member) []Member {
-	weight := func(m Member) uint64 { return xxhash.Sum64String(duty + "\x00" + m.Name) }
+// rank orders daemons for a role by rendezvous hashing: daemons with the same
+// members compute the same order, and few roles move when members change.
+func rank(role string, members []Member) []Member {
+	weight := func(m Member) uint64 { return xxhash.Sum64String(role + "\x00" + m.Name) }
 	out := slices.Clone(members)
 	slices.SortFunc(out, func(a, b Member) int {
 		if c := cmp.Compare(weight(b), weight(a)); c != 0 {
@@ -197,9 +200,9 @@
 	return out
 }
 
-// onDuty reports whether a daemon is among the first n of a duty.
-func onDuty(name, duty string, members []Member, n int) bool {
-	mine := xxhash.Sum64String(duty + "\x00" + name)
+// isAssigned reports whether a daemon is among the first n ranked for a role.
+func isAssigned(name, role string, members []Member, n int) bool {
+	mine := xxhash.Sum64String(role + "\x00" + name)
 	before := 0
 	found := false
 	for i := range members {
@@ -208,7 +211,7 @@
 			found = true
 			continue
 		}
-		w := xxhash.Sum64String(duty + "\x00" + other)
+		w := xxhash.Sum64String(role + "\x00" + other)
 		if w > mine || w == mine && other < name {
 			before++
 		}
@@ -216,9 +219,9 @@
 	return found && before < n
 }
 
-// Neighbours returns the daemons that a daemon opens links to. On a ring by
-// hash these are the ones 1, N^(1/d), N^(2/d) ... places on, so that every
-// daemon has about 2d links and news crosses the fleet in few steps.
+// Neighbours returns the daemons that a daemon opens links to. On a ring ordered
+// by hash, these are 1, N^(1/d), N^(2/d), ... positions ahead, so that every
+// daemon has about 2d links and an update reaches the fleet in few hops.
 func Neighbours(self string, members []Member, degree int) []Member {
 	ring := rank("ring", members)
 	at := slices.IndexFunc(ring, func(m Member) bool { return m.Name == self })
--- a/peer/member_test.go
+++ b/peer/member_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// News in any order and repeated leads every daemon to the same view.
-func TestNewsCommute(t *testing.T) {
+// Updates in any order and repeated lead every daemon to the same table.
+func TestUpdatesCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var news []Member
+		var updates []Member
 		for range rapid.IntRange(0, 20).Draw(t, "n") {
-			news = append(news, Member{
+			updates = append(updates, Member{
 				Name:        rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
 				Incarnation: uint64(rapid.IntRange(1, 4).Draw(t, "incarnation")),
 				State:       State(rapid.IntRange(0, int(Suspect)).Draw(t, "state")),
@@ -24,17 +24,17 @@
 		one := NewMembers(Member{Name: "x"}, time.Hour, time.Hour)
 		two := NewMembers(Member{Name: "x"}, time.Hour, time.Hour)
 		now := time.Now()
-		for _, m := range news {
+		for _, m := range updates {
 			one.Apply(m, now)
 		}
-		for _, m := range append(rapid.Permutation(news).Draw(t, "order"), news...) {
+		for _, m := range append(rapid.Permutation(updates).Draw(t, "order"), updates...) {
 			two.Apply(m, now)
 		}
 		require.Equal(t, one.All(), two.All())
 	})
 }
 
-func TestDenial(t *testing.T) {
+func TestRefutation(t *testing.T) {
 	m := NewMembers(Member{Name: "x", Incarnation: 5}, time.Second, time.Hour)
 	pass, changed := m.Apply(Member{Name: "x", Incarnation: 5, State: Dead}, time.Now())
 	require.True(t, changed)
@@ -43,7 +43,7 @@
 	require.False(t, changed)
 }
 
-// The links reach every daemon in few steps, and nobody has many.
+// Every daemon is reached in few hops, and every daemon has few links.
 func TestNeighbours(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 32, 128, 380} {
 		var members []Member
@@ -57,20 +57,20 @@
 				links[o.Name] = append(links[o.Name], m.Name)
 			}
 		}
-		steps := map[string]int{"d0": 0}
-		far := 0
+		hops := map[string]int{"d0": 0}
+		maxHops := 0
 		for queue := []string{"d0"}; len(queue) > 0; queue = queue[1:] {
 			require.LessOrEqual(t, len(links[queue[0]]), 8)
 			for _, o := range links[queue[0]] {
-				if _, seen := steps[o]; !seen {
-					steps[o] = steps[queue[0]] + 1
-					far = max(far, steps[o])
+				if _, seen := hops[o]; !seen {
+					hops[o] = hops[queue[0]] + 1
+					maxHops = max(maxHops, hops[o])
 					queue = append(queue, o)
 				}
 			}
 		}
-		require.Len(t, steps, n)
-		require.LessOrEqual(t, far, 10)
+		require.Len(t, hops, n)
+		require.LessOrEqual(t, maxHops, 10)
 	}
 }
 
@@ -82,16 +82,15 @@
 				members = append(members, Member{Name: fmt.Sprint("d", i)})
 			}
 			for b.Loop() {
-				onDuty("d0", "status engine", members, ownersOfServer)
+				isAssigned("d0", "status engine", members, ownersPerServer)
 			}
 		})
 	}
 }
 
-// A daemon that knows no other does not take itself for the only one that holds a part of
-// what all keep together, while others may be found; one that is dead keeps its part for a
-// while.
-func TestWhoHoldsAPart(t *testing.T) {
+// A daemon that knows no other but has seeds is not the only holder of a share, and a dead
+// daemon keeps its share for shareRetention.
+func TestSharing(t *testing.T) {
 	self := Member{Name: "a", Address: "10.0.0.1:1"}
 	node := func(seeds ...string) *Node {
 		return New(Options{Self: self, Seeds: seeds, Dead: time.Second}, nil, nil, nil, log.NewNopLogger())
@@ -103,8 +102,8 @@
 	require.Len(t, n.Sharing(now.Add(joinGrace+time.Second)), 3, "itself and two that it cannot reach")
 
 	n.members.Apply(Member{Name: "b", Address: "10.0.0.2:1"}, now)
-	require.Len(t, n.Sharing(now), 2, "as the others tell")
+	require.Len(t, n.Sharing(now), 2, "as the members state")
 	n.members.Apply(Member{Name: "b", Address: "10.0.0.2:1", State: Dead}, now)
-	require.Len(t, n.Sharing(now.Add(partKept-time.Second)), 2)
-	require.Len(t, n.Sharing(now.Add(partKept)), 3, "itself and two that it cannot reach")
+	require.Len(t, n.Sharing(now.Add(shareRetention-time.Second)), 2)
+	require.Len(t, n.Sharing(now.Add(shareRetention)), 3, "itself and two that it cannot reach")
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -22,30 +22,30 @@
 // Options are the settings of a node.
 type Options struct {
 	Self      Member
-	Seeds     []string // addresses of other daemons' peers' listeners
+	Seeds     []string // addresses of other daemons' peer listeners
 	Heartbeat time.Duration
-	Suspect   time.Duration // silence before suspicion
-	Dead      time.Duration // silence before death
-	Degree    int           // links that a daemon opens
-	Watchers  int           // daemons of a failure domain that watch the store
+	Suspect   time.Duration // time without contact until a daemon is suspect
+	Dead      time.Duration // time without contact until a daemon is dead
+	Degree    int           // number of links that a daemon opens
+	Watchers  int           // number of daemons of a failure domain that watch the store
 	Token     string        // shared by the fleet
 	Scheme    string        // "http" or "https"
 }
 
-// Catalog is the configuration in force that a node keeps in step with others.
+// Catalog is the configuration in force that a node synchronizes with its peers.
 type Catalog interface {
 	Mark() catalog.Mark
 	Apply(objects ...store.Object) []catalog.Verdict
 	Since(revision store.Position) []store.Object
 }
 
-// Statuses takes the reports on backend servers that other daemons read.
+// Statuses holds the backend server statuses that other daemons read.
 type Statuses interface {
 	Take(st backend.Status)
 	Known() []backend.Status
 }
 
-// Node is one daemon's part in the fleet. It is safe for concurrent use.
+// Node is the fleet membership of this daemon. It is safe for concurrent use.
 type Node struct {
 	opts     Options
 	http     *http.Client
@@ -55,63 +55,63 @@
 	sent     atomic.Int64 // bytes on links
 	received atomic.Int64
 
-	mu        sync.Mutex
-	members   *Members
-	links     map[string]*link
-	dialing   map[string]bool
-	lastHeard time.Time // of any link
-	started   time.Time
-	wantedAt  time.Time
-	differs   map[string]int   // heartbeats in a row with another mark, by daemon
-	seen      map[string]stamp // newest status passed on, by backend server
-	owned     map[string]bool  // cached answers of Owns
-	ownedAt   uint64           // version of the membership that they hold for
-	changed   chan struct{}
-	vms       VMList     // newest known
-	polled    []store.VM // as this daemon read it last
-	onVMs     func([]store.VM)
-	quotas    *quotas
+	mu                sync.Mutex
+	members           *Members
+	links             map[string]*link
+	dialing           map[string]bool
+	lastContactAt     time.Time // on any link
+	started           time.Time
+	configRequestedAt time.Time
+	mismatches        map[string]int           // consecutive heartbeats with a different mark, by daemon
+	seen              map[string]statusVersion // newest status seen, by backend server
+	owned             map[string]bool          // cached answers of Owns
+	ownedAt           uint64                   // membership version for which owned is valid
+	changed           chan struct{}
+	vms               VMList     // newest list
+	polled            []store.VM // the list that this daemon last read
+	onVMs             func([]store.VM)
+	quotas            *quotas
 }
 
-// stamp orders the reports of one engine.
-type stamp struct{ boot, seq uint64 }
+// statusVersion orders the statuses of one backend server.
+type statusVersion struct{ boot, seq uint64 }
 
-// Periods that need no setting.
+// Intervals and timeouts.
 const (
-	forgetAfter  = time.Hour       // a daemon that is dead for so long is forgotten
-	joinGrace    = 2 * time.Second // a daemon that starts waits so long for others
-	wantPause    = 2 * time.Second // between two requests for configuration
-	differBeats  = 3               // heartbeats with another mark before asking
-	dialTimeout  = 2 * time.Second
-	writeTimeout = 5 * time.Second
-	silence      = 10 * time.Second // without links for so long, the store is read directly
+	deadMemberRetention   = time.Hour       // time until a dead daemon is removed
+	joinGrace             = 2 * time.Second // time that a starting daemon waits for others
+	configRequestInterval = 2 * time.Second // minimum time between two requests for configuration
+	mismatchThreshold     = 3               // heartbeats with a different mark before configuration is requested
+	dialTimeout           = 2 * time.Second
+	writeTimeout          = 5 * time.Second
+	isolationTimeout      = 10 * time.Second // time without links until the store is followed directly
 )
 
-// New returns a node; Run must be called to start it.
+// New returns a node. Run starts it.
 func New(o Options, hc *http.Client, c Catalog, s Statuses, logger log.Logger) *Node {
 	return &Node{
 		opts: o, http: hc, catalog: c, statuses: s, logger: logger, started: time.Now(),
-		members: NewMembers(o.Self, o.Dead-o.Suspect, forgetAfter), links: map[string]*link{}, dialing: map[string]bool{},
-		differs: map[string]int{}, seen: map[string]stamp{}, owned: map[string]bool{}, quotas: newQuotas(), changed: make(chan struct{}),
+		members: NewMembers(o.Self, o.Dead-o.Suspect, deadMemberRetention), links: map[string]*link{}, dialing: map[string]bool{},
+		mismatches: map[string]int{}, seen: map[string]statusVersion{}, owned: map[string]bool{}, quotas: newQuotas(), changed: make(chan struct{}),
 	}
 }
 
-// Run keeps links, heartbeats and membership until ctx ends.
+// Run maintains links, heartbeats and membership until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	beat := time.NewTicker(n.opts.Heartbeat)
-	defer beat.Stop()
+	ticker := time.NewTicker(n.opts.Heartbeat)
+	defer ticker.Stop()
 	for {
 		n.tick(ctx)
 		select {
 		case <-ctx.Done():
 			n.closeLinks()
 			return
-		case <-beat.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// tick sends heartbeats, looks for silent links and opens missing ones.
+// tick sends heartbeats, closes silent links and opens missing ones.
 func (n *Node) tick(ctx context.Context) {
 	now := time.Now()
 	n.broadcast(&Frame{Beat: &Beat{Mark: n.catalog.Mark()}}, "")
@@ -122,11 +122,11 @@
 	}
 	var silent []*link
 	for _, l := range n.links {
-		if now.Sub(l.heardAt()) > n.opts.Suspect {
+		if now.Sub(l.lastContactAt()) > n.opts.Suspect {
 			silent = append(silent, l)
 		}
 	}
-	targets := n.targets()
+	targets := n.dialTargets()
 	n.mu.Unlock()
 	for _, l := range silent {
 		l.close("silent")
@@ -136,18 +136,19 @@
 	}
 }
 
-// targets returns where links should be opened now. The caller holds the lock.
-func (n *Node) targets() []target {
-	var out []target
+// dialTargets returns the targets to dial now and marks them as being dialed.
+// The caller holds n.mu.
+func (n *Node) dialTargets() []dialTarget {
+	var out []dialTarget
 	for _, m := range Neighbours(n.opts.Self.Name, n.members.Working(), n.opts.Degree) {
 		if n.links[m.Name] == nil {
-			out = append(out, target{m.Name, m.Address})
+			out = append(out, dialTarget{m.Name, m.Address})
 		}
 	}
-	if len(n.links) == 0 || rand.IntN(probeEvery) == 0 {
-		out = append(out, n.strangers()...)
+	if len(n.links) == 0 || rand.IntN(probeInterval) == 0 {
+		out = append(out, n.probeTargets()...)
 	}
-	var free []target
+	var free []dialTarget
 	for _, t := range out {
 		if !n.dialing[t.address] {
 			n.dialing[t.address] = true
@@ -157,15 +158,16 @@
 	return free
 }
 
-// probeEvery is the mean number of heartbeats between two tries to find daemons
-// that are not known or count as dead, as after a partition.
-const probeEvery = 8
+// probeInterval is the mean number of heartbeats between two probes of seeds and
+// dead daemons, which rejoin the fleet after a partition.
+const probeInterval = 8
 
-type target struct{ name, address string }
+type dialTarget struct{ name, address string }
 
-// strangers returns a seed that is not linked and a daemon that counts as dead.
-func (n *Node) strangers() []target {
-	var out []target
+// probeTargets returns a random seed that is no live member and a random suspect
+// or dead daemon, if any. The caller holds n.mu.
+func (n *Node) probeTargets() []dialTarget {
+	var out []dialTarget
 	known := map[string]bool{n.opts.Self.Address: true}
 	var dead []Member
 	for _, m := range n.members.All() {
@@ -182,23 +184,23 @@
 		}
 	}
 	if len(seeds) > 0 {
-		out = append(out, target{address: seeds[rand.IntN(len(seeds))]})
+		out = append(out, dialTarget{address: seeds[rand.IntN(len(seeds))]})
 	}
 	if len(dead) > 0 {
 		m := dead[rand.IntN(len(dead))]
-		out = append(out, target{m.Name, m.Address})
+		out = append(out, dialTarget{m.Name, m.Address})
 	}
 	return out
 }
 
-// SetSeeds replaces the addresses at which other daemons may be found.
+// SetSeeds replaces the addresses of other daemons' peer listeners.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.opts.Seeds = seeds
 }
 
-func (n *Node) dial(ctx context.Context, t target) {
+func (n *Node) dial(ctx context.Context, t dialTarget) {
 	defer func() {
 		n.mu.Lock()
 		delete(n.dialing, t.address)
@@ -211,24 +213,25 @@
 		CompressionMode: websocket.CompressionDisabled,
 	})
 	if err != nil {
-		n.accuse(t.name)
+		n.markSuspect(t.name)
 		return
 	}
 	n.serveLink(ctx, c)
 }
 
-// accuse spreads the suspicion that a daemon has gone.
-func (n *Node) accuse(name string) {
+// markSuspect marks a daemon as suspect and broadcasts the change.
+func (n *Node) markSuspect(name string) {
 	n.mu.Lock()
-	news, changed := n.members.Accuse(name, time.Now())
+	update, changed := n.members.Accuse(name, time.Now())
 	n.mu.Unlock()
 	if changed {
-		n.spread(news, "")
+		n.broadcastMember(update, "")
 	}
 }
 
-// spread passes news on to all links but the one it came from.
-func (n *Node) spread(m Member, from string) {
+// broadcastMember announces a change of a member locally and on all links except
+// that of the daemon it came from.
+func (n *Node) broadcastMember(m Member, from string) {
 	n.mu.Lock()
 	n.notify()
 	n.mu.Unlock()
@@ -236,8 +239,7 @@
 	n.broadcast(&Frame{Members: []Member{m}}, from)
 }
 
-// notify wakes those who wait for a change of membership. The caller holds the
-// lock.
+// notify closes the channel that Changed returned. The caller holds n.mu.
 func (n *Node) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
@@ -250,7 +252,7 @@
 	return n.changed
 }
 
-// broadcast sends a frame on all links but the one it came from.
+// broadcast sends a frame on all links except that of the daemon it came from.
 func (n *Node) broadcast(f *Frame, from string) {
 	n.mu.Lock()
 	links := make([]*link, 0, len(n.links))
@@ -283,19 +285,19 @@
 	}
 }
 
-// Leave announces that this daemon stops, so that others take its duties over
-// at once.
+// Leave announces that this daemon stops, so that its roles are reassigned at
+// once.
 func (n *Node) Leave() {
 	n.mu.Lock()
-	news := n.members.Leave()
+	update := n.members.Leave()
 	n.mu.Unlock()
-	n.spread(news, "")
+	n.broadcastMember(update, "")
 }
 
-// PathLink is where links are opened on the peers' listener.
+// PathLink is the path on the peer listener at which links are opened.
 const PathLink = "/peer/v1/link"
 
-// Handler serves links.
+// Handler returns the handler that accepts links until ctx ends.
 func (n *Node) Handler(ctx context.Context) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !n.Authorized(r) {
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -9,16 +9,17 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// PathQuota is where demands are reported to owners.
+// PathQuota is the path at which demands are reported to owners.
 const PathQuota = "/peer/v1/quota"
 
-// quotaCall reports a daemon's demands to the owner of their workspaces.
-type quotaCall struct {
+// quotaReport reports a daemon's demands to the owner of their workspaces.
+type quotaReport struct {
 	Daemon  string         `cbor:"1,keyasint"`
 	Demands []quota.Demand `cbor:"2,keyasint"`
 }
 
-// quotas is a node's part in dividing limits.
+// quotas divides the limits of workspaces among daemons: tracker holds this
+// daemon's shares, owner the workspaces that this daemon owns. mu guards both.
 type quotas struct {
 	mu      sync.Mutex
 	tracker *quota.Tracker
@@ -30,7 +31,7 @@
 }
 
 // Share returns this daemon's share of a workspace's limit and counts one
-// request of it.
+// request of the workspace.
 func (n *Node) Share(workspace string) float64 {
 	working := len(n.working())
 	n.quotas.mu.Lock()
@@ -57,28 +58,28 @@
 	demands := n.quotas.tracker.Report(time.Now())
 	n.quotas.mu.Unlock()
 	working := n.working()
-	by := map[string][]quota.Demand{}
+	byOwner := map[string][]quota.Demand{}
 	for _, d := range demands {
 		if r := rank("quota "+d.Workspace, working); len(r) > 0 {
-			by[r[0].Name] = append(by[r[0].Name], d)
+			byOwner[r[0].Name] = append(byOwner[r[0].Name], d)
 		}
 	}
-	for owner, part := range by {
-		n.askOwner(ctx, owner, part)
+	for owner, part := range byOwner {
+		n.requestGrants(ctx, owner, part)
 	}
 }
 
-// askOwner gets grants from an owner, which may be this daemon. Without an
-// answer the old grants run out.
-func (n *Node) askOwner(ctx context.Context, owner string, demands []quota.Demand) {
-	in := quotaCall{Daemon: n.opts.Self.Name, Demands: demands}
+// requestGrants requests grants from an owner, which may be this daemon. If the
+// owner does not answer, the previous grants expire.
+func (n *Node) requestGrants(ctx context.Context, owner string, demands []quota.Demand) {
+	in := quotaReport{Daemon: n.opts.Self.Name, Demands: demands}
 	var grants []quota.Grant
 	if owner == n.opts.Self.Name {
 		grants = n.grant(in)
 	} else {
-		cctx, cancel := context.WithTimeout(ctx, dialTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 		defer cancel()
-		if err := n.call(cctx, owner, PathQuota, in, &grants); err != nil {
+		if err := n.call(callCtx, owner, PathQuota, in, &grants); err != nil {
 			return
 		}
 	}
@@ -89,7 +90,7 @@
 	}
 }
 
-func (n *Node) grant(in quotaCall) []quota.Grant {
+func (n *Node) grant(in quotaReport) []quota.Grant {
 	working := len(n.working())
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
@@ -100,10 +101,10 @@
 	return out
 }
 
-// ServeQuotas adds the handler of demands.
+// ServeQuotas adds the handler that answers reported demands with grants.
 func (n *Node) ServeQuotas(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+PathQuota, func(w http.ResponseWriter, r *http.Request) {
-		var in quotaCall
+		var in quotaReport
 		if n.readCall(w, r, &in) {
 			n.writeCall(w, n.grant(in))
 		}
--- a/peer/duties.go
+++ b/peer/roles.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// ownersOfServer is how many daemons read the status of one backend server.
-const ownersOfServer = 2
+// ownersPerServer is the number of daemons that read the status of each backend server.
+const ownersPerServer = 2
 
-// working returns the daemons that take duties.
+// working returns the daemons that can be assigned roles.
 func (n *Node) working() []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members.Working()
 }
 
-// Members returns every daemon known.
+// Members returns every known daemon.
 func (n *Node) Members() []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.members.All()
 }
 
-// Sharing returns every daemon that may hold a part of what all daemons keep together: all
-// that are known but those that have been dead for partKept. A daemon that cannot be reached
-// goes on with its part, on its side of a partition. One that has just started, or is cut off
-// from its start on, knows no other and must not take itself for the only one: nobody is
-// returned for joinGrace, and after that those at the addresses where others may be found.
+// Sharing returns every daemon that may hold a share of state that the fleet divides among
+// its daemons: all known ones except those dead for shareRetention. An unreachable daemon
+// keeps using its share on its side of a partition. A daemon that knows no other, because it
+// has just started or has been isolated since then, must not assume that it is the only one:
+// Sharing returns none until joinGrace has passed, then itself and one member for each seed.
 func (n *Node) Sharing(now time.Time) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := n.members.NotLongDead(partKept, now)
+	all := n.members.NotLongDead(shareRetention, now)
 	if len(all) > 1 || len(n.opts.Seeds) == 0 {
 		return all
 	}
@@ -48,9 +48,9 @@
 	return all
 }
 
-// partKept is how long the part of a dead daemon stays its own: regions lose each other for
-// minutes.
-const partKept = 10 * time.Minute
+// shareRetention is how long a dead daemon keeps its share: partitions between regions last
+// for minutes.
+const shareRetention = 10 * time.Minute
 
 // Owns reports whether this daemon reads the status of a backend server.
 func (n *Node) Owns(server string) bool {
@@ -62,13 +62,13 @@
 	}
 	owns, known := n.owned[server]
 	if !known {
-		owns = onDuty(n.opts.Self.Name, "status "+server, n.members.Working(), ownersOfServer)
+		owns = isAssigned(n.opts.Self.Name, "status "+server, n.members.Working(), ownersPerServer)
 		n.owned[server] = owns
 	}
 	return owns
 }
 
-// Writer returns the daemon that should write a shard of claims.
+// Writer returns the preferred writer of a shard of claims, or "" if no daemon can take it.
 func (n *Node) Writer(shard int) string {
 	r := rank(fmt.Sprint("claims ", shard), n.working())
 	if len(r) == 0 {
@@ -77,7 +77,8 @@
 	return r[0].Name
 }
 
-// Address returns the peers' address of a daemon that may answer.
+// Address returns the address of a daemon's peer listener, and whether the daemon is known
+// and not dead.
 func (n *Node) Address(name string) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -86,28 +87,29 @@
 }
 
 // ShouldFollow reports whether this daemon should follow the store itself: it is
-// one of its failure domain's watchers, or it has heard from nobody for a while.
+// one of its failure domain's watchers, or it has been isolated for isolationTimeout.
 func (n *Node) ShouldFollow() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	if now.Sub(n.started) < joinGrace && len(n.opts.Seeds) > 0 {
-		return false // others may have a snapshot
+		return false // a peer may provide a snapshot
 	}
-	if len(n.links) == 0 && now.Sub(n.lastHeard) > silence {
+	if len(n.links) == 0 && now.Sub(n.lastContactAt) > isolationTimeout {
 		return true
 	}
 	domain := n.opts.Self.FailureDomain
-	var mine []Member
+	var local []Member
 	for _, m := range n.members.Working() {
 		if m.FailureDomain == domain {
-			mine = append(mine, m)
+			local = append(local, m)
 		}
 	}
-	return onDuty(n.opts.Self.Name, "watch "+domain, mine, n.opts.Watchers)
+	return isAssigned(n.opts.Self.Name, "watch "+domain, local, n.opts.Watchers)
 }
 
-// Joined reports whether this daemon has had the time to hear from others.
+// Joined reports whether this daemon has a link, has no seeds, or has waited joinGrace
+// for other daemons.
 func (n *Node) Joined() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/rpc.go
+++ b/peer/rpc.go
@@ -12,23 +12,23 @@
 	"github.com/snowspoke/snowspoke/claims"
 )
 
-// Paths of the calls between daemons.
+// Paths of the calls on claims.
 const (
 	PathPropose = "/peer/v1/claims/propose"
 	PathAnswer  = "/peer/v1/claims/answer"
 )
 
-// maxCallBytes bounds the body of a call and its answer.
+// maxCallBytes limits the body of a call and of its response.
 const maxCallBytes = 32 << 20
 
-// answerCall asks for a kept answer.
-type answerCall struct {
+// answerRequest requests the stored answer of a request with an idempotency key.
+type answerRequest struct {
 	Key       claims.KeyHash `cbor:"1,keyasint"`
 	RequestID string         `cbor:"2,keyasint"`
 }
 
-// answerReply is a kept answer or the error that stands for it.
-type answerReply struct {
+// answerResponse holds a stored answer, or the error returned instead.
+type answerResponse struct {
 	Answer *claims.Answer `cbor:"1,keyasint,omitempty"`
 	Kind   apierror.Kind  `cbor:"2,keyasint,omitempty"`
 	Detail string         `cbor:"3,keyasint,omitempty"`
@@ -36,8 +36,8 @@
 
 var errUnknownPeer = errors.New("peer: no such daemon")
 
-// call posts a CBOR body to another daemon. Links carry news; what needs an
-// answer goes by one HTTP call to the daemon itself.
+// call posts a CBOR body to another daemon and decodes its response. Links carry
+// only one-way updates; requests are HTTP calls to the daemon itself.
 func (n *Node) call(ctx context.Context, daemon, path string, in, out any) error {
 	address, ok := n.Address(daemon)
 	if !ok {
@@ -62,7 +62,7 @@
 		return fmt.Errorf("peer: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("peer: %s answered %d", daemon, resp.StatusCode)
+		return fmt.Errorf("peer: daemon %q returned HTTP status %d", daemon, resp.StatusCode)
 	}
 	if err := decMode.Unmarshal(body, out); err != nil {
 		return fmt.Errorf("peer: %w", err)
@@ -79,8 +79,8 @@
 
 // Answer implements claims.Peers.
 func (n *Node) Answer(ctx context.Context, daemon string, key claims.KeyHash, requestID string) (*claims.Answer, error) {
-	var a answerReply
-	if err := n.call(ctx, daemon, PathAnswer, answerCall{key, requestID}, &a); err != nil {
+	var a answerResponse
+	if err := n.call(ctx, daemon, PathAnswer, answerRequest{key, requestID}, &a); err != nil {
 		return nil, err
 	}
 	if a.Kind != "" {
@@ -89,13 +89,13 @@
 	return a.Answer, nil
 }
 
-// Book is the part of claims that serves other daemons.
+// Book serves the calls of other daemons on claims.
 type Book interface {
 	Serve(ctx context.Context, r claims.Record) (claims.Verdict, error)
 	ServeAnswer(ctx context.Context, k claims.KeyHash, requestID string) (*claims.Answer, error)
 }
 
-// ServeClaims adds the handlers of the calls on claims.
+// ServeClaims adds the handlers for calls on claims.
 func (n *Node) ServeClaims(mux *http.ServeMux, b Book) {
 	mux.HandleFunc("POST "+PathPropose, func(w http.ResponseWriter, r *http.Request) {
 		var in claims.Record
@@ -110,12 +110,12 @@
 		n.writeCall(w, v)
 	})
 	mux.HandleFunc("POST "+PathAnswer, func(w http.ResponseWriter, r *http.Request) {
-		var in answerCall
+		var in answerRequest
 		if !n.readCall(w, r, &in) {
 			return
 		}
 		a, err := b.ServeAnswer(r.Context(), in.Key, in.RequestID)
-		out := answerReply{Answer: a}
+		out := answerResponse{Answer: a}
 		if err != nil {
 			e := apierror.From(err)
 			out.Kind, out.Detail = e.Kind, e.Detail
@@ -124,6 +124,8 @@
 	})
 }
 
+// readCall authorizes a call and decodes its body. If it returns false, it has
+// written the error response.
 func (n *Node) readCall(w http.ResponseWriter, r *http.Request, in any) bool {
 	if !n.Authorized(r) {
 		http.Error(w, "wrong token", http.StatusUnauthorized)
--- a/peer/vms.go
+++ b/peer/vms.go
@@ -7,25 +7,24 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// OnVMs sets what is called with each newer VM list. It must be called before
-// Run.
+// OnVMs sets the callback for newer VM lists. It must be called before Run.
 func (n *Node) OnVMs(fn func([]store.VM)) { n.onVMs = fn }
 
-// PublishVMs takes the VM list as this daemon read it and passes it on if it
-// changed since its own last read. A list that only differs from what others
-// read may lag behind theirs, and is kept back.
+// PublishVMs takes a VM list that this daemon read, and applies and broadcasts it
+// if it differs from the one that this daemon read before. A list that differs
+// only from those of other daemons may be older than theirs and is ignored.
 func (n *Node) PublishVMs(vms []store.VM) {
 	n.mu.Lock()
 	same := n.polled != nil && slices.Equal(n.polled, vms)
 	n.polled = vms
 	n.mu.Unlock()
 	if !same {
-		n.takeVMs(VMList{ReadAt: time.Now().UnixMilli(), VMs: vms}, "")
+		n.applyVMs(VMList{ReadAt: time.Now().UnixMilli(), VMs: vms}, "")
 	}
 }
 
-// takeVMs puts a newer list into use and passes it on.
-func (n *Node) takeVMs(l VMList, from string) {
+// applyVMs applies a list if it is newer, and forwards it.
+func (n *Node) applyVMs(l VMList, from string) {
 	n.mu.Lock()
 	newer := l.ReadAt > n.vms.ReadAt
 	if newer {
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -14,7 +14,7 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Frame is one message on a link. Only the parts that are set travel.
+// Frame is a message on a link. Empty fields are omitted.
 type Frame struct {
 	Hello    *Hello           `cbor:"1,keyasint,omitempty"`
 	Beat     *Beat            `cbor:"2,keyasint,omitempty"`
@@ -26,13 +26,13 @@
 	VMs      *VMList          `cbor:"8,keyasint,omitempty"`
 }
 
-// VMList is the platform's VM list as a watcher read it.
+// VMList is a VM list that a watcher read from the platform.
 type VMList struct {
-	ReadAt int64      `cbor:"1,keyasint"` // Unix milliseconds; the newer list counts
+	ReadAt int64      `cbor:"1,keyasint"` // Unix milliseconds; the newest list wins
 	VMs    []store.VM `cbor:"2,keyasint"`
 }
 
-// Hello opens a link, in both directions.
+// Hello is the first message on a link, sent by both sides.
 type Hello struct {
 	Self Member `cbor:"1,keyasint"`
 }
@@ -42,18 +42,18 @@
 	Mark catalog.Mark `cbor:"1,keyasint"`
 }
 
-// Want asks for the configuration that the sender lacks.
+// Want requests the configuration that the sender lacks.
 type Want struct {
 	Mark catalog.Mark `cbor:"1,keyasint"` // of the sender
 }
 
-// Limits of what a link accepts.
+// Size limits of received frames and decompressed snapshots.
 const (
 	maxFrameBytes    = 64 << 20
 	maxSnapshotBytes = 256 << 20
 )
 
-// decMode bounds what a peer can make this daemon build.
+// decMode limits the structures that a peer's messages can allocate.
 var decMode = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
@@ -70,7 +70,7 @@
 	return data, nil
 }
 
-// decodeFrame reads a frame.
+// decodeFrame decodes a frame.
 func decodeFrame(data []byte) (*Frame, error) {
 	var f Frame
 	if err := decMode.Unmarshal(data, &f); err != nil {
@@ -79,7 +79,7 @@
 	return &f, nil
 }
 
-// packObjects compresses a snapshot.
+// packObjects encodes and compresses a snapshot.
 func packObjects(objects []store.Object) ([]byte, error) {
 	data, err := encode(objects)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return objects, nil
 }
 
-// stride is the i-th of degree steps around a ring of n.
+// stride returns the distance to the i-th of degree neighbors on a ring of n.
 func stride(n, i, degree int) int {
 	return max(1, int(math.Round(math.Pow(float64(n), float64(i)/float64(degree)))))
 }
