--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog holds the configuration in force. It takes objects from any
-// source, in any order, repeated or stale, and only ever moves an object to a
-// newer version. An invalid version leaves the last valid one in force.
+// Package catalog holds the configuration in force. It accepts objects from any
+// source, in any order, repeated or stale, and only moves an object to a newer
+// version. An invalid version leaves the last valid one in force.
 package catalog
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Verdict says what became of the newest version seen of an object.
+// Verdict is the result of evaluating the newest version seen of an object.
 type Verdict struct {
 	Kind     string         `json:"kind"`
 	Name     string         `json:"name"`
@@ -32,20 +32,21 @@
 // Accepted reports whether the newest version seen is in force.
 func (v *Verdict) Accepted() bool { return v.Rejected == "" }
 
-// record is what the catalog keeps of one object.
+// record is the state of one object.
 type record struct {
-	newest  store.Object // newest version seen, tombstones included
-	parsed  any          // object in force, nil when deleted or never valid
-	verdict Verdict
+	newest store.Object // newest version seen, may be a tombstone
+	parsed any          // object in force, nil when deleted or never valid
+	result Verdict
 }
 
-// Mark sums up a catalog: two catalogs with equal marks hold the same versions.
+// Mark summarizes a catalog: two catalogs with equal marks hold the same versions.
 type Mark struct {
 	Revision store.Position // highest version seen
-	Digest   uint64         // over the newest versions of all objects that exist
+	Digest   uint64         // of the newest versions of all objects that are not deleted
 }
 
-// Catalog is safe for concurrent use. Readers take the snapshot without a lock.
+// Catalog holds the newest version of each object. It is safe for concurrent use;
+// Snapshot takes no lock.
 type Catalog struct {
 	snapshot atomic.Pointer[topology.Snapshot]
 
@@ -66,7 +67,7 @@
 // Snapshot returns the configuration in force.
 func (c *Catalog) Snapshot() *topology.Snapshot { return c.snapshot.Load() }
 
-// Mark returns the catalog's mark.
+// Mark returns the mark of the catalog.
 func (c *Catalog) Mark() Mark {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,8 +81,8 @@
 	return c.notify
 }
 
-// Apply takes objects from any source and returns the verdicts of those that
-// were newer than what was known.
+// Apply applies objects from any source and returns the results of those that
+// were newer than the known version.
 func (c *Catalog) Apply(objects ...store.Object) []Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,21 +91,22 @@
 
 func (c *Catalog) apply(objects []store.Object) []Verdict {
 	var out []Verdict
-	touched := map[topology.Kind]bool{}
+	changedKinds := map[topology.Kind]bool{}
 	for _, o := range objects {
-		if r := c.take(o); r != nil {
-			out = append(out, r.verdict)
-			touched[topology.Kind(o.Kind)] = true
+		if r := c.recordIfNewer(o); r != nil {
+			out = append(out, r.result)
+			changedKinds[topology.Kind(o.Kind)] = true
 		}
 	}
-	if len(touched) > 0 {
-		c.publish(touched)
+	if len(changedKinds) > 0 {
+		c.publish(changedKinds)
 	}
 	return out
 }
 
-// take records an object if it is newer; nil means that it was not.
-func (c *Catalog) take(o store.Object) *record {
+// recordIfNewer records an object if it is newer and returns its record, or nil
+// otherwise.
+func (c *Catalog) recordIfNewer(o store.Object) *record {
 	kind := topology.Kind(o.Kind)
 	if !slices.Contains(topology.ConfigKinds, kind) {
 		return nil
@@ -115,47 +117,48 @@
 		return nil
 	}
 	if r == nil {
-		r = &record{verdict: Verdict{Kind: o.Kind, Name: o.Name}}
+		r = &record{result: Verdict{Kind: o.Kind, Name: o.Name}}
 		c.records[id] = r
 	} else {
 		c.mark.Digest ^= digest(&r.newest)
 	}
-	before := r.verdict.InForce
+	before := r.result.InForce
 	r.newest = o
-	r.judge(kind)
+	r.evaluate(kind)
 	c.mark.Digest ^= digest(&o)
 	c.mark.Revision = max(c.mark.Revision, o.Version)
-	// A lower version in force would revert accepted configuration. The check
-	// reports a fault of this package; the object stays as it is.
-	_ = invariant.Check(r.verdict.InForce >= before, invariant.ConfigMonotonic,
-		"%s %s went from version %d to %d", o.Kind, o.Name, before, r.verdict.InForce)
+	// A lower version in force would revert accepted configuration. A violation is
+	// a bug in this package; it is reported and the object is left as it is.
+	_ = invariant.Check(r.result.InForce >= before, invariant.ConfigMonotonic,
+		"%s %s went from version %d to %d", o.Kind, o.Name, before, r.result.InForce)
 	return r
 }
 
-// judge parses the newest version and decides what is in force. It depends on
-// the object alone, so every daemon comes to the same verdict.
-func (r *record) judge(kind topology.Kind) {
-	r.verdict.Seen = r.newest.Version
+// evaluate parses the newest version and updates what is in force. It depends on
+// the object alone, so all daemons come to the same result.
+func (r *record) evaluate(kind topology.Kind) {
+	r.result.Seen = r.newest.Version
 	if r.newest.Deleted {
 		r.parsed = nil
-		r.verdict.InForce = r.newest.Version
-		r.verdict.Deleted = true
-		r.verdict.Rejected = ""
+		r.result.InForce = r.newest.Version
+		r.result.Deleted = true
+		r.result.Rejected = ""
 		return
 	}
 	parsed, err := topology.Parse(kind, r.newest.Name, r.newest.Spec)
 	if err != nil {
-		r.verdict.Rejected = err.Error()
+		r.result.Rejected = err.Error()
 		return
 	}
 	r.parsed = parsed
-	r.verdict.InForce = r.newest.Version
-	r.verdict.Deleted = false
-	r.verdict.Rejected = ""
+	r.result.InForce = r.newest.Version
+	r.result.Deleted = false
+	r.result.Rejected = ""
 }
 
-// digest returns an object's part of the mark. A deleted object has none, so
-// that it does not matter when and how a daemon learnt of the deletion.
+// digest returns an object's contribution to the mark's digest. It is 0 for a
+// deleted object, so that the mark does not depend on when and how a daemon
+// received the deletion.
 func digest(o *store.Object) uint64 {
 	if o.Deleted {
 		return 0
@@ -170,18 +173,19 @@
 	return d.Sum64()
 }
 
-// publish builds a snapshot that shares what did not change with the last one.
-func (c *Catalog) publish(touched map[topology.Kind]bool) {
+// publish stores a snapshot that shares unchanged kinds with the previous one, and
+// closes the channel that Changed returned. The caller holds c.mu.
+func (c *Catalog) publish(changedKinds map[topology.Kind]bool) {
 	old := c.snapshot.Load()
 	s := *old
 	s.Revision = uint64(c.mark.Revision)
-	for kind := range touched {
+	for kind := range changedKinds {
 		c.rebuild(&s, kind)
 		if kind != topology.KindWorkspace && kind != topology.KindService {
 			s.Routing = s.Revision
 		}
 	}
-	if touched[topology.KindWorkspace] {
+	if changedKinds[topology.KindWorkspace] {
 		s.IndexTokens()
 	}
 	c.snapshot.Store(&s)
@@ -236,7 +240,7 @@
 	return out
 }
 
-// Verdict returns what became of an object.
+// Verdict returns the result of an object.
 func (c *Catalog) Verdict(kind, name string) (Verdict, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -244,29 +248,30 @@
 	if r == nil {
 		return Verdict{}, false
 	}
-	return r.verdict, true
+	return r.result, true
 }
 
-// Rejected returns the verdicts of objects whose newest version is not in force.
+// Rejected returns the results of objects whose newest version is not in force,
+// sorted by kind and name.
 func (c *Catalog) Rejected() []Verdict {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []Verdict
 	for _, r := range c.records {
-		if !r.verdict.Accepted() {
-			out = append(out, r.verdict)
+		if !r.result.Accepted() {
+			out = append(out, r.result)
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Kind+out[i].Name < out[j].Kind+out[j].Name })
 	return out
 }
 
-// Newest returns the newest versions of the objects that verdicts are about.
-func (c *Catalog) Newest(verdicts []Verdict) []store.Object {
+// Newest returns the newest versions of the objects that results refer to.
+func (c *Catalog) Newest(results []Verdict) []store.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]store.Object, 0, len(verdicts))
-	for _, v := range verdicts {
+	out := make([]store.Object, 0, len(results))
+	for _, v := range results {
 		if r := c.records[store.ID{Kind: v.Kind, Name: v.Name}]; r != nil {
 			out = append(out, r.newest)
 		}
@@ -274,8 +279,8 @@
 	return out
 }
 
-// Since returns the newest versions above a revision, oldest first, tombstones
-// included.
+// Since returns the newest versions above a revision, oldest first, including
+// tombstones.
 func (c *Catalog) Since(revision store.Position) []store.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -289,5 +294,5 @@
 	return out
 }
 
-// String describes the mark.
+// String returns the revision and the digest.
 func (m Mark) String() string { return fmt.Sprintf("%d/%016x", m.Revision, m.Digest) }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -18,10 +18,9 @@
 	return store.Object{Kind: string(topology.KindModel), Name: name, Version: version, Spec: spec}
 }
 
-// Objects in any order, repeated and stale, from any source: the version in
-// force never falls, an invalid version leaves the last valid one, and catalogs
-// that saw the same objects are alike.
-func TestMonotonicWhateverTheSource(t *testing.T) {
+// With objects in any order, repeated and stale, the version in force never
+// decreases, and catalogs that received the same objects have equal marks.
+func TestVersionInForceIsMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []store.Object
 		for v := store.Position(1); v <= store.Position(rapid.IntRange(1, 30).Draw(t, "versions")); v++ {
@@ -48,9 +47,9 @@
 func TestInvalidKeepsLastValid(t *testing.T) {
 	c := New()
 	c.Apply(modelObject("a", 1, 8))
-	verdicts := c.Apply(modelObject("a", 2, 0))
-	require.Len(t, verdicts, 1)
-	require.False(t, verdicts[0].Accepted())
+	results := c.Apply(modelObject("a", 2, 0))
+	require.Len(t, results, 1)
+	require.False(t, results[0].Accepted())
 	require.Equal(t, 8, c.Snapshot().Models["a"].Layers)
 	require.Len(t, c.Rejected(), 1)
 	c.Apply(modelObject("a", 3, 9))
@@ -58,19 +57,19 @@
 	require.Empty(t, c.Rejected())
 }
 
-func TestListDeletesWhatIsAbsent(t *testing.T) {
+func TestListDeletesAbsentObjects(t *testing.T) {
 	c := New()
 	c.ApplyList(topology.KindModel, []store.Object{modelObject("a", 1, 8), modelObject("b", 2, 8)}, 2)
 	c.ApplyList(topology.KindModel, []store.Object{modelObject("b", 2, 8)}, 5)
 	require.NotContains(t, c.Snapshot().Models, "a")
 	require.Contains(t, c.Snapshot().Models, "b")
-	// A watch that repeats the past does not bring it back.
+	// A watch that repeats an old version does not restore the object.
 	c.Apply(modelObject("a", 1, 8))
 	require.NotContains(t, c.Snapshot().Models, "a")
 }
 
-// A store restored from an older copy lacks accepted objects; they stay.
-func TestStoreRestoredBehind(t *testing.T) {
+// Accepted objects that a store restored from an older copy lacks stay in force.
+func TestStoreRestoredFromOlderCopy(t *testing.T) {
 	c := New()
 	old := modelObject("a", 3, 8)
 	c.ApplyList(topology.KindModel, []store.Object{old, modelObject("new", 90, 8)}, 100)
@@ -81,7 +80,7 @@
 	require.Contains(t, c.Snapshot().Models, "new")
 }
 
-// One stale read is not a restore, and deletes nothing either.
+// A single stale read is not taken for a restore and deletes nothing.
 func TestStaleRead(t *testing.T) {
 	c := New()
 	a := modelObject("a", 3, 8)
@@ -93,11 +92,11 @@
 	require.NotContains(t, c.Snapshot().Models, "b")
 }
 
-// A version in force that falls fires.
-func TestRevertFires(t *testing.T) {
+// A decrease of the version in force reports an invariant violation.
+func TestRevertReportsViolation(t *testing.T) {
 	c := New()
 	c.Apply(modelObject("a", 1, 8))
-	c.records[store.ID{Kind: string(topology.KindModel), Name: "a"}].verdict.InForce = 100
+	c.records[store.ID{Kind: string(topology.KindModel), Name: "a"}].result.InForce = 100
 	before := invariant.Count(invariant.ConfigMonotonic)
 	c.Apply(modelObject("a", 2, 8))
 	require.Equal(t, before+1, invariant.Count(invariant.ConfigMonotonic))
--- a/catalog/follower.go
+++ b/catalog/follower.go
@@ -14,44 +14,44 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Follower keeps a catalog up to date from the store: one full read, then a
-// watch, with a full read again from time to time and after every break.
+// Follower keeps a catalog up to date from the store: a full read, then a watch.
+// The full read is repeated every resync and after each error.
 type Follower struct {
 	catalog *Catalog
 	store   store.Store
 	resync  time.Duration
 	logger  log.Logger
-	publish func([]store.Object) // passes on what was new; may be nil
+	publish func([]store.Object) // receives the objects that were newer; may be nil
 }
 
-// Bounds of the pause between two tries when the store does not answer. The
-// pauses are jittered, so that a fleet does not fall on a store that returns.
+// Bounds of the interval between retries. The intervals are jittered, so that a
+// fleet does not overload a store that recovers.
 const (
-	firstPause = 100 * time.Millisecond
-	longPause  = 10 * time.Second
+	minRetryInterval = 100 * time.Millisecond
+	maxRetryInterval = 10 * time.Second
 )
 
-// NewFollower returns a follower; Run must be called to start it. It hands what
-// was new to publish.
+// NewFollower returns a follower. Run starts it. Objects that were newer are
+// passed to publish, which may be nil.
 func NewFollower(c *Catalog, store store.Store, resync time.Duration, publish func([]store.Object), logger log.Logger) *Follower {
 	return &Follower{catalog: c, store: store, resync: resync, publish: publish, logger: logger}
 }
 
 // Run follows the store until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = firstPause
-	pause.MaxInterval = longPause
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval = minRetryInterval
+	retry.MaxInterval = maxRetryInterval
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		err := f.follow(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(began) > longPause {
-			pause.Reset()
+		if time.Since(start) > maxRetryInterval {
+			retry.Reset()
 		}
-		next := pause.NextBackOff()
+		next := retry.NextBackOff()
 		if err != nil {
 			_ = level.Warn(f.logger).Log("msg", "store not followed", "retry_in", next, "err", err)
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-// follow reads everything once and watches until the next full read is due.
+// follow does a full read and then watches until the next full read is due.
 func (f *Follower) follow(ctx context.Context) error {
 	since, err := f.read(ctx)
 	if err != nil {
@@ -83,11 +83,12 @@
 	return err
 }
 
-// watchBuffer is how many changes may wait while others are applied.
+// watchBuffer is the number of changes that may wait while others are applied, and
+// the maximum size of a batch.
 const watchBuffer = 4096
 
-// applyBatches applies changes together that came while others were applied, so
-// that a bulk change of n objects does not build n snapshots.
+// applyBatches applies changes in batches: those received while a batch is applied
+// form the next, so that a bulk change of n objects does not build n snapshots.
 func (f *Follower) applyBatches(changes <-chan store.Object) {
 	for o := range changes {
 		batch := []store.Object{o}
@@ -106,8 +107,8 @@
 	}
 }
 
-// read takes every kind and returns the lowest revision read, from which a
-// watch misses nothing.
+// read lists and applies every kind. It returns the lowest revision read, from
+// which a watch misses no change.
 func (f *Follower) read(ctx context.Context) (store.Position, error) {
 	var since store.Position
 	for i, kind := range topology.ConfigKinds {
@@ -123,11 +124,12 @@
 	return since, nil
 }
 
-func (f *Follower) report(verdicts []Verdict) {
-	if f.publish != nil && len(verdicts) > 0 {
-		f.publish(f.catalog.Newest(verdicts))
+// report publishes the objects of results and logs each result.
+func (f *Follower) report(results []Verdict) {
+	if f.publish != nil && len(results) > 0 {
+		f.publish(f.catalog.Newest(results))
 	}
-	for _, v := range verdicts {
+	for _, v := range results {
 		if v.Accepted() {
 			_ = level.Debug(f.logger).Log("msg", "object in force", "kind", v.Kind, "name", v.Name, "version", v.InForce, "deleted", v.Deleted)
 			continue
--- a/peer/link.go
+++ b/peer/link.go
@@ -104,7 +104,7 @@
 		return false
 	}
 	n.links[l.peer.Name] = l
-	n.lastContactAt = time.Now()
+	n.lastActivityAt = time.Now()
 	update, changed := n.members.Apply(l.peer, time.Now())
 	n.mu.Unlock()
 	if old != nil {
@@ -193,7 +193,7 @@
 // handle applies a frame.
 func (n *Node) handle(l *link, f *Frame, now time.Time) {
 	n.mu.Lock()
-	n.lastContactAt = now
+	n.lastActivityAt = now
 	n.mu.Unlock()
 	for _, m := range f.Members {
 		n.applyMember(l, m, now)
--- a/peer/node.go
+++ b/peer/node.go
@@ -59,7 +59,7 @@
 	members           *Members
 	links             map[string]*link
 	dialing           map[string]bool
-	lastContactAt     time.Time // on any link
+	lastActivityAt    time.Time // of any link
 	started           time.Time
 	configRequestedAt time.Time
 	mismatches        map[string]int           // consecutive heartbeats with a different mark, by daemon
--- a/peer/roles.go
+++ b/peer/roles.go
@@ -95,7 +95,7 @@
 	if now.Sub(n.started) < joinGrace && len(n.opts.Seeds) > 0 {
 		return false // a peer may provide a snapshot
 	}
-	if len(n.links) == 0 && now.Sub(n.lastContactAt) > isolationTimeout {
+	if len(n.links) == 0 && now.Sub(n.lastActivityAt) > isolationTimeout {
 		return true
 	}
 	domain := n.opts.Self.FailureDomain
