--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// BenchmarkClaims reports store writes for each claim and the latency added, at
-// eight daemons over eight shards, in virtual time with a store of 5 ms.
+// BenchmarkClaims reports the store writes per claim and the latency of Once for
+// eight daemons, in virtual time with a store latency of 5 ms.
 func BenchmarkClaims(b *testing.B) {
 	for _, rate := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("rate=%d", rate), func(b *testing.B) {
@@ -34,20 +34,20 @@
 func claimAt(rate int) (writesPerClaim float64, took []time.Duration) {
 	store := memstore.New()
 	store.SetFaults(memstore.Faults{Delay: 5 * time.Millisecond})
-	books, _ := newMesh(store, 8, 0)
+	books, _ := newTestBooks(store, 8, 0)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	const claims = 2000
 	for i := range claims {
 		book := books[fmt.Sprint("d", rand.IntN(8))]
 		wg.Go(func() {
-			began := time.Now()
+			start := time.Now()
 			_, err := book.Once(context.Background(), Use{Workspace: "w", Key: fmt.Sprint(i), RequestID: fmt.Sprint(i)}, ok("x"))
 			if err != nil {
 				panic(err)
 			}
 			mu.Lock()
-			took = append(took, time.Since(began))
+			took = append(took, time.Since(start))
 			mu.Unlock()
 		})
 		time.Sleep(time.Duration(rand.ExpFloat64() / float64(rate) * float64(time.Second)))
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -25,8 +25,8 @@
 
 var window = Window{Retention: time.Hour, Skew: time.Minute}
 
-// input and output of the model: a key's claim is a register that the first
-// proposer takes.
+// input and output are those of the model: a key is a register that keeps the
+// first value written.
 type input struct {
 	key     KeyHash
 	request string
@@ -37,7 +37,7 @@
 	holder string
 }
 
-// model says what a linearizable claim does, per key.
+// model is the sequential specification of claims, partitioned by key.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[KeyHash][]porcupine.Operation{}
@@ -62,8 +62,8 @@
 	},
 }
 
-// fault sets faults at random until ctx ends.
-func fault(ctx context.Context, store *memstore.Store) {
+// injectFaults sets random faults until ctx ends and then clears them.
+func injectFaults(ctx context.Context, store *memstore.Store) {
 	for ctx.Err() == nil {
 		store.SetFaults(memstore.Faults{
 			Outage: rand.IntN(8) == 0, LoseAnswer: rand.Float64() * 0.3, LoseWrite: rand.Float64() * 0.1,
@@ -74,14 +74,14 @@
 	store.SetFaults(memstore.Faults{})
 }
 
-// Many daemons propose claims of few keys over one log under faults: every
-// history is that of one register a key, so no key is ever won twice.
+// Several daemons propose claims of shared keys to one log under faults. The
+// history must be linearizable, so that no key is won twice.
 func TestClaimsAreLinearizable(t *testing.T) {
 	operations := *claimOperations
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
 		ctx, cancel := context.WithCancel(context.Background())
-		go fault(ctx, store)
+		go injectFaults(ctx, store)
 		before := invariant.Count(invariant.AtMostOnce)
 		const daemons = 4
 		var mu sync.Mutex
@@ -118,46 +118,46 @@
 	})
 }
 
-// mesh is the Peers of books in one process, whose calls sometimes fail after
-// they acted.
-type mesh struct {
-	self  string
-	books map[string]*Book
-	names []string
-	down  map[string]bool
-	flaky float64
+// testPeers implements Peers in one process. Calls of Propose fail at random after
+// taking effect.
+type testPeers struct {
+	self        string
+	books       map[string]*Book
+	names       []string
+	down        map[string]bool
+	failureRate float64
 }
 
-var errCut = errors.New("cut")
+var errUnreachable = errors.New("unreachable")
 
-func (m *mesh) Writer(shard int) string { return m.names[shard%len(m.names)] }
+func (m *testPeers) Writer(shard int) string { return m.names[shard%len(m.names)] }
 
-func (m *mesh) Propose(ctx context.Context, daemon string, r Record) (Verdict, error) {
+func (m *testPeers) Propose(ctx context.Context, daemon string, r Record) (Verdict, error) {
 	if m.down[daemon] {
-		return Verdict{}, errCut
+		return Verdict{}, errUnreachable
 	}
 	v, err := m.books[daemon].Serve(ctx, r)
-	if rand.Float64() < m.flaky {
-		return Verdict{}, errCut
+	if rand.Float64() < m.failureRate {
+		return Verdict{}, errUnreachable
 	}
 	return v, err
 }
 
-func (m *mesh) Answer(ctx context.Context, daemon string, k KeyHash, requestID string) (*Answer, error) {
+func (m *testPeers) Answer(ctx context.Context, daemon string, k KeyHash, requestID string) (*Answer, error) {
 	if m.down[daemon] {
-		return nil, errCut
+		return nil, errUnreachable
 	}
 	return m.books[daemon].ServeAnswer(ctx, k, requestID)
 }
 
-func newMesh(store Store, n int, flaky float64) (map[string]*Book, map[string]bool) {
+func newTestBooks(store Store, n int, failureRate float64) (map[string]*Book, map[string]bool) {
 	books, down := map[string]*Book{}, map[string]bool{}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("d", i))
 	}
 	for _, name := range names {
-		m := &mesh{self: name, books: books, names: names, down: down, flaky: flaky}
+		m := &testPeers{self: name, books: books, names: names, down: down, failureRate: failureRate}
 		books[name] = NewBook(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, m, time.Now)
 	}
 	return books, down
@@ -167,14 +167,14 @@
 	return func() (*Answer, error) { return &Answer{Status: 200, Body: []byte(body)}, nil }
 }
 
-// Callers that retry on any daemon, under faults: every key runs at most once,
-// and whoever gets an answer gets that of the one execution.
+// Under faults and retries on any daemon, every key runs at most once, and every
+// answer is that of its key.
 func TestKeysRunAtMostOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		books, _ := newMesh(store, 4, 0.2)
+		books, _ := newTestBooks(store, 4, 0.2)
 		ctx, cancel := context.WithCancel(context.Background())
-		go fault(ctx, store)
+		go injectFaults(ctx, store)
 		var mu sync.Mutex
 		runs := map[string]int{}
 		answered := 0
@@ -214,8 +214,8 @@
 			require.Equal(t, 1, n, key)
 		}
 		require.Greater(t, answered, 1000)
-		// No claim outlives a request that did not run: every key that has not run
-		// by now runs when it is tried again.
+		// The claims of requests that did not run are released: a retry of each key
+		// that has not run runs.
 		for n := range 100 {
 			key := fmt.Sprintf("key-%d", n)
 			if runs[key] > 0 {
@@ -229,50 +229,50 @@
 	})
 }
 
-func TestUsesOfAKey(t *testing.T) {
+func TestReuseOfKey(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		books, down := newMesh(store, 3, 0)
+		books, down := newTestBooks(store, 3, 0)
 		ctx := context.Background()
 		use := Use{Workspace: "w", Key: "k", BodyHash: 1, RequestID: "r1"}
-		never := func() (*Answer, error) { t.Error("ran twice"); return nil, nil }
+		mustNotRun := func() (*Answer, error) { t.Error("ran twice"); return nil, nil }
 		a, err := books["d0"].Once(ctx, use, ok("first"))
 		require.NoError(t, err)
-		// Any daemon replays the answer.
+		// Every daemon returns the stored answer.
 		for i := range 3 {
 			use.RequestID = fmt.Sprint("again", i)
-			again, err := books[fmt.Sprint("d", i)].Once(ctx, use, never)
+			again, err := books[fmt.Sprint("d", i)].Once(ctx, use, mustNotRun)
 			require.NoError(t, err)
 			require.Equal(t, a, again)
 		}
-		// The same key with another body is its own kind, also elsewhere.
+		// The same key with another body is refused on every daemon.
 		other := use
 		other.BodyHash = 2
 		for _, d := range []string{"d0", "d1"} {
-			_, err = books[d].Once(ctx, other, never)
+			_, err = books[d].Once(ctx, other, mustNotRun)
 			require.True(t, apierror.Is(err, apierror.KeyReused), err)
 		}
-		// Another workspace's key is another key.
+		// The same key of another workspace is independent.
 		other.Workspace = "v"
 		_, err = books["d1"].Once(ctx, other, ok("theirs"))
 		require.NoError(t, err)
-		// When the daemon that has the answer is gone, that is said. Daemon d2
-		// has not seen this key before.
+		// Without the daemon that holds the answer, a daemon that has not seen the
+		// key returns InProgress.
 		use.Key, use.RequestID = "k2", "r2"
 		_, err = books["d0"].Once(ctx, use, ok("x"))
 		require.NoError(t, err)
 		down["d0"] = true
 		use.RequestID = "r3"
-		_, err = books["d2"].Once(ctx, use, never)
+		_, err = books["d2"].Once(ctx, use, mustNotRun)
 		require.True(t, apierror.Is(err, apierror.InProgress), err)
 		time.Sleep(time.Minute)
 	})
 }
 
-// A claim whose request surely did not run is released: the retry runs.
+// The claim of a request that did not run is released, so that a retry runs.
 func TestRelease(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		books, _ := newMesh(memstore.New(), 2, 0)
+		books, _ := newTestBooks(memstore.New(), 2, 0)
 		use := Use{Workspace: "w", Key: "k", BodyHash: 1, RequestID: "r1"}
 		_, err := books["d0"].Once(context.Background(), use, func() (*Answer, error) { return nil, apierror.New(apierror.Overloaded, "full") })
 		require.True(t, apierror.Is(err, apierror.Overloaded))
@@ -284,20 +284,20 @@
 	})
 }
 
-// With the store down a keyed request waits within its deadline and is then
-// refused as not run; afterwards the key can be used.
-func TestStoreDown(t *testing.T) {
+// During a store outage a request with a key waits until its deadline and is
+// refused as not run. After the outage the key can be used.
+func TestStoreOutage(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		books, _ := newMesh(store, 1, 0)
+		books, _ := newTestBooks(store, 1, 0)
 		store.SetFaults(memstore.Faults{Outage: true})
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		use := Use{Workspace: "w", Key: "k", BodyHash: 1, RequestID: "r1"}
-		began := time.Now()
+		start := time.Now()
 		_, err := books["d0"].Once(ctx, use, ok("x"))
 		require.True(t, apierror.Is(err, apierror.StoreUnavailable), err)
-		require.Equal(t, 3*time.Second, time.Since(began))
+		require.Equal(t, 3*time.Second, time.Since(start))
 		store.SetFaults(memstore.Faults{})
 		time.Sleep(40 * time.Second)
 		use.RequestID = "r2"
@@ -308,7 +308,7 @@
 	})
 }
 
-func TestKeyAges(t *testing.T) {
+func TestParseKey(t *testing.T) {
 	now := time.Now()
 	fresh, err := uuid.NewV7()
 	require.NoError(t, err)
@@ -326,8 +326,8 @@
 	require.False(t, opaque.Timed)
 }
 
-// Claims over many segments are found again by a writer that starts later, and
-// old segments are dropped with their keys.
+// A writer that starts later finds claims in all segments, and segments are
+// deleted once their keys have expired.
 func TestSegmentsRollAndExpire(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
@@ -371,8 +371,8 @@
 	return r
 }
 
-// A log in which a key is claimed twice fires the assertion.
-func TestDoubleClaimFires(t *testing.T) {
+// A log that claims a key twice reports an invariant violation.
+func TestDoubleClaimReportsViolation(t *testing.T) {
 	before := invariant.Count(invariant.AtMostOnce)
 	x := newIndex()
 	require.NoError(t, x.apply(Batch{ID: 1, Records: []Record{record(1, "a")}}, window))
--- a/claims/key.go
+++ b/claims/key.go
@@ -9,27 +9,27 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// Errors of keys.
+// Errors of ParseKey and CheckAge.
 var (
 	ErrBadKey  = errors.New("claims: key is empty, too long or too far in the future")
 	ErrExpired = errors.New("claims: key is older than the retention window")
 )
 
-// maxKey bounds an idempotency key, in bytes.
-const maxKey = 256
+// maxKeyBytes is the maximum length of an idempotency key.
+const maxKeyBytes = 256
 
-// Key is a checked idempotency key.
+// Key is a validated idempotency key.
 type Key struct {
 	Hash  KeyHash
-	At    time.Time // time in the key; zero for an opaque one
-	Timed bool
+	At    time.Time // time in the key; zero for an opaque key
+	Timed bool      // whether the key carries a time
 }
 
-// ParseKey checks a key of a workspace. A time-ordered key (UUID version 7)
-// carries its age, so that old segments of the log can be dropped safely; for
-// an opaque key the window counts from its first use.
+// ParseKey validates a key of a workspace. A time-ordered key (UUID version 7)
+// carries its age, so that old segments of the log can be dropped safely. For an
+// opaque key the window starts at its first use.
 func ParseKey(workspace, key string, w Window, now time.Time) (Key, error) {
-	if key == "" || len(key) > maxKey {
+	if key == "" || len(key) > maxKeyBytes {
 		return Key{}, ErrBadKey
 	}
 	k := Key{Hash: hashKey(workspace, key)}
@@ -40,8 +40,8 @@
 	return k, k.CheckAge(w, now)
 }
 
-// CheckAge refuses a timed key that is too old or too far in the future. It is
-// checked again after the commit, which may have taken long.
+// CheckAge returns an error if a timed key is too old or too far in the future. It
+// is called again after the commit, during which the key may have expired.
 func (k Key) CheckAge(w Window, now time.Time) error {
 	if !k.Timed {
 		return nil
@@ -55,15 +55,15 @@
 	return nil
 }
 
-// time returns what the record's At holds.
-func (k Key) time(now time.Time) int64 {
+// recordTime returns the value of Record.At.
+func (k Key) recordTime(now time.Time) int64 {
 	if k.Timed {
 		return k.At.UnixMilli()
 	}
 	return now.UnixMilli()
 }
 
-// hashKey is collision-resistant: a collision would deny a request.
+// hashKey uses a collision-resistant hash: a collision would refuse a request.
 func hashKey(workspace, key string) KeyHash {
 	sum := blake2b.Sum256([]byte(workspace + "\x00" + key))
 	return KeyHash(sum[:16])
--- a/claims/log.go
+++ b/claims/log.go
@@ -1,9 +1,9 @@
 // Package claims records idempotency keys, so that a request that must not be
-// repeated runs at most once in the whole fleet. Claims go to a log per shard:
-// a head object with the newest batches and references to older, rolled
-// segments. A commit is one conditional update of the head, so a writer with an
-// old view always fails, reads, checks its keys again and tries anew. Safety
-// rests on that update alone; no lease or clock is trusted.
+// repeated runs at most once in the whole fleet. Claims are stored in a log per
+// shard: a head object with the newest batches and references to older segments.
+// A commit is one conditional update of the head: a writer with a stale head
+// fails, reads the log, checks its keys again and retries. Safety depends on that
+// update alone, not on leases or clocks.
 package claims
 
 import (
@@ -15,26 +15,26 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// KeyHash identifies a key of a workspace.
+// KeyHash is the hash of a workspace and its key.
 type KeyHash [16]byte
 
-// Record is one claim, or the release of one.
+// Record is a claim or the release of a claim.
 type Record struct {
 	Key       KeyHash `cbor:"1,keyasint"`
 	BodyHash  uint64  `cbor:"2,keyasint"`
 	RequestID string  `cbor:"3,keyasint"`
-	Daemon    string  `cbor:"4,keyasint"` // that runs the request
+	Daemon    string  `cbor:"4,keyasint"` // daemon that runs the request
 	At        int64   `cbor:"5,keyasint"` // time of the key, or of the claim for opaque keys, Unix milliseconds
-	Release   bool    `cbor:"6,keyasint"` // the request surely did not run
+	Release   bool    `cbor:"6,keyasint"` // releases the claim of a request that did not run
 }
 
 // Batch is the unit of a commit.
 type Batch struct {
-	ID      uint64   `cbor:"1,keyasint"` // random; a batch is applied once
+	ID      uint64   `cbor:"1,keyasint"` // random; a batch is applied at most once
 	Records []Record `cbor:"2,keyasint"`
 }
 
-// Segment is a rolled part of the log, an object of its own.
+// Segment is a part of the log that was moved out of the head into its own object.
 type Segment struct {
 	Batches []Batch `cbor:"1,keyasint"`
 }
@@ -42,7 +42,7 @@
 // SegmentRef is a reference from the head to a segment.
 type SegmentRef struct {
 	Name   string `cbor:"1,keyasint"`
-	Newest int64  `cbor:"2,keyasint"` // newest At in it
+	Newest int64  `cbor:"2,keyasint"` // newest Record.At in the segment
 }
 
 // Head is the head of a shard's log.
@@ -51,19 +51,20 @@
 	Segments []SegmentRef `cbor:"2,keyasint"` // oldest first
 }
 
-// maxHeadRecords is the number of records beyond which the head is rolled. A
-// group commit adds at most a few thousand, far below the store's value limit.
+// maxHeadRecords is the number of records beyond which batches move from the head
+// to a segment. A group commit adds at most a few thousand records, which is far
+// below the store's limit of a value.
 const maxHeadRecords = 512
 
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // structs of plain fields always encode
+		panic(err) // cannot fail for the types of the log
 	}
 	return data
 }
 
-// DecodeHead reads a head.
+// DecodeHead decodes a head. Empty data is an empty head.
 func DecodeHead(data []byte) (Head, error) {
 	var h Head
 	if len(data) == 0 {
@@ -75,7 +76,7 @@
 	return h, nil
 }
 
-// DecodeSegment reads a segment.
+// DecodeSegment decodes a segment.
 func DecodeSegment(data []byte) (Segment, error) {
 	var s Segment
 	if err := cbor.Unmarshal(data, &s); err != nil {
@@ -84,7 +85,7 @@
 	return s, nil
 }
 
-func (h *Head) records() int {
+func (h *Head) recordCount() int {
 	n := 0
 	for _, b := range h.Batches {
 		n += len(b.Records)
@@ -92,8 +93,8 @@
 	return n
 }
 
-// newest returns the newest time in the batches.
-func newest(batches []Batch) int64 {
+// newestTime returns the newest Record.At in the batches.
+func newestTime(batches []Batch) int64 {
 	var t int64
 	for _, b := range batches {
 		for _, r := range b.Records {
@@ -103,21 +104,22 @@
 	return t
 }
 
-// Index is what is known of a shard: the claims in force by key.
+// Index holds the claims in force of a shard by key, as read from its log.
 type Index struct {
 	claims  map[KeyHash]Record
-	batches map[uint64]int64 // newest time of the batches applied, by ID
+	batches map[uint64]int64 // newest Record.At of the applied batches, by ID
 }
 
 func newIndex() *Index { return &Index{claims: map[KeyHash]Record{}, batches: map[uint64]int64{}} }
 
-// apply takes a batch once. A release ends only the claim of its own request. A
-// claim over another that is in force would let a request run twice.
+// apply applies a batch unless it has been applied before. A release removes only
+// the claim of its own request. apply returns an error if a claim would replace
+// another one in force, which would let a request run twice.
 func (x *Index) apply(b Batch, w Window) error {
 	if _, done := x.batches[b.ID]; done {
 		return nil
 	}
-	x.batches[b.ID] = newest([]Batch{b})
+	x.batches[b.ID] = newestTime([]Batch{b})
 	for _, r := range b.Records {
 		c, held := x.claims[r.Key]
 		if r.Release {
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// forget drops the claims older than a time, Unix milliseconds.
-func (x *Index) forget(before int64) {
+// dropBefore removes the claims and batches older than a time, Unix milliseconds.
+func (x *Index) dropBefore(before int64) {
 	for k, r := range x.claims {
 		if r.At < before {
 			delete(x.claims, k)
@@ -157,14 +159,14 @@
 	return r, ok
 }
 
-// Window says how old a key may be.
+// Window limits the age of keys.
 type Window struct {
-	Retention time.Duration
-	Skew      time.Duration
+	Retention time.Duration // maximum age of a key
+	Skew      time.Duration // maximum clock skew of callers
 }
 
-// Oldest returns the time before which claims are forgotten: a key that old is
-// refused, whatever a caller's clock says within the allowed skew.
+// Oldest returns the time before which claims are dropped, in Unix milliseconds.
+// A key that old is refused for any caller's clock within the allowed skew.
 func (w Window) Oldest(now time.Time) int64 {
 	return now.Add(-w.Retention - 2*w.Skew).UnixMilli()
 }
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -15,30 +15,30 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Kinds of the objects of the log.
+// Kinds of the objects that form the log.
 const (
 	KindHead    = string(topology.KindClaimHead)
 	KindSegment = string(topology.KindClaimSegment)
 )
 
-// Verdict is the answer to a proposed claim.
+// Verdict is the result of a proposed claim.
 type Verdict struct {
-	Won  bool   // the claim is the proposer's
-	Held Record // the claim in force otherwise
+	Won  bool   // the proposer holds the claim
+	Held Record // the claim in force
 }
 
-// Store is what a shard needs of the platform's store.
+// Store is the part of the platform's store that a shard uses.
 type Store interface {
 	Get(ctx context.Context, kind, name string) (store.Object, error)
 	Put(ctx context.Context, kind, name string, spec []byte, ifVersion store.Position) (store.Position, error)
 	Delete(ctx context.Context, kind, name string, ifVersion store.Position) (store.Position, error)
 }
 
-// Pause of a shard's writer after a commit: it bounds the writes a second, and
-// what arrives meanwhile is committed together.
-const commitPause = 40 * time.Millisecond
+// commitDelay is the time that a shard's writer waits after a commit. It limits
+// the write rate, and proposals that arrive meanwhile are committed together.
+const commitDelay = 40 * time.Millisecond
 
-// Shard writes one log. It is safe for concurrent use.
+// Shard commits claims to the log of one shard. It is safe for concurrent use.
 type Shard struct {
 	name   string
 	store  Store
@@ -48,25 +48,26 @@
 	waiting []*proposal
 	writing bool
 
-	// The rest belongs to the writer.
+	// The following fields are used by the writer goroutine only.
 	version store.Position
 	head    Head
-	loaded  map[string]bool // segments in the index
+	loaded  map[string]bool // segments in the index, by name
 	index   *Index
-	read    bool
+	current bool // whether the log was read after the last failed attempt
 }
 
 type proposal struct {
-	record Record
-	result chan outcome // capacity 1
-	ctx    context.Context
-	own    bool        // of this daemon
-	taken  atomic.Bool // by the writer, to answer, or by the proposer, to leave
+	record  Record
+	result  chan outcome // capacity 1
+	ctx     context.Context
+	own     bool        // proposed by this daemon
+	settled atomic.Bool // set by the writer to answer, or by the proposer to stop waiting
 }
 
-// answer hands an outcome to the proposer; false means that it has left.
+// answer sends an outcome to the proposer. It returns false if the proposer has
+// stopped waiting.
 func (p *proposal) answer(o outcome) bool {
-	if !p.taken.CompareAndSwap(false, true) {
+	if !p.settled.CompareAndSwap(false, true) {
 		return false
 	}
 	p.result <- o
@@ -78,20 +79,20 @@
 	err     error
 }
 
-// NewShard returns the writer of one shard.
+// NewShard returns the shard with index i.
 func NewShard(i int, store Store, w Window) *Shard {
 	return &Shard{name: fmt.Sprintf("shard-%d", i), store: store, window: w, loaded: map[string]bool{}, index: newIndex()}
 }
 
-// Propose commits a record of this daemon together with others that wait. An
-// error means that the request must not run; should the claim be committed all
-// the same, it is released again.
+// Propose commits a record of this daemon together with other waiting ones. After
+// an error the request must not run; if the claim is committed nevertheless, it is
+// released.
 func (s *Shard) Propose(ctx context.Context, r Record) (Verdict, error) {
 	return s.submit(&proposal{record: r, result: make(chan outcome, 1), ctx: ctx, own: true})
 }
 
-// ProposeFor commits a record of another daemon. Only that one knows whether the
-// request runs after all, by another writer, so nothing is released here.
+// ProposeFor commits a record of another daemon. That daemon may commit the claim
+// through another writer and run the request, so nothing is released here.
 func (s *Shard) ProposeFor(ctx context.Context, r Record) (Verdict, error) {
 	return s.submit(&proposal{record: r, result: make(chan outcome, 1), ctx: ctx})
 }
@@ -108,7 +109,7 @@
 	case o := <-p.result:
 		return o.verdict, o.err
 	case <-p.ctx.Done():
-		if p.taken.CompareAndSwap(false, true) {
+		if p.settled.CompareAndSwap(false, true) {
 			return Verdict{}, context.Cause(p.ctx)
 		}
 		o := <-p.result
@@ -116,7 +117,7 @@
 	}
 }
 
-// write commits until nothing waits.
+// write commits groups of proposals until none wait.
 func (s *Shard) write() {
 	for {
 		s.mu.Lock()
@@ -129,36 +130,36 @@
 		}
 		s.mu.Unlock()
 		s.commit(group)
-		time.Sleep(commitPause)
+		time.Sleep(commitDelay)
 	}
 }
 
-// commit settles a group. It goes on until the store has answered or nobody
-// waits any more.
+// commit answers a group of proposals. It retries until an attempt succeeds or no
+// caller waits.
 func (s *Shard) commit(group []*proposal) {
-	pause := backoff.NewExponentialBackOff()
-	pause.InitialInterval = 20 * time.Millisecond
-	pause.MaxInterval = time.Second
+	retry := backoff.NewExponentialBackOff()
+	retry.InitialInterval = 20 * time.Millisecond
+	retry.MaxInterval = time.Second
 	for {
-		group = alive(group)
+		group = withoutCanceled(group)
 		if len(group) == 0 {
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), store.RequestTimeout)
-		err := s.try(ctx, group)
+		err := s.tryCommit(ctx, group)
 		cancel()
 		if err == nil {
 			return
 		}
-		s.read = false // whatever happened, look again before the next try
+		s.current = false // read the log again before the next attempt
 		if !errors.Is(err, store.ErrConflict) {
-			time.Sleep(pause.NextBackOff())
+			time.Sleep(retry.NextBackOff())
 		}
 	}
 }
 
-// alive drops the proposals whose callers have gone.
-func alive(group []*proposal) []*proposal {
+// withoutCanceled returns the proposals whose contexts have not ended.
+func withoutCanceled(group []*proposal) []*proposal {
 	var out []*proposal
 	for _, p := range group {
 		if p.ctx.Err() == nil {
@@ -168,24 +169,24 @@
 	return out
 }
 
-// try makes one attempt to commit a group. A write whose answer was lost is
-// settled by the next try: it finds its own records, by their request IDs, in
-// what it reads back. A write that is still on its way cannot take effect after
-// a later commit, since the head's version has moved on.
-func (s *Shard) try(ctx context.Context, group []*proposal) error {
-	if !s.read {
+// tryCommit makes one attempt to commit a group. After a write whose response was
+// lost, the next attempt reads the log and finds its records by their request IDs.
+// A delayed write cannot take effect after a later commit, because the version of
+// the head has changed.
+func (s *Shard) tryCommit(ctx context.Context, group []*proposal) error {
+	if !s.current {
 		if err := s.refresh(ctx); err != nil {
 			return err
 		}
 	}
-	batch, losers := s.decide(group)
+	batch, conflicts := s.decide(group)
 	if len(batch.Records) == 0 {
-		// Nothing to write would confirm this view: a claim that it shows may
-		// have been released by another writer since.
+		// Without a write, nothing verifies that the index is current: another
+		// writer may have released a claim in it.
 		if err := s.refresh(ctx); err != nil {
 			return err
 		}
-		batch, losers = s.decide(group)
+		batch, conflicts = s.decide(group)
 	}
 	if len(batch.Records) > 0 {
 		if err := s.append(ctx, batch); err != nil {
@@ -196,21 +197,22 @@
 		}
 	}
 	for i, p := range group {
-		if held, lost := losers[i]; lost {
+		if held, lost := conflicts[i]; lost {
 			p.answer(outcome{verdict: Verdict{Held: held}})
 			continue
 		}
 		if !p.answer(outcome{verdict: Verdict{Won: true, Held: p.record}}) && p.own && !p.record.Release {
-			s.undo(p.record)
+			s.releaseAbandoned(p.record)
 		}
 	}
 	return nil
 }
 
-// undo releases a claim that was committed after its proposer had left, and that
-// therefore never runs. It comes after the commit, as this writer does one
-// thing after the other; a release by the proposer might come before it.
-func (s *Shard) undo(r Record) {
+// releaseAbandoned queues the release of a claim that was committed after its
+// proposer stopped waiting; the request of such a claim never runs. The writer
+// processes it after the commit; a release by the proposer might precede the
+// commit.
+func (s *Shard) releaseAbandoned(r Record) {
 	r.Release = true
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	p := &proposal{record: r, result: make(chan outcome, 1), ctx: ctx}
@@ -226,13 +228,14 @@
 	}()
 }
 
-// decide splits a group into the batch to write and those that lose to a claim
-// in force, or to one before them in the group.
+// decide returns the batch of records to write and, by index in the group, the
+// conflicting claim of each proposal that loses: a claim in force, or one earlier
+// in the group.
 func (s *Shard) decide(group []*proposal) (Batch, map[int]Record) {
 	batch := Batch{ID: rand.Uint64()}
 	oldest := s.window.Oldest(time.Now())
-	losers := map[int]Record{}
-	mine := map[KeyHash]Record{}
+	conflicts := map[int]Record{}
+	claimed := map[KeyHash]Record{}
 	for i, p := range group {
 		r := p.record
 		if r.Release {
@@ -242,57 +245,58 @@
 		held, taken := s.index.Get(r.Key)
 		taken = taken && held.At >= oldest
 		if !taken {
-			held, taken = mine[r.Key]
+			held, taken = claimed[r.Key]
 		}
 		if taken && held.RequestID != r.RequestID {
-			losers[i] = held
+			conflicts[i] = held
 			continue
 		}
 		if !taken {
-			mine[r.Key] = r
+			claimed[r.Key] = r
 			batch.Records = append(batch.Records, r)
 		}
 	}
-	return batch, losers
+	return batch, conflicts
 }
 
-// append writes the head with one more batch, rolling older ones into a segment
-// first when it has grown. The segment is written before the head refers to it:
-// a crash in between leaves a segment that nobody refers to, which is harmless,
-// and never a reference to nothing.
+// append writes the head with one more batch, and first moves older batches to a
+// segment if the head has more than maxHeadRecords. The segment is written before
+// the head refers to it: a crash in between leaves an unreferenced segment, which
+// is harmless, and never a dangling reference.
 func (s *Shard) append(ctx context.Context, b Batch) error {
 	head := Head{Batches: append(append([]Batch(nil), s.head.Batches...), b), Segments: s.head.Segments}
-	if head.records() > maxHeadRecords {
+	if head.recordCount() > maxHeadRecords {
 		rolled, err := s.roll(ctx, &head, b)
 		if err != nil {
 			return err
 		}
 		head = rolled
 	}
-	head.Segments, _ = s.split(head.Segments)
+	head.Segments, _ = s.splitExpired(head.Segments)
 	version, err := s.store.Put(ctx, KindHead, s.name, encode(head), s.version)
 	if err != nil {
 		return err
 	}
-	_, dropped := s.split(s.head.Segments)
+	_, dropped := s.splitExpired(s.head.Segments)
 	s.version, s.head = version, head
 	s.deleteSegments(dropped)
 	return nil
 }
 
-// roll moves all batches but the new one into a segment. Its name is new at each
-// try: a segment that an earlier head write may refer to is never touched.
+// roll moves all batches except the new one to a segment. Each attempt uses a new
+// name, so that a segment that an earlier head write may refer to is never
+// overwritten.
 func (s *Shard) roll(ctx context.Context, h *Head, b Batch) (Head, error) {
 	old := h.Batches[:len(h.Batches)-1]
-	ref := SegmentRef{Name: fmt.Sprintf("%s-%016x", s.name, rand.Uint64()), Newest: newest(old)}
+	ref := SegmentRef{Name: fmt.Sprintf("%s-%016x", s.name, rand.Uint64()), Newest: newestTime(old)}
 	if _, err := s.store.Put(ctx, KindSegment, ref.Name, encode(Segment{Batches: old}), 0); err != nil {
 		return Head{}, err
 	}
 	return Head{Batches: []Batch{b}, Segments: append(append([]SegmentRef(nil), h.Segments...), ref)}, nil
 }
 
-// split tells the segments to keep from those whose keys have all expired.
-func (s *Shard) split(refs []SegmentRef) (keep, drop []SegmentRef) {
+// splitExpired separates the segments to keep from those whose keys have all expired.
+func (s *Shard) splitExpired(refs []SegmentRef) (keep, drop []SegmentRef) {
 	oldest := s.window.Oldest(time.Now())
 	for _, r := range refs {
 		if r.Newest < oldest {
@@ -304,8 +308,9 @@
 	return keep, drop
 }
 
-// deleteSegments removes segments that the head no longer refers to. Failing to
-// do so leaves garbage, not a fault.
+// deleteSegments deletes segments that the head no longer refers to and drops
+// expired claims from the index. Errors are ignored: they leave unreferenced
+// segments, which are harmless.
 func (s *Shard) deleteSegments(refs []SegmentRef) {
 	for _, r := range refs {
 		ctx, cancel := context.WithTimeout(context.Background(), store.RequestTimeout)
@@ -314,10 +319,10 @@
 		}
 		cancel()
 	}
-	s.index.forget(s.window.Oldest(time.Now()))
+	s.index.dropBefore(s.window.Oldest(time.Now()))
 }
 
-// refresh reads the head and the segments that are not in the index yet.
+// refresh reads the head and the segments that are not in the index.
 func (s *Shard) refresh(ctx context.Context) error {
 	o, err := s.store.Get(ctx, KindHead, s.name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -340,10 +345,11 @@
 			return err
 		}
 	}
-	s.version, s.head, s.read = o.Version, head, true
+	s.version, s.head, s.current = o.Version, head, true
 	return nil
 }
 
+// load reads a segment into the index.
 func (s *Shard) load(ctx context.Context, name string) error {
 	o, err := s.store.Get(ctx, KindSegment, name)
 	if err != nil {
