--- a/claims/key.go
+++ b/claims/key.go
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// recordTime returns the value of Record.At.
-func (k Key) recordTime(now time.Time) int64 {
+// time returns the value of Record.At.
+func (k Key) time(now time.Time) int64 {
 	if k.Timed {
 		return k.At.UnixMilli()
 	}
--- a/claims/registry.go
+++ b/claims/registry.go
@@ -133,7 +133,7 @@
 // claimAndRun claims the key and calls run if it won. It returns the answer, and
 // whether the request ran here.
 func (b *Book) claimAndRun(ctx context.Context, k Key, u Use, run func() (*Answer, error)) (a *Answer, ran bool, err error) {
-	r := Record{Key: k.Hash, BodyHash: u.BodyHash, RequestID: u.RequestID, Daemon: b.opts.Self, At: k.recordTime(b.now())}
+	r := Record{Key: k.Hash, BodyHash: u.BodyHash, RequestID: u.RequestID, Daemon: b.opts.Self, At: k.time(b.now())}
 	v, err := b.propose(ctx, r)
 	if err != nil {
 		go b.release(r) // the claim may have been committed nevertheless
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -75,8 +75,8 @@
 }
 
 type outcome struct {
-	verdict Verdict
-	err     error
+	claimResult Verdict
+	err         error
 }
 
 // NewShard returns the shard with index i.
@@ -107,13 +107,13 @@
 	s.mu.Unlock()
 	select {
 	case o := <-p.result:
-		return o.verdict, o.err
+		return o.claimResult, o.err
 	case <-p.ctx.Done():
 		if p.settled.CompareAndSwap(false, true) {
 			return Verdict{}, context.Cause(p.ctx)
 		}
 		o := <-p.result
-		return o.verdict, o.err
+		return o.claimResult, o.err
 	}
 }
 
@@ -198,10 +198,10 @@
 	}
 	for i, p := range group {
 		if held, lost := conflicts[i]; lost {
-			p.answer(outcome{verdict: Verdict{Held: held}})
+			p.answer(outcome{claimResult: Verdict{Held: held}})
 			continue
 		}
-		if !p.answer(outcome{verdict: Verdict{Won: true, Held: p.record}}) && p.own && !p.record.Release {
+		if !p.answer(outcome{claimResult: Verdict{Won: true, Held: p.record}}) && p.own && !p.record.Release {
 			s.releaseAbandoned(p.record)
 		}
 	}
--- a/peer/member_test.go
+++ b/peer/member_test.go
@@ -44,7 +44,7 @@
 }
 
 // Every daemon is reached in few hops, and every daemon has few links.
-func TestNeighbours(t *testing.T) {
+func TestNeighbors(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 32, 128, 380} {
 		var members []Member
 		for i := range n {
@@ -90,7 +90,7 @@
 
 // A daemon that knows no other but has seeds is not the only holder of a share, and a dead
 // daemon keeps its share for shareRetention.
-func TestSharing(t *testing.T) {
+func TestShareHolders(t *testing.T) {
 	self := Member{Name: "a", Address: "10.0.0.1:1"}
 	node := func(seeds ...string) *Node {
 		return New(Options{Self: self, Seeds: seeds, Dead: time.Second}, nil, nil, nil, log.NewNopLogger())
