--- a/control/controller.go
+++ b/control/controller.go
@@ -1,6 +1,7 @@
-// Package control carries out placement on whichever daemon holds its lease.
-// An order is written to the store before it is sent, with the fencing number
-// of the lease. Orders say what should be, so sending one twice does no harm.
+// Package control executes placement on the daemon that holds the placement
+// lease. An order is written to the store, with the fencing number of the
+// lease, before it is sent. Orders describe the desired state and are
+// idempotent.
 package control
 
 import (
@@ -22,21 +23,21 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Lease tells whether this daemon holds the duty right now.
+// Lease reports whether this daemon holds the placement lease now.
 type Lease interface {
 	Held() (fencing uint64, ok bool)
 }
 
-// Options are the settings of a controller.
+// Options configures a Controller.
 type Options struct {
-	Period       time.Duration // between two decisions
+	Period       time.Duration // between two rounds of decisions
 	LeaseTTL     time.Duration
-	OrderTimeout time.Duration // of one order to an engine
-	Budget       int64         // bytes under way from the weight store at once
-	OrderExpiry  time.Duration // after which an order that shows no effect is given again
+	OrderTimeout time.Duration // for one order to an engine
+	Budget       int64         // bytes in transit from the weight store at once
+	OrderExpiry  time.Duration // after which an order without effect is decided again
 }
 
-// Parts are what a controller works with.
+// Parts are the dependencies of a Controller.
 type Parts struct {
 	Lease   Lease
 	Store   store.Store
@@ -47,16 +48,16 @@
 	Log     *decision.Log
 	Logger  log.Logger
 	Clock   func() time.Time
-	Ordered func(placement.Order) // called after each order was sent; may be nil
+	Ordered func(placement.Order) // called after each order is sent; may be nil
 }
 
-// Controller decides and orders while it holds the lease.
+// Controller decides on placement and sends orders while it holds the lease.
 type Controller struct {
 	opts Options
 	Parts
-	fencing uint64    // of the lease as last seen
-	since   time.Time // of holding it
-	pending map[string]*pending
+	fencing   uint64    // of the lease when last checked; 0 when not held
+	heldSince time.Time // when the lease was acquired
+	pending   map[string]*pending
 }
 
 type pending struct {
@@ -65,18 +66,18 @@
 	sent    time.Time
 }
 
-// storedOrder is an order as the store keeps it.
+// storedOrder is the form of an order in the store.
 type storedOrder struct {
 	Fencing uint64          `json:"fencing"`
 	Order   placement.Order `json:"order"`
 }
 
-// New returns a controller; Run must be called to start it.
+// New returns a controller; call Run to start it.
 func New(o Options, p Parts) *Controller {
 	return &Controller{opts: o, Parts: p, pending: map[string]*pending{}}
 }
 
-// Run decides until ctx ends.
+// Run makes a round of decisions every period until ctx ends.
 func (c *Controller) Run(ctx context.Context) {
 	t := time.NewTicker(c.opts.Period)
 	defer t.Stop()
@@ -100,17 +101,17 @@
 	if fencing != c.fencing && !c.takeOver(ctx, fencing) {
 		return
 	}
-	c.settle(ctx)
+	c.removeFinished(ctx)
 	in := placement.Input{Config: c.Config(), Servers: c.Table.View().Servers, Demand: c.Demand(), Budget: c.opts.Budget}
 	for _, p := range c.pending {
 		in.Pending = append(in.Pending, p.order)
 	}
 	for _, o := range placement.Decide(in) {
-		c.give(ctx, o)
+		c.issue(ctx, o)
 	}
 }
 
-// takeOver reads the orders that the former holder left.
+// takeOver loads the pending orders of the previous lease holder.
 func (c *Controller) takeOver(ctx context.Context, fencing uint64) bool {
 	objects, _, err := c.Store.List(ctx, string(topology.KindOrder))
 	if err != nil {
@@ -123,16 +124,17 @@
 			c.pending[s.Order.Key()] = &pending{order: s.Order, version: o.Version, sent: c.Clock()}
 		}
 	}
-	c.fencing, c.since = fencing, c.Clock()
+	c.fencing, c.heldSince = fencing, c.Clock()
 	_ = level.Info(c.Logger).Log("msg", "placement taken over", "fencing", fencing, "orders", len(c.pending))
 	return true
 }
 
-// settle drops the orders whose effect the engines report, and those that have
-// shown none for too long; these will be decided anew if they are still wanted.
-func (c *Controller) settle(ctx context.Context) {
+// removeFinished deletes the orders whose effect the engines report, and those
+// that have had no effect within OrderExpiry. The latter are decided again if
+// still needed.
+func (c *Controller) removeFinished(ctx context.Context) {
 	for key, p := range c.pending {
-		done := c.effective(p.order)
+		done := c.hasEffect(p.order)
 		if !done && c.Clock().Sub(p.sent) < c.opts.OrderExpiry {
 			continue
 		}
@@ -144,9 +146,9 @@
 	}
 }
 
-// effective reports whether an engine shows the effect of an order. A backend
-// server that is gone needs none.
-func (c *Controller) effective(o placement.Order) bool {
+// hasEffect reports whether an engine shows the effect of an order. An order to
+// a backend server that is no longer configured counts as effective.
+func (c *Controller) hasEffect(o placement.Order) bool {
 	servers := c.Table.View().Servers
 	for i := range servers {
 		if servers[i].Config.Name == o.BackendServer {
@@ -160,9 +162,10 @@
 	return fmt.Sprintf("order-%016x", xxhash.Sum64String(o.Key()))
 }
 
-// give stores and sends one order. A crash between the two leaves a stored order
-// that the next holder counts and, when it shows no effect, gives again.
-func (c *Controller) give(ctx context.Context, o placement.Order) {
+// issue stores and sends one order. After a crash between the two, the next
+// holder counts the stored order as pending and, if it has no effect, decides
+// it again.
+func (c *Controller) issue(ctx context.Context, o placement.Order) {
 	if c.mustWait(o) {
 		return
 	}
@@ -173,10 +176,10 @@
 	version, err := c.Store.Put(ctx, string(topology.KindOrder), objectName(o), spec, 0)
 	if err != nil {
 		_ = level.Warn(c.Logger).Log("msg", "order not stored", "order", o.Key(), "err", err)
-		return // nothing is sent that is not stored
+		return // an order that is not stored must not be sent
 	}
 	c.pending[o.Key()] = &pending{order: o, version: version, sent: c.Clock()}
-	// The last look at the lease: on the monotonic clock, right before sending.
+	// Check the lease again, on the monotonic clock, right before sending.
 	fencing, held := c.Lease.Held()
 	if !held || fencing != c.fencing {
 		return
@@ -185,13 +188,14 @@
 }
 
 // mustWait reports whether an order must not be sent yet: a backend server that
-// does not check fencing numbers may still get an order of the former holder.
+// does not check fencing numbers may still receive an order of the previous
+// lease holder.
 func (c *Controller) mustWait(o placement.Order) bool {
 	b := c.Config().BackendServers[o.BackendServer]
 	if b == nil {
 		return true
 	}
-	return !b.ChecksFencing && c.Clock().Sub(c.since) < c.opts.LeaseTTL+c.opts.OrderTimeout
+	return !b.ChecksFencing && c.Clock().Sub(c.heldSince) < c.opts.LeaseTTL+c.opts.OrderTimeout
 }
 
 func (c *Controller) send(ctx context.Context, o placement.Order) {
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -22,70 +22,70 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// lever is a lease that tests hold and drop.
-type lever struct {
+// fakeLease is a lease that tests acquire and release.
+type fakeLease struct {
 	mu      sync.Mutex
 	fencing uint64
 }
 
-func (l *lever) Held() (uint64, bool) {
+func (l *fakeLease) Held() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fencing, l.fencing > 0
 }
 
-func (l *lever) set(f uint64) {
+func (l *fakeLease) set(f uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fencing = f
 }
 
-// depot is an engine that checks fencing, or ignores it.
-type depot struct {
+// fakeEngine records orders. It checks fencing numbers if checks is set.
+type fakeEngine struct {
 	backend.Engine
 	mu      sync.Mutex
 	checks  bool
 	highest uint64
 	orders  []backend.Order
 	holding map[string][]backend.Holding
-	lose    bool // the answer
+	lose    bool // lose the reply
 	pause   func()
 }
 
-func (d *depot) Order(_ context.Context, t backend.Target, o backend.Order) error {
-	if d.pause != nil {
-		d.pause()
+func (e *fakeEngine) Order(_ context.Context, t backend.Target, o backend.Order) error {
+	if e.pause != nil {
+		e.pause()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.checks && o.Fencing < d.highest {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.checks && o.Fencing < e.highest {
 		return backend.ErrFenced
 	}
-	d.highest = max(d.highest, o.Fencing)
-	d.orders = append(d.orders, o)
-	for _, h := range d.holding[t.BackendServer] {
+	e.highest = max(e.highest, o.Fencing)
+	e.orders = append(e.orders, o)
+	for _, h := range e.holding[t.BackendServer] {
 		if h.Layers == o.Holding.Layers && h.Version == o.Holding.Version {
 			return nil
 		}
 	}
-	d.holding[t.BackendServer] = append(d.holding[t.BackendServer], o.Holding)
-	if d.lose {
+	e.holding[t.BackendServer] = append(e.holding[t.BackendServer], o.Holding)
+	if e.lose {
 		return execution.ErrLost
 	}
 	return nil
 }
 
-type rig struct {
-	store *memstore.Store
-	depot *depot
-	snap  *topology.Snapshot
-	table *fleet.Table
-	seq   uint64
-	inUse atomic.Pointer[topology.Snapshot]
+type fixture struct {
+	store  *memstore.Store
+	engine *fakeEngine
+	snap   *topology.Snapshot
+	table  *fleet.Table
+	seq    uint64
+	config atomic.Pointer[topology.Snapshot]
 }
 
-func newRig(checks bool) *rig {
-	r := &rig{store: memstore.New(), depot: &depot{checks: checks, holding: map[string][]backend.Holding{}}, snap: topology.NewSnapshot(), table: fleet.NewTable()}
+func newFixture(checks bool) *fixture {
+	r := &fixture{store: memstore.New(), engine: &fakeEngine{checks: checks, holding: map[string][]backend.Holding{}}, snap: topology.NewSnapshot(), table: fleet.NewTable()}
 	for _, name := range []string{"a", "b"} {
 		r.snap.BackendServers[name] = &topology.BackendServer{Name: name, Address: name + ":1", FailureDomain: name, MemoryBytes: 100, ChecksFencing: checks}
 	}
@@ -94,138 +94,139 @@
 		r.snap.Stages["m"] = append(r.snap.Stages["m"], &topology.Stage{Name: "s", Model: "m", Layers: topology.LayerRange{Lo: lo, Hi: lo + 4}, Replicas: 1})
 	}
 	r.table.SetConfig(r.snap.BackendServers)
-	r.inUse.Store(r.snap)
+	r.config.Store(r.snap)
 	return r
 }
 
-func (r *rig) controller(l Lease) *Controller {
+func (r *fixture) controller(l Lease) *Controller {
 	return New(Options{Period: time.Second, LeaseTTL: 3 * time.Second, OrderTimeout: time.Second, OrderExpiry: 30 * time.Second}, Parts{
-		Lease: l, Store: r.store, Engine: r.depot, Config: r.inUse.Load, Table: r.table,
+		Lease: l, Store: r.store, Engine: r.engine, Config: r.config.Load, Table: r.table,
 		Demand: func() map[string]float64 { return nil }, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(), Clock: time.Now,
 	})
 }
 
-// report tells the table what the engines hold.
-func (r *rig) report() {
+// report applies the engines' holdings to the fleet table.
+func (r *fixture) report() {
 	r.seq++
 	for _, name := range []string{"a", "b"} {
-		r.depot.mu.Lock()
-		st := backend.Status{BackendServer: name, Boot: 1, Seq: r.seq, Holdings: append([]backend.Holding(nil), r.depot.holding[name]...), Fencing: r.depot.highest}
-		r.depot.mu.Unlock()
+		r.engine.mu.Lock()
+		st := backend.Status{BackendServer: name, Boot: 1, Seq: r.seq, Holdings: append([]backend.Holding(nil), r.engine.holding[name]...), Fencing: r.engine.highest}
+		r.engine.mu.Unlock()
 		r.table.ApplyStatus(st, time.Now())
 	}
 }
 
-func (r *rig) stored(t *testing.T) int {
+func (r *fixture) stored(t *testing.T) int {
 	os, _, err := r.store.List(context.Background(), string(topology.KindOrder))
 	require.NoError(t, err)
 	return len(os)
 }
 
-func TestOrdersUntilHeld(t *testing.T) {
+func TestPendingOrdersAreNotRepeated(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newRig(true)
-		c := r.controller(&lever{fencing: 1})
+		r := newFixture(true)
+		c := r.controller(&fakeLease{fencing: 1})
 		for range 6 {
 			c.Step(context.Background())
 			time.Sleep(time.Second)
 		}
-		require.Len(t, r.depot.orders, 2, "pending orders are not given twice")
+		require.Len(t, r.engine.orders, 2, "pending orders are not sent twice")
 		require.Equal(t, 2, r.stored(t))
 		r.report()
 		c.Step(context.Background())
 		c.Step(context.Background())
-		require.Len(t, r.depot.orders, 2)
+		require.Len(t, r.engine.orders, 2)
 		require.Zero(t, r.stored(t))
 	})
 }
 
-// Without the lease nothing is sent, and with the store down neither: what is
-// not stored is not sent.
-func TestNothingWithoutLeaseOrStore(t *testing.T) {
+// No order is sent without the lease, or while the store is down: an order must
+// be stored before it is sent.
+func TestNoOrdersWithoutLeaseOrStore(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newRig(true)
-		l := &lever{}
+		r := newFixture(true)
+		l := &fakeLease{}
 		c := r.controller(l)
 		c.Step(context.Background())
-		require.Empty(t, r.depot.orders)
+		require.Empty(t, r.engine.orders)
 		l.set(1)
 		r.store.SetFaults(memstore.Faults{Outage: true})
 		c.Step(context.Background())
-		require.Empty(t, r.depot.orders)
+		require.Empty(t, r.engine.orders)
 		r.store.SetFaults(memstore.Faults{})
 		c.Step(context.Background())
-		require.Len(t, r.depot.orders, 2)
+		require.Len(t, r.engine.orders, 2)
 	})
 }
 
-// A holder that is paused past its lease and then sends is refused by engines
-// that check, and its successor's orders stand.
+// A lease holder that is paused past its lease and then sends an order is
+// rejected by engines that check fencing; the orders of its successor stay in
+// effect.
 func TestPausedHolderIsFenced(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newRig(true)
-		old, fresh := &lever{fencing: 1}, &lever{}
-		first, second := r.controller(old), r.controller(fresh)
-		r.depot.pause = func() {
-			r.depot.pause = nil // the first order is held up; meanwhile the lease moves
-			fresh.set(2)
-			r.depot.highest = 2
+		r := newFixture(true)
+		old, next := &fakeLease{fencing: 1}, &fakeLease{}
+		first, second := r.controller(old), r.controller(next)
+		r.engine.pause = func() {
+			r.engine.pause = nil // the lease moves while the first order is delayed
+			next.set(2)
+			r.engine.highest = 2
 		}
 		first.Step(context.Background())
-		for _, o := range r.depot.orders {
+		for _, o := range r.engine.orders {
 			require.GreaterOrEqual(t, o.Fencing, uint64(2), "an old order took effect")
 		}
 		old.set(0)
 		second.Step(context.Background())
 		time.Sleep(31 * time.Second)
 		second.Step(context.Background())
-		require.Len(t, r.depot.orders, 2)
+		require.Len(t, r.engine.orders, 2)
 	})
 }
 
-// For backend servers that do not check, a new holder waits out the lease and an
-// order of the former one before it sends any.
+// A new holder sends nothing to backend servers that do not check fencing until
+// the previous lease and any order in flight have expired.
 func TestWaitsWhereFencingIsNotChecked(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newRig(false)
-		c := r.controller(&lever{fencing: 7})
+		r := newFixture(false)
+		c := r.controller(&fakeLease{fencing: 7})
 		c.Step(context.Background())
 		time.Sleep(3 * time.Second)
 		c.Step(context.Background())
-		require.Empty(t, r.depot.orders)
+		require.Empty(t, r.engine.orders)
 		time.Sleep(time.Second)
 		c.Step(context.Background())
-		require.Len(t, r.depot.orders, 2)
+		require.Len(t, r.engine.orders, 2)
 	})
 }
 
-// A new holder counts the orders that the former one left and, when one shows no
-// effect, gives it again.
+// A new holder treats the previous holder's orders as pending and sends an
+// order again if it has no effect.
 func TestTakeOver(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newRig(true)
-		old, fresh := &lever{fencing: 1}, &lever{fencing: 2}
-		r.depot.lose = true
+		r := newFixture(true)
+		old, next := &fakeLease{fencing: 1}, &fakeLease{fencing: 2}
+		r.engine.lose = true
 		r.controller(old).Step(context.Background())
-		require.Len(t, r.depot.orders, 2)
-		second := r.controller(fresh)
+		require.Len(t, r.engine.orders, 2)
+		second := r.controller(next)
 		second.Step(context.Background())
-		require.Len(t, r.depot.orders, 2)
+		require.Len(t, r.engine.orders, 2)
 		r.report()
 		second.Step(context.Background())
 		require.Zero(t, r.stored(t))
-		require.Len(t, r.depot.orders, 2)
+		require.Len(t, r.engine.orders, 2)
 	})
 }
 
-func (d *depot) count() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.orders)
+func (e *fakeEngine) count() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.orders)
 }
 
-// withReplicas returns the rig's configuration with other replicas.
-func (r *rig) withReplicas(n int) *topology.Snapshot {
+// withReplicas returns the fixture's configuration with n replicas per stage.
+func (r *fixture) withReplicas(n int) *topology.Snapshot {
 	s := *r.snap
 	s.Stages = map[string][]*topology.Stage{}
 	for model, stages := range r.snap.Stages {
@@ -238,57 +239,58 @@
 	return &s
 }
 
-// cutStore is a store that a crashed daemon no longer reaches.
-type cutStore struct {
+// disconnectableStore is a store that a test can make unreachable for one
+// daemon.
+type disconnectableStore struct {
 	*memstore.Store
-	cut atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (s *cutStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
-	if s.cut.Load() {
+func (s *disconnectableStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
+	if s.disconnected.Load() {
 		return store.Object{}, store.ErrUnavailable
 	}
 	return s.Store.Get(ctx, kind, name)
 }
 
-func (s *cutStore) Put(ctx context.Context, kind, name string, spec []byte, v store.Position) (store.Position, error) {
-	if s.cut.Load() {
+func (s *disconnectableStore) Put(ctx context.Context, kind, name string, spec []byte, v store.Position) (store.Position, error) {
+	if s.disconnected.Load() {
 		return 0, store.ErrUnavailable
 	}
 	return s.Store.Put(ctx, kind, name, spec, v)
 }
 
-// When the holder of the lease is gone, the next order comes from another daemon
-// within the lease's period and two rounds.
-func TestNextOrderAfterHolderIsGone(t *testing.T) {
+// After the loss of the lease holder, the next order comes from another daemon
+// within the lease's TTL and two rounds.
+func TestNextOrderAfterHolderIsLost(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newRig(true)
+		r := newFixture(true)
 		ctx, cancel := context.WithCancel(context.Background())
 		const ttl = 6 * time.Second
-		var stores []*cutStore
+		var stores []*disconnectableStore
 		for i := range 2 {
-			s := &cutStore{Store: r.store}
+			s := &disconnectableStore{Store: r.store}
 			stores = append(stores, s)
-			k := lease.NewKeeper(string(topology.KindLease), "placement", fmt.Sprint("d", i), ttl, s, log.NewNopLogger())
-			c := r.controller(k)
+			manager := lease.NewKeeper(string(topology.KindLease), "placement", fmt.Sprint("d", i), ttl, s, log.NewNopLogger())
+			c := r.controller(manager)
 			c.Store, c.opts.Period, c.opts.LeaseTTL = s, 2*time.Second, ttl
-			go k.Run(ctx)
+			go manager.Run(ctx)
 			go c.Run(ctx)
 			time.Sleep(time.Second)
 		}
 		time.Sleep(10 * time.Second)
 		r.report()
 		time.Sleep(5 * time.Second)
-		before := r.depot.count()
+		before := r.engine.count()
 		require.Equal(t, 2, before)
-		stores[0].cut.Store(true)
-		r.inUse.Store(r.withReplicas(2))
-		began := time.Now()
-		for r.depot.count() == before && time.Since(began) < time.Minute {
+		stores[0].disconnected.Store(true)
+		r.config.Store(r.withReplicas(2))
+		start := time.Now()
+		for r.engine.count() == before && time.Since(start) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
-		t.Logf("next order after %s", time.Since(began))
-		require.LessOrEqual(t, time.Since(began), ttl+4*time.Second)
+		t.Logf("next order after %s", time.Since(start))
+		require.LessOrEqual(t, time.Since(start), ttl+4*time.Second)
 		cancel()
 		time.Sleep(time.Minute)
 	})
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,7 +1,8 @@
-// Package placement decides which backend server holds which stage. It is pure:
-// the configuration, what the engines report and the orders under way in,
-// decisions with their reasons out. It loads before it unloads, so that a move
-// opens no hole in the layers, and moves as few weights as it can.
+// Package placement decides which backend server holds which stage. It is a
+// pure function of the configuration, the engines' reports and the pending
+// orders, and returns orders with their reasons. Loads are ordered before
+// unloads, so that a move leaves no range of layers uncovered, and as few
+// weights as possible are moved.
 package placement
 
 import (
@@ -14,30 +15,30 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Input is all that a decision depends on.
+// Input holds everything that a decision depends on.
 type Input struct {
 	Config  *topology.Snapshot
 	Servers []fleet.Info
-	Pending []Order // ordered, not yet reported by the engine
+	Pending []Order // ordered, effect not yet reported by the engine
 	Demand  map[string]float64
-	// Budget is how many bytes may be under way from the weight store at once.
-	// One load may always be under way, however large.
+	// Budget limits the bytes in transit from the weight store at once. A
+	// single load is always allowed, whatever its size.
 	Budget int64
-	// IgnorePending leaves loads under way out of the count, for measurement.
+	// IgnorePending excludes pending loads; used by benchmarks.
 	IgnorePending bool
 }
 
-// Order is one decided change of one backend server.
+// Order is a change of the holdings or the role of one backend server.
 type Order struct {
 	BackendServer string
 	Type          backend.OrderType
 	Holding       backend.Holding
-	Role          backend.Role // for an order of a role
-	Bytes         int64        // to load
-	Reason        string       // why this, and why there
+	Role          backend.Role // for OrderRole
+	Bytes         int64        // size of the weights to load
+	Reason        string       // why the change is needed and why on this backend server
 }
 
-// Key identifies what an order asks for; equal orders are the same order.
+// Key identifies what an order asks for; orders with equal keys are the same.
 func (o Order) Key() string {
 	if o.Type == backend.OrderRole {
 		return fmt.Sprintf("%s %s %s", o.BackendServer, o.Type, o.Role)
@@ -45,22 +46,22 @@
 	return fmt.Sprintf("%s %s %s/%s%s%v", o.BackendServer, o.Type, o.Holding.Model, o.Holding.Version, o.Holding.Layers, o.Holding.Adapters)
 }
 
-// Decide returns the orders to give now.
+// Decide returns the orders to send now.
 func Decide(in Input) []Order {
 	p := newPlanner(in)
 	for _, st := range p.stages {
-		p.fill(st, max(1, st.spec.Replicas), "has too few holders")
+		p.addReplicas(st, max(1, st.spec.Replicas), "has too few holders")
 	}
-	p.grow()
+	p.addIdleServers()
 	for _, st := range p.stages {
-		p.adapt(st)
-		p.assign(st)
+		p.addAdapters(st)
+		p.assignRole(st)
 	}
-	p.retire()
+	p.unloadObsolete()
 	return p.orders
 }
 
-// Effective reports whether an engine's report shows the effect of an order.
+// Effective reports whether an engine's report shows the effect of the order.
 func (o Order) Effective(info *fleet.Info) bool {
 	if o.Type == backend.OrderRole {
 		return info.Role == o.Role
@@ -71,11 +72,11 @@
 	if o.Type == backend.OrderUnload {
 		return i < 0
 	}
-	return i >= 0 && !info.Holdings[i].Loading && lacking(info.Holdings[i], o.Holding.Adapters) == ""
+	return i >= 0 && !info.Holdings[i].Loading && missingAdapter(info.Holdings[i], o.Holding.Adapters) == ""
 }
 
-// lacking returns an adapter that a holding does not have, or "".
-func lacking(h backend.Holding, adapters []string) string {
+// missingAdapter returns an adapter that a holding does not have, or "".
+func missingAdapter(h backend.Holding, adapters []string) string {
 	for _, a := range adapters {
 		if !slices.Contains(h.Adapters, a) {
 			return a
@@ -84,26 +85,26 @@
 	return ""
 }
 
-// planner works on a picture of the fleet that includes what it has decided.
+// planner works on a model of the fleet that includes its own decisions.
 type planner struct {
-	in     Input
-	hosts  []*host
-	stages []*stage
-	orders []Order
-	moving int64 // bytes under way
+	in      Input
+	hosts   []*host
+	stages  []*stage
+	orders  []Order
+	loading int64 // bytes in transit from the weight store
 }
 
-// host is a backend server with what it holds or will hold.
+// host is a backend server with what it holds or is going to hold.
 type host struct {
 	info     fleet.Info
 	holdings []holding
 	used     int64
-	ordered  bool // an order is under way or decided: one at a time
+	ordered  bool // has a pending or new order; at most one at a time
 }
 
 type holding struct {
 	backend.Holding
-	ready bool // usable now
+	ready bool // loaded and usable
 }
 
 // stage is a stage with its model.
@@ -115,7 +116,7 @@
 func newPlanner(in Input) *planner {
 	p := &planner{in: in}
 	for i := range in.Servers {
-		p.hosts = append(p.hosts, p.host(in.Servers[i]))
+		p.hosts = append(p.hosts, p.newHost(in.Servers[i]))
 	}
 	if !in.IgnorePending {
 		p.countPending()
@@ -136,23 +137,23 @@
 	return p
 }
 
-func (p *planner) host(info fleet.Info) *host {
+func (p *planner) newHost(info fleet.Info) *host {
 	h := &host{info: info}
 	for _, x := range info.Holdings {
 		h.holdings = append(h.holdings, holding{x, !x.Loading})
 		h.used += p.bytes(x)
 		if x.Loading {
 			h.ordered = true
-			p.moving += p.bytes(x)
+			p.loading += p.bytes(x)
 		}
 	}
 	return h
 }
 
-// countPending treats ordered loads as coming capacity, so that nothing is
-// ordered twice while a load, which takes minutes, is under way. (The idea is
-// that of counting nodes which still boot in cluster autoscaling, as described
-// in "Writing a Kubernetes Cluster Autoscaler Provider with externalgrpc".)
+// countPending counts pending loads as capacity, so that nothing is ordered
+// twice during a load, which takes minutes. Cluster autoscalers count nodes that
+// are still booting in the same way; see "Writing a Kubernetes Cluster Autoscaler
+// Provider with externalgrpc".
 func (p *planner) countPending() {
 	for _, o := range p.in.Pending {
 		i := slices.IndexFunc(p.hosts, func(h *host) bool { return h.info.Config.Name == o.BackendServer })
@@ -164,7 +165,7 @@
 		if o.Type == backend.OrderLoad && !h.has(o.Holding) {
 			h.holdings = append(h.holdings, holding{o.Holding, false})
 			h.used += o.Bytes
-			p.moving += o.Bytes
+			p.loading += o.Bytes
 		}
 	}
 }
@@ -182,20 +183,21 @@
 	return 0
 }
 
-// serves reports whether a host may serve a stage at all.
+// serves reports whether a host may serve a stage.
 func (s *stage) serves(h *host) bool {
 	return h.info.Usable && s.spec.BackendServers.Matches(h.info.Config.Labels)
 }
 
-// holds reports whether a host holds the whole stage in the wanted version.
+// holds reports whether a host holds the whole stage in the model's current
+// version.
 func (s *stage) holds(h *host, ready bool) bool {
 	return slices.ContainsFunc(h.holdings, func(x holding) bool {
 		return x.Model == s.model.Name && x.Version == s.model.Version && x.Layers.Contains(s.spec.Layers) && (x.ready || !ready)
 	})
 }
 
-// holders returns the hosts that serve a stage, ready ones only or those that
-// will be too.
+// holders returns the hosts that serve a stage: those that are ready or, if
+// ready is false, also those that are still loading it.
 func (p *planner) holders(s *stage, ready bool) []*host {
 	var out []*host
 	for _, h := range p.hosts {
@@ -206,9 +208,9 @@
 	return out
 }
 
-// fill orders loads until a stage has the wanted number of holders, or nothing
+// addReplicas orders loads until a stage has the wanted number of holders or no
 // more can be ordered now.
-func (p *planner) fill(s *stage, want int, why string) {
+func (p *planner) addReplicas(s *stage, want int, why string) {
 	for len(p.holders(s, false)) < want {
 		if !p.load(s, why) {
 			return
@@ -216,16 +218,17 @@
 	}
 }
 
-// load orders one more holder of a stage.
+// load orders the load of a stage on one more host. It returns false if no host
+// can take it now.
 func (p *planner) load(s *stage, why string) bool {
 	bytes := s.model.Weight(s.spec.Layers)
 	if bytes <= 0 {
-		return false // the model does not say how large it is
+		return false // the size of the model is not known
 	}
-	if p.moving > 0 && p.in.Budget > 0 && p.moving+bytes > p.in.Budget {
+	if p.loading > 0 && p.in.Budget > 0 && p.loading+bytes > p.in.Budget {
 		return false
 	}
-	h := p.best(s, bytes)
+	h := p.bestHost(s, bytes)
 	if h == nil {
 		return false
 	}
@@ -233,7 +236,7 @@
 	h.holdings = append(h.holdings, holding{x, false})
 	h.used += bytes
 	h.ordered = true
-	p.moving += bytes
+	p.loading += bytes
 	p.orders = append(p.orders, Order{
 		BackendServer: h.info.Config.Name, Type: backend.OrderLoad, Holding: x, Bytes: bytes,
 		Reason: fmt.Sprintf("stage %s %s; %s has the fewest holders in its failure domain, then the most capacity", s.spec.Name, why, h.info.Config.Name),
@@ -241,9 +244,10 @@
 	return true
 }
 
-// best returns the host that should hold a stage next: in the failure domain
-// with the fewest holders, holding the least else, with the most capacity.
-func (p *planner) best(s *stage, bytes int64) *host {
+// bestHost returns the host that should hold a stage next. It prefers the
+// failure domain with the fewest holders, then the host with the fewest
+// holdings, then the one with the most capacity.
+func (p *planner) bestHost(s *stage, bytes int64) *host {
 	inDomain := map[string]int{}
 	for _, h := range p.holders(s, false) {
 		inDomain[h.info.Config.FailureDomain]++
@@ -270,12 +274,13 @@
 	) < 0
 }
 
-// grow gives backend servers that hold nothing to the stage that limits a
-// model's throughput, the model with the most demand for its capacity first.
-// Stages with a fixed number of replicas are left as they are.
-func (p *planner) grow() {
+// addIdleServers assigns backend servers that hold nothing to the stage that
+// limits a model's throughput, starting with the model that has the least
+// capacity for its demand. Stages with a fixed number of replicas are not
+// changed.
+func (p *planner) addIdleServers() {
 	for {
-		s := p.tightest()
+		s := p.scarcestStage()
 		if s == nil || !p.hasIdle(s) || !p.load(s, "limits the throughput of its model") {
 			return
 		}
@@ -288,9 +293,10 @@
 	})
 }
 
-// tightest returns the stage with the least capacity for its demand.
-func (p *planner) tightest() *stage {
-	var tight *stage
+// scarcestStage returns the stage with the least capacity relative to its
+// demand.
+func (p *planner) scarcestStage() *stage {
+	var scarcest *stage
 	least := 0.0
 	for _, s := range p.stages {
 		if s.spec.Replicas > 0 || !p.hasIdle(s) {
@@ -301,19 +307,19 @@
 			capacity += h.info.Capacity
 		}
 		ratio := capacity / max(1, p.in.Demand[s.model.Name])
-		if tight == nil || ratio < least {
-			tight, least = s, ratio
+		if scarcest == nil || ratio < least {
+			scarcest, least = s, ratio
 		}
 	}
-	return tight
+	return scarcest
 }
 
-// adapt orders the adapters that holders of a stage lack. Their weights are
-// small beside the model's and do not count against the budget.
-func (p *planner) adapt(s *stage) {
+// addAdapters orders the adapters that holders of a stage lack. Their weights
+// are small compared with the model's and do not count against the budget.
+func (p *planner) addAdapters(s *stage) {
 	for _, h := range p.holders(s, true) {
 		for _, x := range h.holdings {
-			a := lacking(x.Holding, s.model.Adapters)
+			a := missingAdapter(x.Holding, s.model.Adapters)
 			if h.ordered || x.Model != s.model.Name || x.Version != s.model.Version || a == "" {
 				continue
 			}
@@ -328,9 +334,9 @@
 	}
 }
 
-// assign orders the wanted role for one holder of a stage at a time, and only
-// while another ready holder goes on serving.
-func (p *planner) assign(s *stage) {
+// assignRole orders the configured role for one holder of a stage at a time,
+// and only while another ready holder keeps serving.
+func (p *planner) assignRole(s *stage) {
 	want := backend.Role(s.spec.Role)
 	holders := p.holders(s, true)
 	if want == "" || len(holders) < 2 {
@@ -351,10 +357,9 @@
 	}
 }
 
-// retire unloads what no stage wants any more: versions that are neither served
-// nor the previous one, once every stage of the model has ready holders of the
-// wanted version without it.
-func (p *planner) retire() {
+// unloadObsolete unloads versions that are neither current nor previous, once
+// every stage of the model has enough ready holders of the current version.
+func (p *planner) unloadObsolete() {
 	for _, h := range p.hosts {
 		if h.ordered {
 			continue
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -13,82 +13,83 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// yard is a set of engines that load one order after the other in virtual time.
-type yard struct {
-	config  *topology.Snapshot
-	servers []fleet.Info
-	loads   map[string]load // by backend server
-	now     time.Duration
-	lag     time.Duration // of the reports
-	pending []Order
-	ordered []Order
-	peak    int64 // bytes under way at once
-	ignore  bool
-	budget  int64
-	demand  map[string]float64
-	table   *fleet.Table
+// simulation runs placement against engines that load one order after the other
+// in virtual time.
+type simulation struct {
+	config        *topology.Snapshot
+	servers       []fleet.Info
+	loads         map[string]load // by backend server
+	now           time.Duration
+	reportDelay   time.Duration // delay of the engines' reports
+	pending       []Order
+	ordered       []Order
+	peak          int64 // most bytes in transit at once
+	ignorePending bool
+	budget        int64
+	demand        map[string]float64
+	table         *fleet.Table
 }
 
 type load struct {
-	order Order
-	begun time.Duration
-	done  time.Duration
+	order   Order
+	started time.Duration
+	done    time.Duration
 }
 
 const (
 	layerBytes = 1 << 30
-	rate       = 2 << 30 // bytes a second of a load
+	rate       = 2 << 30 // bytes per second of a load
 )
 
-func newYard(servers, models int) *yard {
-	y := &yard{config: topology.NewSnapshot(), loads: map[string]load{}, table: fleet.NewTable(), budget: 64 << 30}
+func newSimulation(servers, models int) *simulation {
+	sim := &simulation{config: topology.NewSnapshot(), loads: map[string]load{}, table: fleet.NewTable(), budget: 64 << 30}
 	configs := map[string]*topology.BackendServer{}
 	for i := range servers {
 		name := fmt.Sprintf("b%02d", i)
 		configs[name] = &topology.BackendServer{Name: name, Address: "a:1", FailureDomain: fmt.Sprint("d", i%3), MemoryBytes: 40 << 30, TokensPerSecond: float64(int(100) << (i % 4))}
 	}
-	y.table.SetConfig(configs)
-	y.servers = y.table.View().Servers
+	sim.table.SetConfig(configs)
+	sim.servers = sim.table.View().Servers
 	for m := range models {
 		name := fmt.Sprint("m", m)
-		y.config.Models[name] = &topology.Model{Name: name, Layers: 32, Version: "v1", BytesPerLayer: layerBytes}
+		sim.config.Models[name] = &topology.Model{Name: name, Layers: 32, Version: "v1", BytesPerLayer: layerBytes}
 		for lo := 0; lo < 32; lo += 16 {
-			y.config.Stages[name] = append(y.config.Stages[name], &topology.Stage{Name: fmt.Sprintf("%s-%d", name, lo), Model: name, Layers: topology.LayerRange{Lo: lo, Hi: lo + 16}})
+			sim.config.Stages[name] = append(sim.config.Stages[name], &topology.Stage{Name: fmt.Sprintf("%s-%d", name, lo), Model: name, Layers: topology.LayerRange{Lo: lo, Hi: lo + 16}})
 		}
 	}
-	return y
+	return sim
 }
 
-// step decides, gives the orders and lets a second pass.
-func (y *yard) step(t testing.TB) {
-	for _, o := range Decide(Input{Config: y.config, Servers: y.servers, Pending: y.pending, Demand: y.demand, Budget: y.budget, IgnorePending: y.ignore}) {
-		y.ordered = append(y.ordered, o)
-		y.pending = append(y.pending, o)
+// step decides, applies the orders and advances the clock by a second.
+func (sim *simulation) step(t testing.TB) {
+	for _, o := range Decide(Input{Config: sim.config, Servers: sim.servers, Pending: sim.pending, Demand: sim.demand, Budget: sim.budget, IgnorePending: sim.ignorePending}) {
+		sim.ordered = append(sim.ordered, o)
+		sim.pending = append(sim.pending, o)
 		if o.Type == backend.OrderUnload {
-			y.unload(o)
+			sim.unload(o)
 			continue
 		}
 		if o.Bytes == 0 {
-			y.adjust(o)
+			sim.adjust(o)
 			continue
 		}
-		if _, busy := y.loads[o.BackendServer]; !busy {
-			y.loads[o.BackendServer] = load{o, y.now, y.now + time.Duration(o.Bytes/rate)*time.Second}
+		if _, busy := sim.loads[o.BackendServer]; !busy {
+			sim.loads[o.BackendServer] = load{o, sim.now, sim.now + time.Duration(o.Bytes/rate)*time.Second}
 		}
 	}
 	moving := int64(0)
-	for _, l := range y.loads {
+	for _, l := range sim.loads {
 		moving += l.order.Bytes
 	}
-	y.peak = max(y.peak, moving)
-	y.now += time.Second
-	y.finish()
+	sim.peak = max(sim.peak, moving)
+	sim.now += time.Second
+	sim.finish()
 }
 
-// adjust carries out an order of a role or of adapters at once.
-func (y *yard) adjust(o Order) {
-	for i := range y.servers {
-		s := &y.servers[i]
+// adjust applies an order of a role or of adapters at once.
+func (sim *simulation) adjust(o Order) {
+	for i := range sim.servers {
+		s := &sim.servers[i]
 		if s.Config.Name != o.BackendServer {
 			continue
 		}
@@ -101,12 +102,12 @@
 			}
 		}
 	}
-	y.drop(o)
+	sim.removePending(o)
 }
 
-func (y *yard) unload(o Order) {
-	for i := range y.servers {
-		s := &y.servers[i]
+func (sim *simulation) unload(o Order) {
+	for i := range sim.servers {
+		s := &sim.servers[i]
 		if s.Config.Name != o.BackendServer {
 			continue
 		}
@@ -118,39 +119,39 @@
 		}
 		s.Holdings = kept
 	}
-	y.drop(o)
+	sim.removePending(o)
 }
 
-func (y *yard) finish() {
-	for name, l := range y.loads {
-		if y.now < l.done+y.lag {
+func (sim *simulation) finish() {
+	for name, l := range sim.loads {
+		if sim.now < l.done+sim.reportDelay {
 			continue
 		}
-		delete(y.loads, name)
-		y.drop(l.order)
-		for i := range y.servers {
-			if y.servers[i].Config.Name == name {
-				y.servers[i].Holdings = append(y.servers[i].Holdings, l.order.Holding)
+		delete(sim.loads, name)
+		sim.removePending(l.order)
+		for i := range sim.servers {
+			if sim.servers[i].Config.Name == name {
+				sim.servers[i].Holdings = append(sim.servers[i].Holdings, l.order.Holding)
 			}
 		}
 	}
 }
 
-func (y *yard) drop(o Order) {
+func (sim *simulation) removePending(o Order) {
 	var kept []Order
-	for _, p := range y.pending {
+	for _, p := range sim.pending {
 		if p.Key() != o.Key() {
 			kept = append(kept, p)
 		}
 	}
-	y.pending = kept
+	sim.pending = kept
 }
 
 // ready reports whether every layer of a model's version is held.
-func (y *yard) ready(model, version string) bool {
-	for _, st := range y.config.Stages[model] {
+func (sim *simulation) ready(model, version string) bool {
+	for _, st := range sim.config.Stages[model] {
 		found := false
-		for _, s := range y.servers {
+		for _, s := range sim.servers {
 			for _, h := range s.Holdings {
 				found = found || s.Usable && h.Model == model && h.Version == version && h.Layers.Contains(st.Layers)
 			}
@@ -162,24 +163,24 @@
 	return true
 }
 
-func (y *yard) bytesOrdered() (n int64) {
-	for _, o := range y.ordered {
+func (sim *simulation) bytesOrdered() (n int64) {
+	for _, o := range sim.ordered {
 		n += o.Bytes
 	}
 	return n
 }
 
-func TestFillsWithinBudget(t *testing.T) {
-	y := newYard(12, 2)
+func TestLoadsStayWithinBudget(t *testing.T) {
+	sim := newSimulation(12, 2)
 	for range 120 {
-		y.step(t)
+		sim.step(t)
 	}
-	require.True(t, y.ready("m0", "v1"))
-	require.True(t, y.ready("m1", "v1"))
-	require.LessOrEqual(t, y.peak, y.budget)
+	require.True(t, sim.ready("m0", "v1"))
+	require.True(t, sim.ready("m1", "v1"))
+	require.LessOrEqual(t, sim.peak, sim.budget)
 	domains := map[string]bool{}
 	idle := 0
-	for _, s := range y.servers {
+	for _, s := range sim.servers {
 		if len(s.Holdings) == 0 {
 			idle++
 		}
@@ -189,87 +190,88 @@
 			}
 		}
 	}
-	require.Zero(t, idle, "idle backend servers take the tightest stage")
+	require.Zero(t, idle, "idle backend servers are given to the scarcest stage")
 	require.GreaterOrEqual(t, len(domains), 2)
-	before := len(y.ordered)
+	before := len(sim.ordered)
 	for range 60 {
-		y.step(t)
+		sim.step(t)
 	}
-	require.Len(t, y.ordered, before, "a settled fleet gets no orders")
+	require.Len(t, sim.ordered, before, "a fleet in its target state gets no orders")
 }
 
-// A new version is loaded everywhere before the old one goes: at every moment
-// some version is held whole.
-func TestNewVersionOpensNoHole(t *testing.T) {
-	y := newYard(6, 1)
+// A new version is loaded everywhere before the old one is unloaded: some
+// version is completely held at all times.
+func TestNewVersionKeepsLayersCovered(t *testing.T) {
+	sim := newSimulation(6, 1)
 	for range 60 {
-		y.step(t)
+		sim.step(t)
 	}
-	require.True(t, y.ready("m0", "v1"))
-	y.config.Models["m0"].Version, y.config.Models["m0"].Previous = "v2", "v1"
+	require.True(t, sim.ready("m0", "v1"))
+	sim.config.Models["m0"].Version, sim.config.Models["m0"].Previous = "v2", "v1"
 	for range 120 {
-		y.step(t)
-		require.True(t, y.ready("m0", "v1") || y.ready("m0", "v2"))
+		sim.step(t)
+		require.True(t, sim.ready("m0", "v1") || sim.ready("m0", "v2"))
 	}
-	require.True(t, y.ready("m0", "v2"))
-	y.config.Models["m0"].Previous = ""
+	require.True(t, sim.ready("m0", "v2"))
+	sim.config.Models["m0"].Previous = ""
 	for range 60 {
-		y.step(t)
-		require.True(t, y.ready("m0", "v2"))
+		sim.step(t)
+		require.True(t, sim.ready("m0", "v2"))
 	}
-	for _, s := range y.servers {
+	for _, s := range sim.servers {
 		for _, h := range s.Holdings {
 			require.Equal(t, "v2", h.Version)
 		}
 	}
 }
 
-// What a leaving backend server held is loaded elsewhere; it gets no orders.
-func TestLeavingIsReplaced(t *testing.T) {
-	y := newYard(8, 1)
-	for _, st := range y.config.Stages["m0"] {
+// The layers of a leaving backend server are loaded elsewhere, and it gets no
+// orders.
+func TestLeavingServerIsReplaced(t *testing.T) {
+	sim := newSimulation(8, 1)
+	for _, st := range sim.config.Stages["m0"] {
 		st.Replicas = 2
 	}
 	for range 60 {
-		y.step(t)
+		sim.step(t)
 	}
 	gone := -1
-	for i, s := range y.servers {
+	for i, s := range sim.servers {
 		if len(s.Holdings) > 0 {
 			gone = i
 			break
 		}
 	}
-	y.servers[gone].Usable = false
-	before := len(y.ordered)
+	sim.servers[gone].Usable = false
+	before := len(sim.ordered)
 	for range 60 {
-		y.step(t)
+		sim.step(t)
 	}
-	require.Len(t, y.ordered, before+1)
-	require.NotEqual(t, y.servers[gone].Config.Name, y.ordered[before].BackendServer)
+	require.Len(t, sim.ordered, before+1)
+	require.NotEqual(t, sim.servers[gone].Config.Name, sim.ordered[before].BackendServer)
 }
 
 func TestSelectorsAndMemory(t *testing.T) {
-	y := newYard(6, 1)
+	sim := newSimulation(6, 1)
 	sel, err := topology.ParseSelector("kind=large")
 	require.NoError(t, err)
-	for _, st := range y.config.Stages["m0"] {
+	for _, st := range sim.config.Stages["m0"] {
 		st.BackendServers = sel
 	}
-	y.servers[3].Config.Labels = topology.Labels{"kind": "large"}
-	y.servers[4].Config.Labels = topology.Labels{"kind": "large"}
-	y.servers[4].Config.MemoryBytes = 10 << 30
+	sim.servers[3].Config.Labels = topology.Labels{"kind": "large"}
+	sim.servers[4].Config.Labels = topology.Labels{"kind": "large"}
+	sim.servers[4].Config.MemoryBytes = 10 << 30
 	for range 60 {
-		y.step(t)
+		sim.step(t)
 	}
-	require.NotEmpty(t, y.ordered)
-	for _, o := range y.ordered {
-		require.Equal(t, y.servers[3].Config.Name, o.BackendServer)
+	require.NotEmpty(t, sim.ordered)
+	for _, o := range sim.ordered {
+		require.Equal(t, sim.servers[3].Config.Name, o.BackendServer)
 	}
 }
 
-// BenchmarkPending measures the idea of counting loads under way as coming
-// capacity: bytes loaded for the same end, with reports one second to ten late.
+// BenchmarkPending measures the bytes loaded with and without counting pending
+// loads as capacity, with reports delayed by 1 to 10 seconds.
 func BenchmarkPending(b *testing.B) {
 	for _, ignore := range []bool{false, true} {
 		b.Run(fmt.Sprintf("counted=%v", !ignore), func(b *testing.B) {
@@ -277,17 +279,17 @@
 				r := rand.New(rand.NewPCG(1, 1))
 				total := int64(0)
 				for range 10 {
-					y := newYard(12, 2)
-					y.ignore, y.lag = ignore, time.Duration(1+r.IntN(10))*time.Second
+					sim := newSimulation(12, 2)
+					sim.ignorePending, sim.reportDelay = ignore, time.Duration(1+r.IntN(10))*time.Second
 					for _, m := range []string{"m0", "m1"} {
-						for _, st := range y.config.Stages[m] {
+						for _, st := range sim.config.Stages[m] {
 							st.Replicas = 1
 						}
 					}
 					for range 120 {
-						y.step(b)
+						sim.step(b)
 					}
-					total += y.bytesOrdered()
+					total += sim.bytesOrdered()
 				}
 				b.ReportMetric(float64(total)/10/(1<<30), "GiB_ordered")
 			}
@@ -295,15 +297,15 @@
 	}
 }
 
-// BenchmarkDecide is the cost of one round.
+// BenchmarkDecide measures one round of decisions.
 func BenchmarkDecide(b *testing.B) {
 	for _, n := range []int{40, 150, 600} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			y := newYard(n, 11)
+			sim := newSimulation(n, 11)
 			for range 200 {
-				y.step(b)
+				sim.step(b)
 			}
-			in := Input{Config: y.config, Servers: y.servers, Budget: y.budget}
+			in := Input{Config: sim.config, Servers: sim.servers, Budget: sim.budget}
 			b.ReportAllocs()
 			for b.Loop() {
 				Decide(in)
@@ -312,15 +314,16 @@
 	}
 }
 
-// Idle backend servers go to the model with the most demand for its capacity.
-func TestDemandDecides(t *testing.T) {
+// Idle backend servers are assigned to the model with the most demand for its
+// capacity.
+func TestIdleServersFollowDemand(t *testing.T) {
 	holders := func(demand map[string]float64) (m0, m1 int) {
-		y := newYard(12, 2)
-		y.demand = demand
+		sim := newSimulation(12, 2)
+		sim.demand = demand
 		for range 120 {
-			y.step(t)
+			sim.step(t)
 		}
-		for _, s := range y.servers {
+		for _, s := range sim.servers {
 			for _, h := range s.Holdings {
 				if h.Model == "m0" {
 					m0++
@@ -337,24 +340,24 @@
 	require.Greater(t, b, a+3)
 }
 
-// Roles change one holder at a time while another serves; adapters reach every
-// holder; both come to rest.
+// Roles change on one holder at a time while another serves, adapters reach
+// every holder, and then no more orders follow.
 func TestRolesAndAdapters(t *testing.T) {
-	y := newYard(6, 1)
+	sim := newSimulation(6, 1)
 	for range 60 {
-		y.step(t)
+		sim.step(t)
 	}
-	for _, st := range y.config.Stages["m0"] {
+	for _, st := range sim.config.Stages["m0"] {
 		st.Role = "decode"
 	}
-	y.config.Models["m0"].Adapters = []string{"es", "fi"}
+	sim.config.Models["m0"].Adapters = []string{"es", "fi"}
 	for range 30 {
-		before := len(y.ordered)
-		y.step(t)
+		before := len(sim.ordered)
+		sim.step(t)
 		roles := map[topology.LayerRange]int{}
-		for _, o := range y.ordered[before:] {
+		for _, o := range sim.ordered[before:] {
 			if o.Type == backend.OrderRole {
-				for _, s := range y.servers {
+				for _, s := range sim.servers {
 					if s.Config.Name == o.BackendServer {
 						roles[s.Holdings[0].Layers]++
 					}
@@ -365,13 +368,13 @@
 			require.Equal(t, 1, n, layers)
 		}
 	}
-	for _, s := range y.servers {
+	for _, s := range sim.servers {
 		require.Equal(t, backend.RoleDecode, s.Role)
 		for _, h := range s.Holdings {
 			require.Equal(t, []string{"es", "fi"}, h.Adapters)
 		}
 	}
-	before := len(y.ordered)
-	y.step(t)
-	require.Len(t, y.ordered, before)
+	before := len(sim.ordered)
+	sim.step(t)
+	require.Len(t, sim.ordered, before)
 }
