--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet holds what is known of the backend servers at this moment: what
-// they report to hold, whether they are leaving, how healthy they look and how
-// loaded they are. Configuration comes from package catalog; this is the state
-// beside it. Hot counters are atomic; structural changes bump a version, by
-// which routing knows that its plans are old.
+// Package fleet holds the current state of the backend servers: their reported
+// holdings, whether they are leaving, their health and their load. Their
+// configuration comes from package catalog. Hot counters are atomic; structural
+// changes increment a version, by which routing detects that its plans are out
+// of date.
 package fleet
 
 import (
@@ -17,13 +17,16 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// maxReported bounds the reports kept of backend servers, configured or not.
+// maxReported bounds the number of backend servers whose reports are kept,
+// configured or not.
 const maxReported = 10000
 
-// capacityChange is the relative change of a learnt capacity that makes plans old.
+// capacityChange is the relative change of a measured capacity that makes plans
+// out of date.
 const capacityChange = 0.1
 
-// reported is what an engine last said, ordered by boot and sequence.
+// reported is the latest report of an engine, ordered by boot and sequence
+// number.
 type reported struct {
 	boot, seq uint64
 	holdings  []backend.Holding
@@ -32,44 +35,44 @@
 	fencing   uint64
 }
 
-// Table is the mutable state; it is safe for concurrent use.
+// Table is the mutable state of the fleet. It is safe for concurrent use.
 type Table struct {
 	version atomic.Uint64
 	view    atomic.Pointer[View]
 
-	mu       sync.Mutex
-	servers  map[string]*Server
-	config   map[string]*topology.BackendServer
-	reported map[string]reported
-	vmLeft   map[string]bool // leaving by the VM list
-	ejected  map[string]bool
-	leftAt   map[string]time.Time // since when a backend server is known to leave
-	links    map[linkKey]float64
-	live     map[linkKey]*Link
-	notify   chan struct{}
+	mu           sync.Mutex
+	servers      map[string]*Server
+	config       map[string]*topology.BackendServer
+	reported     map[string]reported
+	vmsLeaving   map[string]bool // leaving according to the VM list
+	ejected      map[string]bool
+	leavingSince map[string]time.Time // when a backend server was first known to be leaving
+	linkFactors  map[linkKey]float64
+	trackedLinks map[linkKey]*Link
+	notify       chan struct{}
 }
 
 // NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{
-		servers:  map[string]*Server{},
-		config:   map[string]*topology.BackendServer{},
-		reported: map[string]reported{},
-		vmLeft:   map[string]bool{},
-		ejected:  map[string]bool{},
-		leftAt:   map[string]time.Time{},
-		links:    map[linkKey]float64{},
-		live:     map[linkKey]*Link{},
-		notify:   make(chan struct{}),
+		servers:      map[string]*Server{},
+		config:       map[string]*topology.BackendServer{},
+		reported:     map[string]reported{},
+		vmsLeaving:   map[string]bool{},
+		ejected:      map[string]bool{},
+		leavingSince: map[string]time.Time{},
+		linkFactors:  map[linkKey]float64{},
+		trackedLinks: map[linkKey]*Link{},
+		notify:       make(chan struct{}),
 	}
 	t.view.Store(&View{})
 	return t
 }
 
-// Version grows with every structural change.
+// Version increases with every structural change.
 func (t *Table) Version() uint64 { return t.version.Load() }
 
-// View returns the current picture.
+// View returns the current view of the fleet.
 func (t *Table) View() *View { return t.view.Load() }
 
 // Changed returns a channel that is closed at the next structural change.
@@ -86,7 +89,8 @@
 	return t.servers[name]
 }
 
-// SetConfig takes the backend servers of the configuration in force.
+// SetConfig replaces the configured backend servers. The state of a server that
+// is no longer configured is kept while it has requests in flight.
 func (t *Table) SetConfig(servers map[string]*topology.BackendServer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,9 +115,9 @@
 	return s
 }
 
-// ApplyStatus takes an engine's report. A report older than the one held, by
-// the engine's boot and sequence numbers, changes no structure. It returns
-// whether the structure changed.
+// ApplyStatus applies an engine's report. A report that is not newer than the
+// current one, by the engine's boot and sequence numbers, changes no structure.
+// It returns whether the report was newer.
 func (t *Table) ApplyStatus(st backend.Status, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,11 +125,11 @@
 	s := t.servers[st.BackendServer]
 	if s != nil {
 		s.Report(st.InFlight, now.Add(-time.Duration(st.LoadAge*float64(time.Second))))
-		changed = t.learn(s, st.Capacity)
+		changed = t.setMeasured(s, st.Capacity)
 	} else if len(t.reported) >= maxReported {
 		return false
 	}
-	// A report may arrive before the configuration that names its backend server.
+	// A report may arrive before the configuration of its backend server.
 	old, known := t.reported[st.BackendServer]
 	newer := !known || st.Boot > old.boot || st.Boot == old.boot && st.Seq > old.seq
 	if newer {
@@ -140,29 +144,29 @@
 	return newer
 }
 
-// Learn takes a capacity in tokens per second measured by an engine.
+// Learn sets the capacity, in tokens per second, that an engine measured.
 func (t *Table) Learn(server string, capacity float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if s := t.servers[server]; s != nil && t.learn(s, capacity) {
+	if s := t.servers[server]; s != nil && t.setMeasured(s, capacity) {
 		t.publish()
 	}
 }
 
-func (t *Table) learn(s *Server, capacity float64) bool {
+func (t *Table) setMeasured(s *Server, capacity float64) bool {
 	if capacity <= 0 {
 		return false
 	}
-	old := math.Float64frombits(s.learnt.Load())
+	old := math.Float64frombits(s.measured.Load())
 	if old > 0 && math.Abs(capacity-old) <= capacityChange*old {
 		return false
 	}
-	s.learnt.Store(math.Float64bits(capacity))
+	s.measured.Store(math.Float64bits(capacity))
 	return true
 }
 
-// SetVMs takes the platform's VM list. A VM stands for the backend server of
-// the same name.
+// SetVMs applies the platform's VM list. A VM corresponds to the backend server
+// of the same name.
 func (t *Table) SetVMs(vms []store.VM) {
 	left := map[string]bool{}
 	for _, v := range vms {
@@ -172,10 +176,10 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if sameSet(t.vmLeft, left) {
+	if sameSet(t.vmsLeaving, left) {
 		return
 	}
-	t.vmLeft = left
+	t.vmsLeaving = left
 	t.publish()
 }
 
@@ -191,7 +195,7 @@
 	return true
 }
 
-// SetHealth takes the health decider's word on a backend server.
+// SetHealth applies the health decision on a backend server.
 func (t *Table) SetHealth(server string, ejected bool, weight float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -211,30 +215,30 @@
 	t.publish()
 }
 
-// TrackLink returns the live state of a link and counts its requests from now on.
+// TrackLink returns the live state of a link and creates it if needed.
 func (t *Table) TrackLink(from, to string) *Link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := linkKey{from, to}
-	if t.live[k] == nil {
-		t.live[k] = &Link{}
+	if t.trackedLinks[k] == nil {
+		t.trackedLinks[k] = &Link{}
 	}
-	return t.live[k]
+	return t.trackedLinks[k]
 }
 
-// Link returns the live state of a link, or nil when it is not tracked.
+// Link returns the live state of a link, or nil if it is not tracked.
 func (t *Table) Link(from, to string) *Link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.live[linkKey{from, to}]
+	return t.trackedLinks[linkKey{from, to}]
 }
 
-// SetLinkFactor takes the share of its capacity that a link has now.
+// SetLinkFactor sets the fraction of its capacity that a link has now.
 func (t *Table) SetLinkFactor(from, to string, factor float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := linkKey{from, to}
-	old, ok := t.links[k]
+	old, ok := t.linkFactors[k]
 	if !ok {
 		old = 1
 	}
@@ -242,15 +246,16 @@
 		return
 	}
 	if factor >= 1 {
-		delete(t.links, k)
+		delete(t.linkFactors, k)
 	} else {
-		t.links[k] = factor
+		t.linkFactors[k] = factor
 	}
 	t.publish()
 }
 
-// Leaving reports whether the backend server leaves by configuration, by the
-// VM list or by its own word. Ejection is not leaving.
+// Leaving reports whether the backend server is leaving according to its
+// configuration, the VM list or its own report, or is not configured. Ejection
+// does not count.
 func (t *Table) Leaving(server string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -262,33 +267,35 @@
 	if c == nil || c.Draining() || t.reported[server].leaving {
 		return true
 	}
-	return t.vmLeft[server]
+	return t.vmsLeaving[server]
 }
 
-// noteLeaving reports whether a backend server leaves and notes since when.
-func (t *Table) noteLeaving(name string) bool {
+// updateLeaving reports whether a backend server is leaving and records since
+// when.
+func (t *Table) updateLeaving(name string) bool {
 	if !t.leaving(name) {
-		delete(t.leftAt, name)
+		delete(t.leavingSince, name)
 		return false
 	}
-	if t.leftAt[name].IsZero() {
-		t.leftAt[name] = time.Now()
+	if t.leavingSince[name].IsZero() {
+		t.leavingSince[name] = time.Now()
 	}
 	return true
 }
 
-// LeavingFor returns how long a backend server is known to leave, 0 if it does not.
+// LeavingFor returns how long a backend server has been known to be leaving, or
+// 0 if it is not.
 func (t *Table) LeavingFor(name string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	at, leaves := t.leftAt[name]
-	if !leaves {
+	at, leaving := t.leavingSince[name]
+	if !leaving {
 		return 0
 	}
 	return max(time.Since(at), 1)
 }
 
-// Reports returns the structure that the engines last reported, without loads.
+// Reports returns the latest reports of the engines without their loads.
 func (t *Table) Reports() []backend.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -301,11 +308,12 @@
 	return out
 }
 
-// VMLeaving reports whether the platform's VM list says that a VM leaves.
+// VMLeaving reports whether a VM is leaving according to the platform's VM
+// list.
 func (t *Table) VMLeaving(name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.vmLeft[name]
+	return t.vmsLeaving[name]
 }
 
 // Fencing returns the highest fencing number that the engine reported.
@@ -315,18 +323,18 @@
 	return t.reported[server].fencing
 }
 
-// publish builds a new view. The caller holds the lock. Usable flags are set
-// before the view is published, so a plan built from the view never finds a
-// flag that is older than the view.
+// publish builds and publishes a new view. The caller holds the lock. Usable
+// flags are set before the view is published, so that a plan built from the
+// view never observes an older flag.
 func (t *Table) publish() {
-	links := make(map[linkKey]float64, len(t.links))
-	for k, f := range t.links {
-		links[k] = f
+	factors := make(map[linkKey]float64, len(t.linkFactors))
+	for k, f := range t.linkFactors {
+		factors[k] = f
 	}
-	v := &View{Version: t.version.Load() + 1, links: links}
+	v := &View{Version: t.version.Load() + 1, linkFactors: factors}
 	for name, s := range t.servers {
 		c := t.config[name]
-		usable := c != nil && !t.noteLeaving(name) && !t.ejected[name]
+		usable := c != nil && !t.updateLeaving(name) && !t.ejected[name]
 		s.usable.Store(usable)
 		if c == nil {
 			continue
@@ -342,7 +350,7 @@
 
 func (t *Table) info(c *topology.BackendServer, s *Server, usable bool) Info {
 	r := t.reported[c.Name]
-	capacity := math.Float64frombits(s.learnt.Load())
+	capacity := math.Float64frombits(s.measured.Load())
 	if capacity <= 0 {
 		capacity = c.TokensPerSecond
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -24,7 +24,8 @@
 	return false
 }
 
-// A report that comes before the configuration counts once that has come.
+// A report that arrives before the configuration takes effect with the
+// configuration.
 func TestReportBeforeConfiguration(t *testing.T) {
 	tb := NewTable()
 	require.True(t, tb.ApplyStatus(status("a", 1, 1, false), time.Now()))
@@ -47,7 +48,7 @@
 	require.True(t, usable(tb, "a"))
 }
 
-func TestWaysOfLeaving(t *testing.T) {
+func TestLeavingByConfigurationAndVMList(t *testing.T) {
 	tb := NewTable()
 	tb.SetConfig(map[string]*topology.BackendServer{"a": {Name: "a"}, "b": {Name: "b", Labels: topology.Labels{topology.LabelDrain: "true"}}})
 	require.True(t, tb.Leaving("b"))
@@ -59,11 +60,11 @@
 	require.Greater(t, tb.Version(), version)
 	version = tb.Version()
 	tb.SetVMs([]store.VM{{Name: "a", State: store.VMLeaving}})
-	require.Equal(t, version, tb.Version(), "nothing changed")
+	require.Equal(t, version, tb.Version(), "an equal list changes nothing")
 	tb.SetVMs(nil)
 	tb.SetHealth("a", true, 1)
 	require.False(t, usable(tb, "a"))
-	require.False(t, tb.Leaving("a"), "ejected is not leaving")
+	require.False(t, tb.Leaving("a"), "an ejected server is not leaving")
 }
 
 func TestLoadIsDiscounted(t *testing.T) {
@@ -76,5 +77,5 @@
 	require.InDelta(t, 9, s.Load(now), 0.01)
 	require.InDelta(t, 5, s.Load(now.Add(loadHalfLife)), 0.01)
 	s.Report(100, now.Add(-time.Second))
-	require.InDelta(t, 9, s.Load(now), 0.01, "an older report counts for nothing")
+	require.InDelta(t, 9, s.Load(now), 0.01, "an older report is ignored")
 }
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// loadHalfLife is the age at which a load report counts for half.
+// loadHalfLife is the age at which a load report counts half.
 const loadHalfLife = 2 * time.Second
 
 // Server is the live state of one backend server.
@@ -15,12 +15,12 @@
 	inFlight atomic.Int64 // requests of this daemon
 	report   atomic.Pointer[loadReport]
 	usable   atomic.Bool
-	weight   atomic.Uint64 // float64 bits in [0,1], from health
-	limit    atomic.Int64  // concurrency limit of this daemon, from admission
-	learnt   atomic.Uint64 // float64 bits, tokens per second, 0 when unknown
+	weight   atomic.Uint64 // health weight, float64 bits in [0,1]
+	limit    atomic.Int64  // concurrency limit of this daemon, set by admission
+	measured atomic.Uint64 // capacity as float64 bits, tokens per second, 0 when unknown
 }
 
-// Link is the live state of one link with a limited capacity.
+// Link is the live state of one link of limited capacity.
 type Link struct {
 	inFlight atomic.Int64 // requests of this daemon
 }
@@ -36,7 +36,7 @@
 
 // loadReport is the part of a load report that routing uses.
 type loadReport struct {
-	others float64 // requests in flight of the other daemons when measured
+	others float64 // requests in flight of the other daemons at that time
 	at     time.Time
 }
 
@@ -58,7 +58,7 @@
 // SetLimit sets this daemon's concurrency limit for the backend server.
 func (s *Server) SetLimit(n int64) { s.limit.Store(n) }
 
-// Limit returns the concurrency limit of this daemon, 0 for none yet.
+// Limit returns the concurrency limit of this daemon, 0 if none is set.
 func (s *Server) Limit() int64 { return s.limit.Load() }
 
 // Full reports whether this daemon's limit for the backend server is reached.
@@ -67,10 +67,12 @@
 	return l > 0 && s.inFlight.Load() >= l
 }
 
-// Weight returns the health weight in [0,1]; below 1 while it ramps up.
+// Weight returns the health weight in [0,1]; it is below 1 while traffic ramps
+// up.
 func (s *Server) Weight() float64 { return math.Float64frombits(s.weight.Load()) }
 
-// Report stores a load report. inFlight is of all daemons and was measured at.
+// Report stores a load report unless a newer one is known. inFlight counts the
+// requests of all daemons at the given time.
 func (s *Server) Report(inFlight int, at time.Time) {
 	if old := s.report.Load(); old != nil && !at.After(old.at) {
 		return
@@ -79,8 +81,8 @@
 	s.report.Store(&loadReport{others: others, at: at})
 }
 
-// Load returns the expected requests in flight: this daemon's own, which are
-// exact, and those of others as last reported, discounted by age.
+// Load returns the expected number of requests in flight: the exact count of
+// this daemon's own, plus those of others as last reported, discounted by age.
 func (s *Server) Load(now time.Time) float64 {
 	own := float64(s.inFlight.Load())
 	r := s.report.Load()
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -12,27 +12,28 @@
 	Holdings []backend.Holding
 	Role     backend.Role
 	Usable   bool
-	Capacity float64 // tokens per second: learnt, else declared
+	Capacity float64 // tokens per second: measured if known, else declared
 }
 
-// View is an immutable picture of the fleet, ordered by name.
+// View is an immutable view of the fleet, with servers ordered by name.
 type View struct {
-	Version uint64
-	Servers []Info
-	links   map[linkKey]float64
+	Version     uint64
+	Servers     []Info
+	linkFactors map[linkKey]float64
 }
 
 type linkKey struct{ from, to string }
 
-// AnyServer stands for all backend servers at one end of a link.
+// AnyServer matches all backend servers at one end of a link.
 const AnyServer = ""
 
-// LinkFactor returns the share of its capacity that a link has now, in (0,1]:
-// the least of its own, that of all links of its sender, and of its receiver.
+// LinkFactor returns the fraction of its capacity that a link has now, in
+// (0,1]: the minimum of its own factor, that of its sender's links and that of
+// its receiver's links.
 func (v *View) LinkFactor(from, to string) float64 {
 	factor := 1.0
 	for _, k := range [...]linkKey{{from, to}, {from, AnyServer}, {AnyServer, to}} {
-		if f, ok := v.links[k]; ok {
+		if f, ok := v.linkFactors[k]; ok {
 			factor = min(factor, f)
 		}
 	}
--- a/monitor/cache.go
+++ b/monitor/cache.go
@@ -9,24 +9,25 @@
 	"github.com/snowspoke/snowspoke/backend"
 )
 
-// Cache learns which backend servers hold which prompt prefixes. What it learns
-// is late and has gaps; a wrong guess costs a prefill and nothing else.
+// Cache tracks which backend servers hold which prompt prefixes. Its data is
+// late and incomplete; a wrong guess only costs a prefill.
 type Cache interface {
 	Sent(key uint64, server string)
 	Evicted(key uint64, server string)
 }
 
-// cacheCheck is the period at which the followed backend servers are looked over.
-const cacheCheck = 5 * time.Second
+// cacheCheckInterval is the period at which the set of followed backend servers
+// is updated.
+const cacheCheckInterval = 5 * time.Second
 
 // followCaches follows the cache events of the backend servers that this daemon
-// owns. Others are known by this daemon's own requests alone.
+// owns. For the others, only this daemon's own requests are known.
 func (m *Monitor) followCaches(ctx context.Context) {
 	if m.Cache == nil {
 		return
 	}
 	following := map[string]context.CancelFunc{}
-	m.every(ctx, cacheCheck, func(ctx context.Context) {
+	m.every(ctx, cacheCheckInterval, func(ctx context.Context) {
 		owned := map[string]bool{}
 		for _, info := range m.Table.View().Servers {
 			name := info.Config.Name
--- a/monitor/hops.go
+++ b/monitor/hops.go
@@ -10,7 +10,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Load takes the load of one hop, as carried on replies.
+// Load applies the load of one hop, as carried on replies.
 func (m *Monitor) Load(l backend.HopLoad) {
 	now := m.Clock()
 	if s := m.Table.Server(l.BackendServer); s != nil {
@@ -20,7 +20,7 @@
 		m.Table.Learn(l.BackendServer, l.Capacity)
 	}
 	m.mu.Lock()
-	gapOf(m.hops, l.BackendServer).Observe(seconds(l.TokenSeconds))
+	gapFor(m.hopGaps, l.BackendServer).Observe(seconds(l.TokenSeconds))
 	changes := m.observeLink(l, now)
 	m.mu.Unlock()
 	for _, c := range changes {
@@ -30,7 +30,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func gapOf[K comparable](gaps map[K]*health.Gap, k K) *health.Gap {
+func gapFor[K comparable](gaps map[K]*health.Gap, k K) *health.Gap {
 	g := gaps[k]
 	if g == nil {
 		g = &health.Gap{}
@@ -45,59 +45,59 @@
 	factor float64
 }
 
-// observeLink takes the time on one link. All links of a sender, and all of a
-// receiver, are watched as a group too: a port that slows is seen on the links
-// that carry traffic, before the others have any. The caller holds the lock.
+// observeLink records the time on one link. All links of a sender, and all of a
+// receiver, are also observed as a group: a slow port is detected on the links
+// that carry traffic before the others have any. The caller holds the lock.
 func (m *Monitor) observeLink(l backend.HopLoad, now time.Time) []linkChange {
 	if l.NextHop == "" || l.LinkSeconds <= 0 {
 		return nil
 	}
 	d := seconds(l.LinkSeconds)
 	k := linkKey{l.BackendServer, l.NextHop}
-	gapOf(m.linkGaps, k).Observe(d)
-	link := m.linkOf(k)
+	gapFor(m.linkGaps, k).Observe(d)
+	link := m.linkFor(k)
 	if link.Baseline() == 0 {
-		m.seed(link, k)
+		m.seedBaseline(link, k)
 	}
 	var out []linkChange
-	alone := link.Observe(m.opts.Link, d, now)
-	if alone {
+	linkChanged := link.Observe(m.opts.Link, d, now)
+	if linkChanged {
 		out = append(out, linkChange{k, link.Factor(m.opts.Link)})
 	}
 	ratio := time.Duration(link.Ratio(d) * float64(time.Millisecond))
 	for _, g := range []linkKey{{k.from, fleet.AnyServer}, {fleet.AnyServer, k.to}} {
-		group := m.linkOf(g)
-		was := group.Degraded()
-		changed := group.Observe(m.group, ratio, now)
-		// A group that looks slow while one link of it is degraded waits for a
-		// second one.
-		several := (changed || alone) && group.Degraded() && m.degradedIn(g) > 1
-		if changed && was || several {
-			out = append(out, linkChange{g, group.Factor(m.group)})
+		group := m.linkFor(g)
+		wasDegraded := group.Degraded()
+		changed := group.Observe(m.groupConfig, ratio, now)
+		// A slow group is first reported once at least two of its links are
+		// degraded.
+		groupDegraded := (changed || linkChanged) && group.Degraded() && m.countDegraded(g) > 1
+		if changed && wasDegraded || groupDegraded {
+			out = append(out, linkChange{g, group.Factor(m.groupConfig)})
 		}
 	}
 	return out
 }
 
-// seed gives a link that is used for the first time, while another link of its
-// sender is slow, the least of their usual times: what it shows now may not be
-// what is usual.
-func (m *Monitor) seed(link *health.Link, k linkKey) {
-	if m.degradedIn(linkKey{k.from, fleet.AnyServer}) == 0 {
+// seedBaseline gives a link that is used for the first time, while another link
+// of its sender is slow, the lowest baseline of the sender's links: its own
+// first times may already be degraded.
+func (m *Monitor) seedBaseline(link *health.Link, k linkKey) {
+	if m.countDegraded(linkKey{k.from, fleet.AnyServer}) == 0 {
 		return
 	}
-	least := time.Duration(0)
+	lowest := time.Duration(0)
 	for other, l := range m.links {
-		if other.from == k.from && other.to != fleet.AnyServer && l.Baseline() > 0 && (least == 0 || l.Baseline() < least) {
-			least = l.Baseline()
+		if other.from == k.from && other.to != fleet.AnyServer && l.Baseline() > 0 && (lowest == 0 || l.Baseline() < lowest) {
+			lowest = l.Baseline()
 		}
 	}
-	if least > 0 {
-		link.Seed(least)
+	if lowest > 0 {
+		link.Seed(lowest)
 	}
 }
 
-func (m *Monitor) linkOf(k linkKey) *health.Link {
+func (m *Monitor) linkFor(k linkKey) *health.Link {
 	link := m.links[k]
 	if link == nil {
 		link = &health.Link{}
@@ -106,8 +106,8 @@
 	return link
 }
 
-// degradedIn counts the degraded links of a group.
-func (m *Monitor) degradedIn(g linkKey) int {
+// countDegraded counts the degraded links of a group.
+func (m *Monitor) countDegraded(g linkKey) int {
 	n := 0
 	for k, link := range m.links {
 		single := k.from != fleet.AnyServer && k.to != fleet.AnyServer
@@ -118,13 +118,13 @@
 	return n
 }
 
-// tickLinks lets links that were degraded long enough be tried again. The
+// tickLinks lets links that have been degraded long enough be tried again. The
 // caller holds the lock.
 func (m *Monitor) tickLinks(now time.Time) {
 	for k, link := range m.links {
 		cfg := m.opts.Link
 		if k.from == fleet.AnyServer || k.to == fleet.AnyServer {
-			cfg = m.group
+			cfg = m.groupConfig
 		}
 		if link.Tick(cfg, now) {
 			go m.setLink(k, link.Factor(cfg))
@@ -144,9 +144,10 @@
 	})
 }
 
-// GapBound returns the longest time between two tokens on a route: the bounds of
-// its hops and links added up, and no less than the stream's own gaps allow.
-// Until enough is known of every hop the stream's own gaps count alone.
+// GapBound returns the longest expected time between two tokens on a route: the
+// sum of the bounds of its hops and links, or the bound of the stream's own
+// gaps if larger, limited to GapFloor and GapCeiling. While both have too few
+// samples it returns GapCeiling.
 func (m *Monitor) GapBound(r topology.Route, own *health.Gap) time.Duration {
 	floor, ceil := m.opts.GapFloor, m.opts.GapCeiling
 	bound, known := m.hopBound(r, ceil)
@@ -160,14 +161,14 @@
 	return min(ceil, max(floor, bound))
 }
 
-// hopBound adds up the bounds of a route's hops and links; known is false when
-// too little is known of a hop, and the sum is then of the others.
+// hopBound adds up the bounds of a route's hops and links. known is false when
+// a hop has too few samples; the sum then covers the others.
 func (m *Monitor) hopBound(r topology.Route, ceil time.Duration) (sum time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	known = true
 	for i, h := range r {
-		g := gapOf(m.hops, h.BackendServer)
+		g := gapFor(m.hopGaps, h.BackendServer)
 		if g.Warm() {
 			sum += g.Bound(0, ceil)
 		} else {
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -1,5 +1,6 @@
-// Package monitor feeds the live state of the backend servers: it reads their
-// status and what requests show about them, lets package health decide, and puts the verdicts into package fleet.
+// Package monitor updates the live state of the backend servers: it reads their
+// status, takes signals from requests, evaluates both with package health, and
+// stores the results in package fleet.
 package monitor
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Options are the settings of a monitor.
+// Options configures a Monitor.
 type Options struct {
 	StatusPoll time.Duration
 	GapFloor   time.Duration
@@ -25,24 +26,24 @@
 	Link       health.LinkConfig
 }
 
-// Owner says which backend servers this daemon reads the status of. The others
-// come from daemons that own them.
+// Owner reports which backend servers this daemon polls. The status of the
+// others comes from the daemons that own them.
 type Owner interface {
 	Owns(server string) bool
 }
 
-// OwnsAll is the owner of a daemon that is alone.
+// OwnsAll is the Owner of a single daemon.
 type OwnsAll struct{}
 
 // Owns implements Owner.
 func (OwnsAll) Owns(string) bool { return true }
 
-// Publisher passes on the reports that this daemon has read itself.
+// Publisher distributes the statuses that this daemon has read itself.
 type Publisher interface {
 	PublishStatus(st backend.Status)
 }
 
-// Parts are what a monitor works with.
+// Parts are the dependencies of a Monitor.
 type Parts struct {
 	Engine    backend.Engine
 	Table     *fleet.Table
@@ -51,50 +52,51 @@
 	Owner     Owner
 	Publisher Publisher // may be nil
 	Cache     Cache     // may be nil
-	Wake      func()    // called after backend servers came into service
+	Wake      func()    // called after backend servers come into service
 	Clock     func() time.Time
 }
 
-// Monitor is safe for concurrent use.
+// Monitor polls backend servers and evaluates their health. It is safe for
+// concurrent use.
 type Monitor struct {
 	opts Options
 	Parts
 
-	mu       sync.Mutex
-	detector *health.Detector
-	links    map[linkKey]*health.Link
-	hops     map[string]*health.Gap
-	linkGaps map[linkKey]*health.Gap
-	group    health.LinkConfig
-	polled   bool // every owned backend server was asked once
+	mu          sync.Mutex
+	detector    *health.Detector
+	links       map[linkKey]*health.Link
+	hopGaps     map[string]*health.Gap
+	linkGaps    map[linkKey]*health.Gap
+	groupConfig health.LinkConfig
+	polled      bool // every owned backend server was polled once
 }
 
 type linkKey struct{ from, to string }
 
-// silentTimeout bounds the question whether a backend server answers at all.
-const silentTimeout = 150 * time.Millisecond
+// answerTimeout bounds the check whether a backend server responds at all.
+const answerTimeout = 150 * time.Millisecond
 
 // probeTimeout bounds a probe of an ejected backend server.
 const probeTimeout = time.Second
 
-// tick is the period of probes, ramps and link trials.
-const tick = 100 * time.Millisecond
+// tickInterval is the period of probes, ramps and link trials.
+const tickInterval = 100 * time.Millisecond
 
-// New returns a monitor; Run must be called to start it.
+// New returns a monitor; call Run to start it.
 func New(o Options, p Parts) *Monitor {
 	m := &Monitor{
-		opts: o, Parts: p, links: map[linkKey]*health.Link{}, hops: map[string]*health.Gap{},
-		linkGaps: map[linkKey]*health.Gap{}, group: health.GroupLinkConfig(),
+		opts: o, Parts: p, links: map[linkKey]*health.Link{}, hopGaps: map[string]*health.Gap{},
+		linkGaps: map[linkKey]*health.Gap{}, groupConfig: health.GroupLinkConfig(),
 	}
 	m.detector = health.NewDetector(o.Health, m.lastCapacity)
 	return m
 }
 
-// Run reads statuses until ctx ends.
+// Run polls and probes until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { m.pollStatuses(ctx) })
-	wg.Go(func() { m.every(ctx, tick, m.onTick) })
+	wg.Go(func() { m.every(ctx, tickInterval, m.onTick) })
 	wg.Go(func() { m.followCaches(ctx) })
 	wg.Wait()
 }
@@ -113,7 +115,8 @@
 	}
 }
 
-// pollStatuses polls on time, and at once while no poll has met a configuration.
+// pollStatuses polls periodically. Until one poll has found a configuration, it
+// polls on every change of the fleet.
 func (m *Monitor) pollStatuses(ctx context.Context) {
 	for !m.Polled() {
 		changed := m.Table.Changed()
@@ -145,8 +148,8 @@
 	m.polled = m.polled || len(m.Table.View().Servers) > 0
 }
 
-// Polled reports whether every backend server that this daemon owns was asked
-// once, so that a lack of routes is real.
+// Polled reports whether every backend server that this daemon owns has been
+// polled once. Before that, a lack of routes may be temporary.
 func (m *Monitor) Polled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,7 +173,8 @@
 	}
 }
 
-// Take applies a status, read here or by the daemon that owns the backend server.
+// Take applies a status that was read here or by the daemon that owns the
+// backend server.
 func (m *Monitor) Take(st backend.Status) {
 	if m.Table.ApplyStatus(st, m.Clock()) {
 		m.Log.Add(decision.Record{
@@ -181,7 +185,7 @@
 	}
 }
 
-// Known returns the reports that this daemon holds, to bring others up to date.
+// Known returns the reports that this daemon holds, to update other daemons.
 func (m *Monitor) Known() []backend.Status { return m.Table.Reports() }
 
 func describe(st backend.Status) string {
@@ -195,7 +199,7 @@
 	return text
 }
 
-// Signal takes what a request or a probe shows about a backend server.
+// Signal records an observation of a backend server by a request or a probe.
 func (m *Monitor) Signal(server string, s health.Signal) {
 	now := m.Clock()
 	m.mu.Lock()
@@ -218,17 +222,17 @@
 	}
 }
 
-// lastCapacity reports whether some layers that the backend server holds are
-// held by no other one in service. The detector calls it with the lock held.
+// lastCapacity reports whether some layers of the backend server are held by no
+// other one in service. The detector calls it with the monitor's lock held.
 func (m *Monitor) lastCapacity(server string) bool {
 	view := m.Table.View()
-	var mine []backend.Holding
+	var held []backend.Holding
 	for _, info := range view.Servers {
 		if info.Config.Name == server {
-			mine = info.Holdings
+			held = info.Holdings
 		}
 	}
-	for _, h := range mine {
+	for _, h := range held {
 		if !m.coveredByOthers(view, server, h) {
 			return true
 		}
@@ -258,11 +262,11 @@
 	return true
 }
 
-// onTick probes, ramps and tries links again.
+// onTick sends due probes, updates ramping weights and tries links again.
 func (m *Monitor) onTick(ctx context.Context) {
 	now := m.Clock()
 	m.mu.Lock()
-	due := m.detector.DueProbes(now)
+	dueProbes := m.detector.DueProbes(now)
 	ramping := m.detector.Ramping(now)
 	weights := make([]float64, len(ramping))
 	for i, name := range ramping {
@@ -273,7 +277,7 @@
 	for i, name := range ramping {
 		m.Table.SetHealth(name, false, weights[i])
 	}
-	for _, name := range due {
+	for _, name := range dueProbes {
 		go m.probe(ctx, name)
 	}
 }
@@ -307,9 +311,10 @@
 	return backend.Target{}, false
 }
 
-// Silent returns the backend servers of a route that do not answer soon.
+// Silent returns the backend servers of a route that do not answer within
+// answerTimeout.
 func (m *Monitor) Silent(ctx context.Context, r topology.Route) []string {
-	ctx, cancel := context.WithTimeout(ctx, silentTimeout)
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	silent := make([]bool, len(r))
 	var wg sync.WaitGroup
--- a/monitor/monitor_test.go
+++ b/monitor/monitor_test.go
@@ -19,10 +19,11 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// frozen answers for one backend server only.
-type frozen struct{ backend.Engine }
+// frozenEngine answers the status reads of every backend server except
+// "frozen", whose reads block until their context ends.
+type frozenEngine struct{ backend.Engine }
 
-func (frozen) Status(ctx context.Context, t backend.Target) (backend.Status, error) {
+func (frozenEngine) Status(ctx context.Context, t backend.Target) (backend.Status, error) {
 	if t.BackendServer == "frozen" {
 		<-ctx.Done()
 		return backend.Status{}, execution.ErrLost
@@ -30,13 +31,14 @@
 	return backend.Status{Boot: 1, Seq: 1, Holdings: []backend.Holding{{Model: "m", Version: "v", Layers: topology.LayerRange{Lo: 0, Hi: 4}}}}, nil
 }
 
-// gossip is an engine whose cache events repeat, come late and have gaps.
-type gossip struct {
-	frozen
+// lossyCacheEngine is an engine whose cache events repeat, arrive late and have
+// gaps.
+type lossyCacheEngine struct {
+	frozenEngine
 	calls atomic.Int64
 }
 
-func (g *gossip) CacheEvents(_ context.Context, _ backend.Target, fn func(backend.CacheEvent)) error {
+func (g *lossyCacheEngine) CacheEvents(_ context.Context, _ backend.Target, fn func(backend.CacheEvent)) error {
 	if g.calls.Add(1) == 1 {
 		fn(backend.CacheEvent{Seq: 1, Prefix: 7})
 		fn(backend.CacheEvent{Seq: 1, Prefix: 7})
@@ -48,14 +50,14 @@
 	return execution.ErrLost
 }
 
-// Cache events become hints, across broken streams and gaps.
+// Cache events update the prefix hints in spite of broken streams and gaps.
 func TestCacheEvents(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		table := fleet.NewTable()
 		table.SetConfig(map[string]*topology.BackendServer{"b": {Name: "b"}})
 		prefixes := routing.NewPrefixes()
 		m := New(Options{StatusPoll: time.Second, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Parts{
-			Engine: &gossip{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
+			Engine: &lossyCacheEngine{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
 			Owner: OwnsAll{}, Cache: prefixes, Wake: func() {}, Clock: time.Now,
 		})
 		ctx, cancel := context.WithCancel(context.Background())
@@ -71,13 +73,13 @@
 	})
 }
 
-// All links of a port count as slow once two of them are; one alone is not the
-// port's fault, however often it is seen.
+// All links of a port count as slow once two of them are; a single slow link
+// does not affect the others, however often it is observed.
 func TestSlowPort(t *testing.T) {
 	table := fleet.NewTable()
 	table.SetConfig(map[string]*topology.BackendServer{"a": {Name: "a"}, "b": {Name: "b"}, "c": {Name: "c"}})
 	m := New(Options{StatusPoll: time.Second, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Parts{
-		Engine: frozen{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
+		Engine: frozenEngine{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
 		Owner: OwnsAll{}, Wake: func() {}, Clock: time.Now,
 	})
 	load := func(to string, d time.Duration) {
@@ -97,18 +99,18 @@
 }
 
 // A backend server that accepts a status read and never answers is taken out of
-// service by the reads alone.
-func TestFrozenServerIsNoticed(t *testing.T) {
+// service by the status reads alone.
+func TestFrozenServerIsEjected(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		table := fleet.NewTable()
 		table.SetConfig(map[string]*topology.BackendServer{"frozen": {Name: "frozen"}, "fine": {Name: "fine"}})
 		for _, name := range []string{"frozen", "fine"} {
-			st, _ := frozen{}.Status(context.Background(), backend.Target{})
+			st, _ := frozenEngine{}.Status(context.Background(), backend.Target{})
 			st.BackendServer = name
 			table.ApplyStatus(st, time.Now())
 		}
 		m := New(Options{StatusPoll: 500 * time.Millisecond, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Parts{
-			Engine: frozen{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
+			Engine: frozenEngine{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
 			Owner: OwnsAll{}, Wake: func() {}, Clock: time.Now,
 		})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -252,17 +252,17 @@
 	for _, h := range p.holders(s, false) {
 		inDomain[h.info.Config.FailureDomain]++
 	}
-	var best *host
+	var bestHost *host
 	for _, h := range p.hosts {
 		free := h.info.Config.MemoryBytes - h.used
 		if h.ordered || !s.serves(h) || s.holds(h, false) || free < bytes {
 			continue
 		}
-		if best == nil || better(h, best, inDomain) {
-			best = h
+		if bestHost == nil || better(h, bestHost, inDomain) {
+			bestHost = h
 		}
 	}
-	return best
+	return bestHost
 }
 
 func better(a, b *host, inDomain map[string]int) bool {
