--- a/control/controller.go
+++ b/control/controller.go
@@ -189,7 +189,8 @@
 
 // mustWait reports whether an order must not be sent yet: a backend server that
 // does not check fencing numbers may still receive an order of the previous
-// lease holder.
+// lease holder. It also returns true for a backend server that is not
+// configured.
 func (c *Controller) mustWait(o placement.Order) bool {
 	b := c.Config().BackendServers[o.BackendServer]
 	if b == nil {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -115,9 +115,9 @@
 	return s
 }
 
-// ApplyStatus applies an engine's report. A report that is not newer than the
-// current one, by the engine's boot and sequence numbers, changes no structure.
-// It returns whether the report was newer.
+// ApplyStatus applies an engine's report and returns whether it is newer than
+// the current one, by the engine's boot and sequence numbers. Of a report that
+// is not newer, only load and capacity are used.
 func (t *Table) ApplyStatus(st backend.Status, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -243,21 +243,21 @@
 func (m *Monitor) coveredByOthers(view *fleet.View, server string, h backend.Holding) bool {
 	at := h.Layers.Lo
 	for at < h.Layers.Hi {
-		reach := at
+		coveredTo := at
 		for _, info := range view.Servers {
 			if info.Config.Name == server || !info.Usable {
 				continue
 			}
 			for _, o := range info.Holdings {
 				if !o.Loading && o.Model == h.Model && o.Version == h.Version && o.Layers.Lo <= at {
-					reach = max(reach, o.Layers.Hi)
+					coveredTo = max(coveredTo, o.Layers.Hi)
 				}
 			}
 		}
-		if reach == at {
+		if coveredTo == at {
 			return false
 		}
-		at = reach
+		at = coveredTo
 	}
 	return true
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// load orders the load of a stage on one more host. It returns false if no host
-// can take it now.
+// load orders the load of a stage on one more host. It returns false if that is
+// not possible now.
 func (p *planner) load(s *stage, why string) bool {
 	bytes := s.model.Weight(s.spec.Layers)
 	if bytes <= 0 {
