--- a/tlsconf/tlsconf_test.go
+++ b/tlsconf/tlsconf_test.go
@@ -80,7 +80,7 @@
 	cert, err = get(r.Client(), url)
 	require.NoError(t, err)
 	require.Equal(t, int64(11), cert.SerialNumber.Int64())
-	require.NoError(t, os.WriteFile(filepath.Join(dir, "cert.pem"), []byte("incomplete"), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "cert.pem"), []byte("half"), 0o600))
 	now = now.Add(10 * time.Second)
 	cert, err = get(r.Client(), url)
 	require.NoError(t, err)
