--- a/api/bench_test.go
+++ b/api/bench_test.go
@@ -13,23 +13,23 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// discard is a response writer without a socket.
-type discard struct{ h http.Header }
+// discardWriter is a ResponseWriter that discards everything.
+type discardWriter struct{ h http.Header }
 
-func (d *discard) Header() http.Header            { return d.h }
-func (*discard) Write(p []byte) (int, error)      { return len(p), nil }
-func (*discard) WriteHeader(int)                  {}
-func (*discard) Flush()                           {}
-func (*discard) SetWriteDeadline(time.Time) error { return nil }
-func (*discard) SetReadDeadline(time.Time) error  { return nil }
+func (d *discardWriter) Header() http.Header            { return d.h }
+func (*discardWriter) Write(p []byte) (int, error)      { return len(p), nil }
+func (*discardWriter) WriteHeader(int)                  {}
+func (*discardWriter) Flush()                           {}
+func (*discardWriter) SetWriteDeadline(time.Time) error { return nil }
+func (*discardWriter) SetReadDeadline(time.Time) error  { return nil }
 
-// tokens is a Models that hands out tokens at once.
-type tokens struct {
+// fakeModels is a Models that produces n tokens without delay.
+type fakeModels struct {
 	Models
 	n int
 }
 
-func (m tokens) Do(_ context.Context, r *dispatch.Request, s dispatch.Sink) (dispatch.Outcome, error) {
+func (m fakeModels) Do(_ context.Context, r *dispatch.Request, s dispatch.Sink) (dispatch.Outcome, error) {
 	id := strings.Repeat("x", 320)
 	for i := range m.n {
 		if err := s.Token(dispatch.Token{Index: i, Text: "word ", EventID: id}); err != nil {
@@ -39,9 +39,9 @@
 	return dispatch.Outcome{RequestID: r.ID, Tokens: m.n}, nil
 }
 
-type fixed struct{ snap *topology.Snapshot }
+type staticConfig struct{ snap *topology.Snapshot }
 
-func (f fixed) Snapshot() *topology.Snapshot { return f.snap }
+func (c staticConfig) Snapshot() *topology.Snapshot { return c.snap }
 
 func benchCallers(workspaces, n int) *Callers {
 	snap := topology.NewSnapshot()
@@ -51,16 +51,16 @@
 	}
 	snap.IndexTokens()
 	o := CallerOptions{BodyBytes: 1 << 20, BodyTimeout: time.Second, WriteTimeout: time.Second, DefaultDeadline: time.Minute, MaxDeadline: time.Minute}
-	return NewCallers(o, fixed{snap}, tokens{n: n}, nil, nil, nil, time.Now)
+	return NewCallers(o, staticConfig{snap}, fakeModels{n: n}, nil, nil, nil, time.Now)
 }
 
 func serveOne(h http.Handler) {
 	r := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(`{"model":"m","prompt":"truck 7 is warm","max_tokens":9,"stream":true}`))
 	r.Header.Set("Authorization", "Bearer w0")
-	h.ServeHTTP(&discard{h: http.Header{}}, r)
+	h.ServeHTTP(&discardWriter{h: http.Header{}}, r)
 }
 
-// BenchmarkCallersRequest is the cost of a request of one token in this package.
+// BenchmarkCallersRequest measures a request with a response of one token.
 func BenchmarkCallersRequest(b *testing.B) {
 	for _, workspaces := range []int{10, 1000, 19000} {
 		b.Run(fmt.Sprintf("workspaces=%d", workspaces), func(b *testing.B) {
@@ -73,7 +73,7 @@
 	}
 }
 
-// BenchmarkCallersToken is the cost of a token in this package.
+// BenchmarkCallersToken measures the cost of one token of a stream.
 func BenchmarkCallersToken(b *testing.B) {
 	h := benchCallers(10, b.N)
 	b.ReportAllocs()
--- a/api/callers.go
+++ b/api/callers.go
@@ -1,4 +1,4 @@
-// Package api is what callers and operators talk to over HTTP: the
+// Package api implements the HTTP interfaces for callers and operators: the
 // OpenAI-style endpoints, plain services, metrics, health and inspection.
 package api
 
@@ -22,16 +22,16 @@
 const (
 	HeaderRequestID  = "Snowspoke-Request-Id"
 	HeaderRepeatable = "Snowspoke-Repeatable" // "false" forbids a second execution
-	HeaderDeadline   = "Snowspoke-Deadline"   // a duration such as 30s, or an RFC 3339 time
-	HeaderPriority   = "Snowspoke-Priority"   // an integer, at most the workspace's
+	HeaderDeadline   = "Snowspoke-Deadline"   // duration such as 30s, or RFC 3339 time
+	HeaderPriority   = "Snowspoke-Priority"   // integer, limited to the priority of the workspace
 	HeaderLabels     = "Snowspoke-Labels"     // key=value pairs, comma-separated
 	HeaderKey        = "Idempotency-Key"
 	HeaderEventID    = "Last-Event-ID"
-	HeaderRan        = "Snowspoke-Ran"  // no, yes or unknown, on errors
-	HeaderKind       = "Snowspoke-Kind" // error kind
+	HeaderRan        = "Snowspoke-Ran"  // no, yes or unknown; set on errors
+	HeaderKind       = "Snowspoke-Kind" // kind of the error
 )
 
-// Models runs requests for models.
+// Models runs completion requests.
 type Models interface {
 	Do(ctx context.Context, r *dispatch.Request, s dispatch.Sink) (dispatch.Outcome, error)
 	Resume(ctx context.Context, r *dispatch.Request, p *dispatch.Place, s dispatch.Sink) (dispatch.Outcome, error)
@@ -47,7 +47,7 @@
 	Snapshot() *topology.Snapshot
 }
 
-// CallerOptions are the limits of the callers' interface.
+// CallerOptions holds the limits of the callers' interface.
 type CallerOptions struct {
 	BodyBytes       int64
 	BodyTimeout     time.Duration
@@ -73,10 +73,10 @@
 	h := &Callers{
 		opts: o, config: c, models: m, services: s, sealer: sealer, claims: claims, clock: clock, mux: http.NewServeMux(),
 	}
-	h.mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.complete(w, r, textForm) })
-	h.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.complete(w, r, chatForm) })
+	h.mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) { h.serveCompletion(w, r, textFormat) })
+	h.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { h.serveCompletion(w, r, chatFormat) })
 	h.mux.HandleFunc("GET /v1/models", h.listModels)
-	h.mux.HandleFunc("/services/{name}/{path...}", h.service)
+	h.mux.HandleFunc("/services/{name}/{path...}", h.serveCall)
 	h.mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, apierror.New(apierror.BadRequest, "no such path: %s %s", r.Method, r.URL.Path))
 	})
@@ -91,7 +91,7 @@
 
 func newRequestID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// workspace finds the caller's workspace by its token.
+// workspace returns the workspace that the bearer token of a request belongs to.
 func (h *Callers) workspace(r *http.Request) (*topology.Workspace, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
@@ -104,7 +104,7 @@
 	return w, nil
 }
 
-// readBody reads a bounded body within a bounded time.
+// readBody reads a request body of at most BodyBytes within BodyTimeout.
 func (h *Callers) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(h.opts.BodyTimeout))
@@ -112,8 +112,8 @@
 	if err == nil {
 		_ = rc.SetReadDeadline(time.Time{})
 	} else {
-		// The deadline stays: the server reads the rest of a body that was given
-		// up on, and a caller that sends it slowly must not hold the connection.
+		// Keep the read deadline: the server drains the rest of the body, and a
+		// slow sender must not hold the connection.
 		w.Header().Set("Connection", "close")
 	}
 	var tooLarge *http.MaxBytesError
--- a/api/completions.go
+++ b/api/completions.go
@@ -14,18 +14,18 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// form says which of the two OpenAI-style shapes a request and answer have.
-type form uint8
+// format selects the OpenAI-style format of a request and its response.
+type format uint8
 
 const (
-	textForm form = iota
-	chatForm
+	textFormat format = iota
+	chatFormat
 )
 
-// prefixBytes is how much of a prompt identifies its cached prefix.
-const prefixBytes = 512
+// maxPrefixBytes bounds the part of a prompt that its cache key covers.
+const maxPrefixBytes = 512
 
-// completionBody is the body of both endpoints.
+// completionBody is the request body of both completion endpoints.
 type completionBody struct {
 	Model       string            `json:"model"`
 	Adapter     string            `json:"adapter"`
@@ -37,10 +37,10 @@
 	TopP        *float64          `json:"top_p"`
 	Seed        *int64            `json:"seed"`
 	Stop        stopList          `json:"stop"`
-	Choices     int               `json:"n"` // answers asked for; one is supported
+	Choices     int               `json:"n"` // number of completions; only one is supported
 }
 
-// stopList reads one string or a list of strings.
+// stopList is decoded from one string or a list of strings.
 type stopList []string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// parseCompletion checks a body and turns it into a request.
-func parseCompletion(body []byte, f form) (*completionBody, error) {
+// parseCompletion decodes and validates a request body.
+func parseCompletion(body []byte, f format) (*completionBody, error) {
 	var b completionBody
 	if err := json.Unmarshal(body, &b); err != nil {
 		return nil, apierror.New(apierror.BadRequest, "body: %v", err)
@@ -71,15 +71,16 @@
 		return nil, apierror.New(apierror.BadRequest, "max_tokens: write a number from 0")
 	case b.Choices < 0 || b.Choices > 1:
 		return nil, apierror.New(apierror.BadRequest, "n: %d choices are not supported, one is", b.Choices)
-	case f == textForm && b.Prompt == "":
+	case f == textFormat && b.Prompt == "":
 		return nil, apierror.New(apierror.BadRequest, "prompt: missing")
-	case f == chatForm && len(b.Messages) == 0:
+	case f == chatFormat && len(b.Messages) == 0:
 		return nil, apierror.New(apierror.BadRequest, "messages: missing")
 	}
 	return &b, nil
 }
 
-// cacheKey hashes the start of the prompt with all that decides its KV cache.
+// cacheKey hashes the model, the adapter and the start of the prompt, which
+// determine the KV cache that a request can use.
 func (b *completionBody) cacheKey() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(b.Model + "\x00" + b.Adapter + "\x00")
@@ -87,12 +88,12 @@
 	if len(b.Messages) > 0 {
 		text = b.Messages[0].Role + "\x00" + b.Messages[0].Content
 	}
-	_, _ = d.WriteString(text[:min(len(text), prefixBytes)])
+	_, _ = d.WriteString(text[:min(len(text), maxPrefixBytes)])
 	return d.Sum64()
 }
 
-// complete serves both endpoints.
-func (h *Callers) complete(w http.ResponseWriter, r *http.Request, f form) {
+// serveCompletion handles both completion endpoints.
+func (h *Callers) serveCompletion(w http.ResponseWriter, r *http.Request, f format) {
 	req, b, err := h.readCompletion(w, r, f)
 	if err != nil {
 		writeError(w, err)
@@ -109,18 +110,18 @@
 		return
 	}
 	if b.Stream {
-		h.stream(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Do(ctx, req, s) })
+		h.serveStream(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Do(ctx, req, s) })
 		return
 	}
-	h.whole(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Do(ctx, req, s) })
+	h.serveBuffered(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Do(ctx, req, s) })
 }
 
-func (h *Callers) readCompletion(w http.ResponseWriter, r *http.Request, f form) (*dispatch.Request, *completionBody, error) {
+func (h *Callers) readCompletion(w http.ResponseWriter, r *http.Request, f format) (*dispatch.Request, *completionBody, error) {
 	ws, err := h.workspace(r)
 	if err != nil {
 		return nil, nil, err
 	}
-	p, err := h.particulars(r, ws)
+	o, err := h.requestOptions(r, ws)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -132,20 +133,20 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return newRequest(w.Header().Get(HeaderRequestID), ws, p, b, xxhash.Sum64(raw)), b, nil
+	return newRequest(w.Header().Get(HeaderRequestID), ws, o, b, xxhash.Sum64(raw)), b, nil
 }
 
-func newRequest(id string, ws *topology.Workspace, p particulars, b *completionBody, hash uint64) *dispatch.Request {
+func newRequest(id string, ws *topology.Workspace, o requestOptions, b *completionBody, hash uint64) *dispatch.Request {
 	return &dispatch.Request{
 		ID: id, Workspace: ws, Model: b.Model, Adapter: b.Adapter, Prompt: b.Prompt, Messages: b.Messages,
-		MaxTokens: b.MaxTokens, Priority: p.priority, Labels: p.labels, Repeatable: p.repeatable,
-		Deadline: p.deadline, BodyHash: hash, CacheKey: b.cacheKey(),
+		MaxTokens: b.MaxTokens, Priority: o.priority, Labels: o.labels, Repeatable: o.repeatable,
+		Deadline: o.deadline, BodyHash: hash, CacheKey: b.cacheKey(),
 		Sampling: backend.Sampling{Temperature: b.Temperature, TopP: b.TopP, Seed: b.Seed, Stop: b.Stop},
 	}
 }
 
-// resume continues the stream that an event ID names.
-func (h *Callers) resume(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, f form, id string) {
+// resume continues the stream that a Last-Event-ID names.
+func (h *Callers) resume(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, f format, id string) {
 	place, err := h.sealer.Open(id)
 	if err != nil || place.Workspace != req.Workspace.Name || place.BodyHash != req.BodyHash {
 		writeError(w, apierror.New(apierror.BadEventID, "not issued for this workspace and body"))
@@ -153,14 +154,14 @@
 	}
 	req.ID = place.RequestID
 	w.Header().Set(HeaderRequestID, req.ID)
-	h.stream(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Resume(ctx, req, place, s) })
+	h.serveStream(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Resume(ctx, req, place, s) })
 }
 
-// runFunc runs a request towards a sink.
+// runFunc runs a request and sends its tokens to the sink.
 type runFunc func(dispatch.Sink) (dispatch.Outcome, error)
 
-// whole collects the answer and sends it when it is whole.
-func (h *Callers) whole(w http.ResponseWriter, req *dispatch.Request, f form, run runFunc) {
+// serveBuffered runs a request and sends its response once it is complete.
+func (h *Callers) serveBuffered(w http.ResponseWriter, req *dispatch.Request, f format, run runFunc) {
 	var s textSink
 	out, err := run(&s)
 	writeDeadline(w, h.opts.WriteTimeout)
@@ -168,16 +169,16 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, http.StatusOK, answerOf(req, f, s.text.String(), &out, h.clock()))
+	writeJSON(w, http.StatusOK, newCompletion(req, f, s.text.String(), &out, h.clock()))
 }
 
-func answerOf(req *dispatch.Request, f form, text string, out *dispatch.Outcome, now time.Time) *completion {
+func newCompletion(req *dispatch.Request, f format, text string, out *dispatch.Outcome, now time.Time) *completion {
 	c := &completion{
-		ID: req.ID, Object: "text_completion", Created: now.Unix(), Model: req.Model, Whole: true,
+		ID: req.ID, Object: "text_completion", Created: now.Unix(), Model: req.Model, Complete: true,
 		Usage: &usage{CompletionTokens: out.Tokens}, Version: out.Version,
 	}
 	ch := choice{FinishReason: &out.FinishReason}
-	if f == chatForm {
+	if f == chatFormat {
 		c.Object = "chat.completion"
 		ch.Message = &backend.Message{Role: "assistant", Content: text}
 	} else {
--- a/api/errors.go
+++ b/api/errors.go
@@ -31,7 +31,7 @@
 	}, a
 }
 
-// writeError answers with the table's row of the error's kind.
+// writeError sends err with the status and headers of its row in the error table.
 func writeError(w http.ResponseWriter, err error) {
 	d, a := detailOf(err)
 	h := w.Header()
@@ -55,7 +55,7 @@
 	_, _ = w.Write(data)
 }
 
-// writeDeadline bounds the time that the caller may take for the next write.
+// writeDeadline bounds the time in which the caller must accept the next write.
 func writeDeadline(w http.ResponseWriter, d time.Duration) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(d))
 }
--- a/api/headers.go
+++ b/api/headers.go
@@ -11,41 +11,43 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// maxLabels bounds the labels of one request.
+// maxLabels bounds the number of labels of one request.
 const maxLabels = 16
 
-// particulars are what the headers of a request say.
-type particulars struct {
+// requestOptions holds the options that a caller sets in request headers.
+type requestOptions struct {
 	repeatable bool
 	deadline   time.Time
 	priority   int
 	labels     topology.Labels
 }
 
-func (h *Callers) particulars(r *http.Request, ws *topology.Workspace) (particulars, error) {
-	p := particulars{repeatable: true}
+// requestOptions parses the option headers of a request.
+func (h *Callers) requestOptions(r *http.Request, ws *topology.Workspace) (requestOptions, error) {
+	o := requestOptions{repeatable: true}
 	var err error
-	if p.deadline, err = h.deadline(r.Header.Get(HeaderDeadline)); err != nil {
-		return p, err
+	if o.deadline, err = h.parseDeadline(r.Header.Get(HeaderDeadline)); err != nil {
+		return o, err
 	}
-	if p.priority, err = priority(r.Header.Get(HeaderPriority), ws); err != nil {
-		return p, err
+	if o.priority, err = parsePriority(r.Header.Get(HeaderPriority), ws); err != nil {
+		return o, err
 	}
-	if p.labels, err = requestLabels(r.Header.Get(HeaderLabels)); err != nil {
-		return p, err
+	if o.labels, err = parseLabels(r.Header.Get(HeaderLabels)); err != nil {
+		return o, err
 	}
 	if text := r.Header.Get(HeaderRepeatable); text != "" {
 		v, err := strconv.ParseBool(text)
 		if err != nil {
-			return p, apierror.New(apierror.BadRequest, "%s: %q, write true or false", HeaderRepeatable, text)
+			return o, apierror.New(apierror.BadRequest, "%s: %q, write true or false", HeaderRepeatable, text)
 		}
-		p.repeatable = v
+		o.repeatable = v
 	}
-	return p, nil
+	return o, nil
 }
 
-// deadline reads a duration from now or a point in time.
-func (h *Callers) deadline(text string) (time.Time, error) {
+// parseDeadline parses a duration from now or an RFC 3339 time. The result is
+// at most MaxDeadline from now.
+func (h *Callers) parseDeadline(text string) (time.Time, error) {
 	now := h.clock()
 	if text == "" {
 		return now.Add(h.opts.DefaultDeadline), nil
@@ -67,7 +69,8 @@
 	return at, nil
 }
 
-func priority(text string, ws *topology.Workspace) (int, error) {
+// parsePriority parses a priority, limited to the priority of the workspace.
+func parsePriority(text string, ws *topology.Workspace) (int, error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -78,7 +81,7 @@
 	return min(p, max(0, ws.Priority)), nil
 }
 
-func requestLabels(text string) (topology.Labels, error) {
+func parseLabels(text string) (topology.Labels, error) {
 	if text == "" {
 		return nil, nil
 	}
--- a/api/once.go
+++ b/api/once.go
@@ -14,18 +14,17 @@
 	"github.com/snowspoke/snowspoke/dispatch"
 )
 
-// Claimer runs a function for the first use of a key and gives every later use
-// the same answer.
+// Claimer runs a function once for each idempotency key and returns the same
+// response for every later use of the key.
 type Claimer interface {
-	// Once calls run if this is the first use of the key anywhere in the fleet.
-	// run returns the answer, or an error; it must say in the error's kind
-	// whether the request ran.
+	// Once calls run if this is the first use of the key in the fleet. An error
+	// of run must have a kind that tells whether the request ran.
 	Once(ctx context.Context, u claims.Use, run func() (*claims.Answer, error)) (*claims.Answer, error)
 }
 
-// detach returns a context that a caller who goes away does not end: what was
-// begun under a key is finished within its deadline, so that the caller can come
-// back for the answer.
+// detach returns a context that keeps the deadline of ctx but not its
+// cancellation. A request with an idempotency key runs on after its caller has
+// disconnected, so that the caller can fetch the response later.
 func detach(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -34,29 +33,29 @@
 	return context.WithDeadline(context.WithoutCancel(ctx), deadline)
 }
 
-// teeSink streams an answer to the caller as long as it listens, and collects
-// it all the same.
+// teeSink collects a response and also streams it until a write to the caller
+// fails.
 type teeSink struct {
-	live *eventSink // nil when there is nothing to stream
-	gone bool       // the caller no longer takes tokens
-	text textSink
+	stream     *eventSink // nil unless the caller asked for a stream
+	callerGone bool       // a write to the caller has failed
+	text       textSink
 }
 
 // Token implements dispatch.Sink.
 func (s *teeSink) Token(t dispatch.Token) error {
-	if s.live != nil && !s.gone {
-		s.gone = s.live.Token(t) != nil
+	if s.stream != nil && !s.callerGone {
+		s.callerGone = s.stream.Token(t) != nil
 	}
 	return s.text.Token(t)
 }
 
-// completeOnce runs a request with an idempotency key. The answer is collected,
-// so that a later use of the key can be given the same.
-func (h *Callers) completeOnce(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, b *completionBody, f form, key string) {
+// completeOnce runs a request with an idempotency key. The response is collected
+// so that later uses of the key get the same one.
+func (h *Callers) completeOnce(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, b *completionBody, f format, key string) {
 	u := claims.Use{Workspace: req.Workspace.Name, Key: key, BodyHash: req.BodyHash, RequestID: req.ID}
 	sink := &teeSink{}
 	if b.Stream {
-		sink.live = newEventSink(h, w, req, f)
+		sink.stream = newEventSink(h, w, req, f)
 	}
 	var out dispatch.Outcome
 	a, err := h.claims.Once(ctx, u, func() (*claims.Answer, error) {
@@ -66,29 +65,29 @@
 		if out, err = h.models.Do(rctx, req, sink); err != nil {
 			return nil, err
 		}
-		return completionAnswer(req, b, f, sink.text.text.String(), &out, h.clock())
+		return newAnswer(req, b, f, sink.text.text.String(), &out, h.clock())
 	})
 	switch {
-	case sink.live == nil || !sink.live.started:
+	case sink.stream == nil || !sink.stream.started:
 		h.writeAnswer(w, a, err)
 	case err != nil:
-		sink.live.fail(err)
+		sink.stream.fail(err)
 	default:
-		sink.live.end(&out)
+		sink.stream.end(&out)
 	}
 }
 
-func completionAnswer(req *dispatch.Request, b *completionBody, f form, text string, out *dispatch.Outcome, now time.Time) (*claims.Answer, error) {
-	data, err := json.Marshal(answerOf(req, f, text, out, now))
+func newAnswer(req *dispatch.Request, b *completionBody, f format, text string, out *dispatch.Outcome, now time.Time) (*claims.Answer, error) {
+	data, err := json.Marshal(newCompletion(req, f, text, out, now))
 	if err != nil {
 		return nil, apierror.Wrap(apierror.Internal, err)
 	}
-	kind := "application/json"
+	contentType := "application/json"
 	if b.Stream {
-		kind = "text/event-stream"
+		contentType = "text/event-stream"
 		data = fmt.Appendf(nil, "data: %s\n\ndata: [DONE]\n\n", data)
 	}
-	return &claims.Answer{Status: http.StatusOK, Header: http.Header{"Content-Type": {kind}, HeaderRequestID: {req.ID}}, Body: data}, nil
+	return &claims.Answer{Status: http.StatusOK, Header: http.Header{"Content-Type": {contentType}, HeaderRequestID: {req.ID}}, Body: data}, nil
 }
 
 // callOnce runs a service call with an idempotency key.
@@ -104,7 +103,7 @@
 		defer reply.Body.Close()
 		var body bytes.Buffer
 		if _, err := io.Copy(&body, reply.Body); err != nil {
-			return nil, brokenReply(err)
+			return nil, truncatedReply(err)
 		}
 		hd := reply.Header.Clone()
 		hd.Del("Content-Length")
@@ -114,8 +113,8 @@
 	h.writeAnswer(w, a, err)
 }
 
-func brokenReply(err error) error {
-	return apierror.New(apierror.BackendFailed, "%v: %v", errBrokenReply, err)
+func truncatedReply(err error) error {
+	return apierror.New(apierror.BackendFailed, "%v: %v", errTruncatedReply, err)
 }
 
 func (h *Callers) writeAnswer(w http.ResponseWriter, a *claims.Answer, err error) {
--- a/api/operators.go
+++ b/api/operators.go
@@ -14,7 +14,8 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Status is what one daemon says of itself.
+// Status is the state that a daemon reports of itself and its known state of the
+// fleet.
 type Status struct {
 	Daemon         string                `json:"daemon"`
 	FailureDomain  string                `json:"failureDomain"`
@@ -32,7 +33,7 @@
 	Leases         []LeaseStatus         `json:"leases,omitempty"`
 }
 
-// BackendServerStatus is one backend server as a daemon sees it.
+// BackendServerStatus is the known state of one backend server.
 type BackendServerStatus struct {
 	Name          string   `json:"name"`
 	FailureDomain string   `json:"failureDomain"`
@@ -46,7 +47,7 @@
 	Holdings      []string `json:"holdings"`
 }
 
-// ModelStatus is the bound of one model and what limits it.
+// ModelStatus is the throughput bound of one model and the cut that limits it.
 type ModelStatus struct {
 	Model   string            `json:"model"`
 	Version string            `json:"version"`
@@ -54,7 +55,7 @@
 	Cut     []routing.CutItem `json:"cut,omitempty"`
 }
 
-// PeerStatus is another daemon as this one sees it.
+// PeerStatus is the known state of another daemon.
 type PeerStatus struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"`
@@ -64,7 +65,7 @@
 	Incarnation   uint64 `json:"incarnation"`
 }
 
-// LeaseStatus is a lease as this daemon knows it.
+// LeaseStatus is the known state of a lease.
 type LeaseStatus struct {
 	Name    string `json:"name"`
 	Holder  string `json:"holder"`
@@ -72,7 +73,7 @@
 	Mine    bool   `json:"mine"`
 }
 
-// Inspector answers the operators' questions.
+// Inspector provides the data of the operators' interface.
 type Inspector interface {
 	Status() Status
 	Ready() error
@@ -83,12 +84,12 @@
 // Operators serves the operators' interface.
 type Operators struct {
 	inspect   Inspector
-	tokenHash []byte // empty allows anybody
+	tokenHash []byte // empty disables authorization
 	mux       *http.ServeMux
 }
 
 // NewOperators returns the handler of the operators' interface. Health and
-// readiness need no token, as the balancer has none.
+// readiness checks need no token, since load balancers have none.
 func NewOperators(i Inspector, metrics http.Handler, tokenHash string) *Operators {
 	raw, _ := hex.DecodeString(tokenHash)
 	h := &Operators{inspect: i, tokenHash: raw, mux: http.NewServeMux()}
@@ -104,6 +105,7 @@
 // ServeHTTP implements http.Handler.
 func (h *Operators) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
+// authorized wraps next with a check of the operators' token.
 func (h *Operators) authorized(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if len(h.tokenHash) > 0 {
--- a/api/parse_test.go
+++ b/api/parse_test.go
@@ -16,11 +16,11 @@
 	f.Add([]byte(`{"model":"m","prompt":"p","stop":["a"],"max_tokens":3}`), true)
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"x"}],"stop":"a"}`), false)
 	f.Fuzz(func(t *testing.T, body []byte, text bool) {
-		form := chatForm
+		format := chatFormat
 		if text {
-			form = textForm
+			format = textFormat
 		}
-		b, err := parseCompletion(body, form)
+		b, err := parseCompletion(body, format)
 		if err != nil {
 			require.True(t, apierror.Is(err, apierror.BadRequest))
 			return
@@ -30,46 +30,46 @@
 	})
 }
 
-func TestUnsupportedChoicesAreRefusedByName(t *testing.T) {
-	_, err := parseCompletion([]byte(`{"model":"m","prompt":"p","n":2}`), textForm)
+func TestParseCompletionRejectsMultipleChoices(t *testing.T) {
+	_, err := parseCompletion([]byte(`{"model":"m","prompt":"p","n":2}`), textFormat)
 	require.ErrorContains(t, err, "n: 2 choices")
-	_, err = parseCompletion([]byte(`{"model":"m","prompt":"p","n":1}`), textForm)
+	_, err = parseCompletion([]byte(`{"model":"m","prompt":"p","n":1}`), textFormat)
 	require.NoError(t, err)
 }
 
-func TestParticulars(t *testing.T) {
+func TestRequestOptions(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	h := benchCallers(1, 1)
 	h.clock = func() time.Time { return now }
 	ws := &topology.Workspace{Name: "w", Priority: 3}
 	r := httptest.NewRequest(http.MethodPost, "/", nil)
-	p, err := h.particulars(r, ws)
+	o, err := h.requestOptions(r, ws)
 	require.NoError(t, err)
-	require.Equal(t, particulars{repeatable: true, deadline: now.Add(time.Minute)}, p)
+	require.Equal(t, requestOptions{repeatable: true, deadline: now.Add(time.Minute)}, o)
 	r.Header.Set(HeaderPriority, "9")
 	r.Header.Set(HeaderDeadline, "5s")
 	r.Header.Set(HeaderLabels, "use=alert,site=7")
 	r.Header.Set(HeaderRepeatable, "false")
-	p, err = h.particulars(r, ws)
+	o, err = h.requestOptions(r, ws)
 	require.NoError(t, err)
-	require.Equal(t, particulars{deadline: now.Add(5 * time.Second), priority: 3, labels: topology.Labels{"use": "alert", "site": "7"}}, p)
+	require.Equal(t, requestOptions{deadline: now.Add(5 * time.Second), priority: 3, labels: topology.Labels{"use": "alert", "site": "7"}}, o)
 	r.Header.Set(HeaderDeadline, "2025-01-01T00:00:00Z")
-	_, err = h.particulars(r, ws)
+	_, err = h.requestOptions(r, ws)
 	require.True(t, apierror.Is(err, apierror.DeadlinePassed))
 }
 
-// The operators' listener asks for its token, but for health and readiness.
+// The operators' interface requires its token, except for health checks.
 func TestOperatorsToken(t *testing.T) {
 	h := NewOperators(nil, http.NotFoundHandler(), topology.HashToken("secret"))
-	ask := func(path, token string) int {
+	get := func(path, token string) int {
 		r := httptest.NewRequest(http.MethodGet, path, nil)
 		r.Header.Set("Authorization", "Bearer "+token)
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, r)
 		return w.Code
 	}
-	require.Equal(t, http.StatusUnauthorized, ask("/metrics", ""))
-	require.Equal(t, http.StatusUnauthorized, ask("/v1/status", "wrong"))
-	require.Equal(t, http.StatusNotFound, ask("/metrics", "secret"))
-	require.Equal(t, http.StatusOK, ask("/healthz", ""))
+	require.Equal(t, http.StatusUnauthorized, get("/metrics", ""))
+	require.Equal(t, http.StatusUnauthorized, get("/v1/status", "wrong"))
+	require.Equal(t, http.StatusNotFound, get("/metrics", "secret"))
+	require.Equal(t, http.StatusOK, get("/healthz", ""))
 }
--- a/api/services.go
+++ b/api/services.go
@@ -16,15 +16,16 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// wholeBytes is the size up to which a service's answer is read to its end
-// before any of it is sent, so that a break still gets an honest status.
-const wholeBytes = 256 << 10
+// maxBufferedReply is the size in bytes up to which a response of a service is
+// read in full before any of it is sent, so that a truncated one can still be
+// answered with an error status.
+const maxBufferedReply = 256 << 10
 
-// errBrokenReply says that a service's answer ended early.
-var errBrokenReply = errors.New("api: the service's answer ended early")
+// errTruncatedReply reports that the response of a service ended early.
+var errTruncatedReply = errors.New("api: the service's answer ended early")
 
-// service serves calls of plain services.
-func (h *Callers) service(w http.ResponseWriter, r *http.Request) {
+// serveCall handles calls of plain services.
+func (h *Callers) serveCall(w http.ResponseWriter, r *http.Request) {
 	call, deadline, err := h.readCall(w, r)
 	if err != nil {
 		writeError(w, err)
@@ -42,9 +43,11 @@
 		return
 	}
 	defer reply.Body.Close()
-	h.passOn(w, reply)
+	h.forwardReply(w, reply)
 }
 
+// declaredRepeatable reports whether the caller and the service both declare the
+// call repeatable.
 func (h *Callers) declaredRepeatable(c *dispatch.ServiceRequest) bool {
 	svc := h.config.Snapshot().Services[c.Service]
 	return svc != nil && c.Repeatable && svc.IsRepeatable(c.Call.Method, c.Call.Path)
@@ -55,7 +58,7 @@
 	if err != nil {
 		return nil, time.Time{}, err
 	}
-	p, err := h.particulars(r, ws)
+	o, err := h.requestOptions(r, ws)
 	if err != nil {
 		return nil, time.Time{}, err
 	}
@@ -63,38 +66,38 @@
 	if err != nil {
 		return nil, time.Time{}, err
 	}
-	return newCall(w.Header().Get(HeaderRequestID), ws, p, r, body), h.callDeadline(r, p.deadline), nil
+	return newCall(w.Header().Get(HeaderRequestID), ws, o, r, body), h.callDeadline(r, o.deadline), nil
 }
 
-// callDeadline shortens the deadline to the service's own longest call.
+// callDeadline limits the deadline to the timeout of the service.
 func (h *Callers) callDeadline(r *http.Request, deadline time.Time) time.Time {
 	svc := h.config.Snapshot().Services[r.PathValue("name")]
 	if svc == nil || svc.Timeout == 0 {
 		return deadline
 	}
-	if own := h.clock().Add(time.Duration(svc.Timeout)); own.Before(deadline) {
-		return own
+	if limit := h.clock().Add(time.Duration(svc.Timeout)); limit.Before(deadline) {
+		return limit
 	}
 	return deadline
 }
 
-func newCall(id string, ws *topology.Workspace, p particulars, r *http.Request, body []byte) *dispatch.ServiceRequest {
+func newCall(id string, ws *topology.Workspace, o requestOptions, r *http.Request, body []byte) *dispatch.ServiceRequest {
 	path := "/" + r.PathValue("path")
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
 	hd := r.Header.Clone()
-	// The caller's token is for snowspoke alone.
+	// The caller's token must not reach the service.
 	hd.Del("Authorization")
 	hd.Del("Accept-Encoding")
 	hd.Set("Snowspoke-Workspace", ws.Name)
 	return &dispatch.ServiceRequest{
-		Workspace: ws, Service: r.PathValue("name"), Repeatable: p.repeatable,
+		Workspace: ws, Service: r.PathValue("name"), Repeatable: o.repeatable,
 		Call: backend.ServiceCall{RequestID: id, Method: r.Method, Path: path, Header: hd, Body: body},
 	}
 }
 
-// callHash binds an idempotency key to what it was first used for.
+// callHash identifies the call that an idempotency key was first used for.
 func callHash(c *dispatch.ServiceRequest) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.Service + "\x00" + c.Call.Method + "\x00" + c.Call.Path + "\x00")
@@ -102,14 +105,14 @@
 	return d.Sum64()
 }
 
-// passOn sends a service's answer. A short one is read whole first; a long one
-// is streamed, and if it breaks the connection is cut, so that it can not be
-// taken for whole.
-func (h *Callers) passOn(w http.ResponseWriter, reply *backend.ServiceReply) {
-	var first bytes.Buffer
-	_, err := io.CopyN(&first, reply.Body, wholeBytes)
+// forwardReply sends the response of a service. A short one is read in full
+// first. A longer one is streamed; if it is truncated, the connection is aborted
+// so that the caller does not take it for complete.
+func (h *Callers) forwardReply(w http.ResponseWriter, reply *backend.ServiceReply) {
+	var head bytes.Buffer
+	_, err := io.CopyN(&head, reply.Body, maxBufferedReply)
 	if err != nil && !errors.Is(err, io.EOF) {
-		writeError(w, brokenReply(err))
+		writeError(w, truncatedReply(err))
 		return
 	}
 	hd := w.Header()
@@ -117,19 +120,20 @@
 		hd[k] = v
 	}
 	if errors.Is(err, io.EOF) {
-		hd.Set("Content-Length", strconv.Itoa(first.Len()))
+		hd.Set("Content-Length", strconv.Itoa(head.Len()))
 		writeDeadline(w, h.opts.WriteTimeout)
 		w.WriteHeader(reply.Status)
-		_, _ = w.Write(first.Bytes())
+		_, _ = w.Write(head.Bytes())
 		return
 	}
 	w.WriteHeader(reply.Status)
-	if err := h.copyAll(w, io.MultiReader(&first, reply.Body)); err != nil {
+	if err := h.copyBody(w, io.MultiReader(&head, reply.Body)); err != nil {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (h *Callers) copyAll(w http.ResponseWriter, r io.Reader) error {
+// copyBody streams r to the caller, with a write deadline for each chunk.
+func (h *Callers) copyBody(w http.ResponseWriter, r io.Reader) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := r.Read(buf)
--- a/api/stream.go
+++ b/api/stream.go
@@ -13,16 +13,17 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// completion is the OpenAI-style answer; Whole and Version are additions.
+// completion is an OpenAI-style response or chunk. Complete and Version extend
+// the OpenAI format.
 type completion struct {
-	ID      string   `json:"id"`
-	Object  string   `json:"object"`
-	Created int64    `json:"created"`
-	Model   string   `json:"model"`
-	Choices []choice `json:"choices"`
-	Usage   *usage   `json:"usage,omitempty"`
-	Whole   bool     `json:"whole,omitempty"`
-	Version string   `json:"modelVersion,omitempty"`
+	ID       string   `json:"id"`
+	Object   string   `json:"object"`
+	Created  int64    `json:"created"`
+	Model    string   `json:"model"`
+	Choices  []choice `json:"choices"`
+	Usage    *usage   `json:"usage,omitempty"`
+	Complete bool     `json:"whole,omitempty"`
+	Version  string   `json:"modelVersion,omitempty"`
 }
 
 type choice struct {
@@ -41,7 +42,7 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// textSink collects an answer.
+// textSink collects the text of a response.
 type textSink struct{ text strings.Builder }
 
 // Token implements dispatch.Sink.
@@ -50,22 +51,22 @@
 	return nil
 }
 
-// eventSink writes an answer as server-sent events. The header goes out with
-// the first token, so that a refusal before it still has its own status.
+// eventSink writes a response as server-sent events. The header is sent with the
+// first token, so that an earlier error still gets its own status.
 type eventSink struct {
 	h       *Callers
 	w       http.ResponseWriter
 	rc      *http.ResponseController
 	req     *dispatch.Request
-	form    form
+	format  format
 	started bool
 	created int64
 	buf     bytes.Buffer
 	enc     *json.Encoder
 }
 
-func newEventSink(h *Callers, w http.ResponseWriter, req *dispatch.Request, f form) *eventSink {
-	s := &eventSink{h: h, w: w, rc: http.NewResponseController(w), req: req, form: f, created: h.clock().Unix()}
+func newEventSink(h *Callers, w http.ResponseWriter, req *dispatch.Request, f format) *eventSink {
+	s := &eventSink{h: h, w: w, rc: http.NewResponseController(w), req: req, format: f, created: h.clock().Unix()}
 	s.enc = json.NewEncoder(&s.buf)
 	s.enc.SetEscapeHTML(false)
 	return s
@@ -99,7 +100,7 @@
 func (s *eventSink) chunk(text string, finish *string) *completion {
 	c := &completion{ID: s.req.ID, Object: "text_completion", Created: s.created, Model: s.req.Model}
 	ch := choice{FinishReason: finish}
-	if s.form == chatForm {
+	if s.format == chatFormat {
 		c.Object = "chat.completion.chunk"
 		ch.Delta = &delta{Content: text}
 	} else {
@@ -109,8 +110,8 @@
 	return c
 }
 
-// flush sends what is buffered. A caller that does not take it in time ends the
-// stream, so a slow reader never holds more than this buffer.
+// flush sends the buffered event. The stream ends if the caller does not read it
+// within WriteTimeout, so a slow reader holds at most one buffer.
 func (s *eventSink) flush() error {
 	writeDeadline(s.w, s.h.opts.WriteTimeout)
 	if _, err := s.w.Write(s.buf.Bytes()); err != nil {
@@ -122,19 +123,19 @@
 	return nil
 }
 
-// end writes the completion marker: only a whole answer has it.
+// end writes the completion marker, which only a complete response has.
 func (s *eventSink) end(out *dispatch.Outcome) {
 	s.start()
 	s.buf.Reset()
 	s.buf.WriteString("data: ")
 	c := s.chunk("", &out.FinishReason)
-	c.Whole, c.Usage, c.Version = true, &usage{CompletionTokens: out.Tokens}, out.Version
+	c.Complete, c.Usage, c.Version = true, &usage{CompletionTokens: out.Tokens}, out.Version
 	_ = s.enc.Encode(c)
 	s.buf.WriteString("\ndata: [DONE]\n\n")
 	_ = s.flush()
 }
 
-// fail says in the stream that the answer is broken and what is known.
+// fail ends the stream with an error event.
 func (s *eventSink) fail(err error) {
 	d, _ := detailOf(err)
 	s.buf.Reset()
@@ -144,8 +145,8 @@
 	_ = s.flush()
 }
 
-// stream runs a request and streams its answer.
-func (h *Callers) stream(w http.ResponseWriter, req *dispatch.Request, f form, run runFunc) {
+// serveStream runs a request and streams its response.
+func (h *Callers) serveStream(w http.ResponseWriter, req *dispatch.Request, f format, run runFunc) {
 	s := newEventSink(h, w, req, f)
 	out, err := run(s)
 	switch {
