--- a/apierror/kind.go
+++ b/apierror/kind.go
@@ -1,6 +1,6 @@
-// Package apierror holds the closed list of error kinds that a caller can
-// receive and the one table that maps a kind to its answer: the HTTP status,
-// whether the request ran, and whether the caller may send it again.
+// Package apierror defines the error kinds that a caller can receive and the
+// table that maps each kind to an HTTP status, whether the request ran, and
+// whether the caller may send it again.
 package apierror
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Kind names one entry of the closed list.
+// Kind identifies a kind of error.
 type Kind string
 
-// The closed list. Every kind has exactly one row in the table.
+// The error kinds. The list is closed: each kind has exactly one row in the table.
 const (
 	BadRequest         Kind = "bad_request"
 	BodyTooLarge       Kind = "body_too_large"
@@ -51,28 +51,28 @@
 // Ran says whether any part of the request was executed by a backend server.
 type Ran string
 
-// The three truthful statements about execution.
+// The values of Ran.
 const (
 	RanNo      Ran = "no"
 	RanYes     Ran = "yes"
 	RanUnknown Ran = "unknown"
 )
 
-// Answer is a row of the table.
+// Answer is the row of a kind in the table.
 type Answer struct {
 	Kind       Kind
 	Status     int           // HTTP status code
 	Ran        Ran           // whether the request ran
 	MayRetry   bool          // whether the caller may send the same request again
 	RetryAfter time.Duration // default Retry-After; zero for none
-	Meaning    string        // one sentence for people
+	Meaning    string        // human-readable description
 }
 
-// Error is an error that has a Kind and so an answer.
+// Error is an error with a Kind.
 type Error struct {
 	Kind       Kind
 	Detail     string
-	RetryAfter time.Duration // overrides the table when positive
+	RetryAfter time.Duration // overrides the value of the table when positive
 	Err        error
 }
 
@@ -86,7 +86,7 @@
 	return &Error{Kind: k, Detail: err.Error(), Err: err}
 }
 
-// WithRetryAfter returns a copy of e that tells the caller to come back after d.
+// WithRetryAfter returns a copy of e with a Retry-After of d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -99,7 +99,7 @@
 // Unwrap returns the wrapped error, if any.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Answer returns the table row of e, with the error's own Retry-After.
+// Answer returns the table row of e, with the Retry-After of e if it is positive.
 func (e *Error) Answer() Answer {
 	a := Lookup(e.Kind)
 	if e.RetryAfter > 0 {
@@ -108,7 +108,7 @@
 	return a
 }
 
-// From returns err as an *Error; an error without a kind becomes Internal.
+// From returns the *Error that err is or wraps; any other error becomes Internal.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -117,10 +117,10 @@
 	return Wrap(Internal, err)
 }
 
-// NotRun reports whether the error says that the request did not run.
+// NotRun reports whether the kind of e guarantees that the request did not run.
 func (e *Error) NotRun() bool { return Lookup(e.Kind).Ran == RanNo }
 
-// Is reports whether err carries kind k.
+// Is reports whether err is or wraps an *Error of kind k.
 func Is(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
--- a/apierror/table.go
+++ b/apierror/table.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// statusClientClosed is the customary status for a caller that went away; it is
-// only ever seen in logs and metrics.
+// statusClientClosed is the non-standard status for a connection that the client
+// closed. It appears only in logs and metrics.
 const statusClientClosed = 499
 
-// table is ordered as the list of kinds is; docs/ERRORS.md is printed from it.
+// table has the order of the kinds. docs/ERRORS.md is generated from it.
 var table = []Answer{
 	{BadRequest, http.StatusBadRequest, RanNo, false, 0, "the request could not be parsed or a field is invalid"},
 	{BodyTooLarge, http.StatusRequestEntityTooLarge, RanNo, false, 0, "the body exceeds the limit in the settings"},
@@ -55,7 +55,7 @@
 	return m
 }()
 
-// Lookup returns the row of k. A kind outside the list answers as Internal.
+// Lookup returns the row of k, or that of Internal if k is unknown.
 func Lookup(k Kind) Answer {
 	if a, ok := byKind[k]; ok {
 		return a
--- a/apierror/table_test.go
+++ b/apierror/table_test.go
@@ -11,12 +11,12 @@
 )
 
 func TestDocsMatchTable(t *testing.T) {
-	have, err := os.ReadFile("../docs/ERRORS.md")
+	got, err := os.ReadFile("../docs/ERRORS.md")
 	require.NoError(t, err)
-	require.Equal(t, Markdown(), string(have), "run: go run ./cmd/snowspoke errors > docs/ERRORS.md")
+	require.Equal(t, Markdown(), string(got), "run: go run ./cmd/snowspoke errors > docs/ERRORS.md")
 }
 
-// A caller may be told to retry only what surely did not run.
+// Only kinds that guarantee that the request did not run allow a retry.
 func TestRetryOnlyWhenNotRun(t *testing.T) {
 	for _, a := range All() {
 		if a.MayRetry {
--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,6 @@
-// Package client is a Go client of the callers' interface. It tells a whole
-// answer from a broken one and comes back to a broken stream with the ID of the
-// last event it saw.
+// Package client is a Go client of the callers' interface. It distinguishes
+// complete responses from truncated ones and resumes an interrupted stream with
+// the ID of the last event received.
 package client
 
 import (
@@ -27,20 +27,20 @@
 	MaxTokens  int
 	Stream     bool
 	Repeatable bool
-	Key        string // idempotency key, "" for none
+	Key        string // idempotency key; empty for none
 	Priority   int
-	Deadline   time.Duration // 0 for the daemon's default
+	Deadline   time.Duration // 0 for the default of the daemon
 	Labels     string        // key=value pairs, comma-separated
-	EventID    string        // of the last event seen, to resume a stream
+	EventID    string        // of the last event received, to resume a stream
 }
 
-// Reply is what came back.
+// Reply is a response and its timings.
 type Reply struct {
 	RequestID  string
 	Text       string
 	Whole      bool
 	Tokens     int
-	Kind       apierror.Kind // of the error, "" when whole
+	Kind       apierror.Kind // of the error; empty if the response is complete
 	Ran        apierror.Ran
 	RetryAfter time.Duration
 	EventID    string          // of the last token
@@ -49,14 +49,14 @@
 	Took       time.Duration
 }
 
-// Client talks to one address. It is safe for concurrent use.
+// Client sends requests to one base URL. It is safe for concurrent use.
 type Client struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// New returns a client of the callers' interface at base, such as
+// New returns a client of the callers' interface at a base URL such as
 // http://10.0.0.1:8080.
 func New(base, token string, hc *http.Client) *Client {
 	return &Client{base: base, token: token, http: hc}
@@ -69,10 +69,10 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Complete sends a request. An error means that the connection broke before an
-// explicit end; the reply then holds what had arrived.
+// Complete sends a completion request. It returns an error if the connection
+// fails before the response ends; the reply then holds the part received.
 func (c *Client) Complete(ctx context.Context, r Request) (Reply, error) {
-	began := time.Now()
+	start := time.Now()
 	data, err := json.Marshal(body{r.Model, r.Prompt, r.MaxTokens, r.Stream})
 	if err != nil {
 		return Reply{}, fmt.Errorf("client: %w", err)
@@ -87,8 +87,8 @@
 		return Reply{Ran: apierror.RanUnknown}, fmt.Errorf("client: %w", err)
 	}
 	defer resp.Body.Close()
-	reply, err := read(resp, r.Stream, began)
-	reply.Took = time.Since(began)
+	reply, err := read(resp, r.Stream, start)
+	reply.Took = time.Since(start)
 	return reply, err
 }
 
@@ -112,10 +112,10 @@
 	}
 }
 
-// answer is what this client reads of an answer or event.
-type answer struct {
-	Whole   bool `json:"whole"`
-	Choices []struct {
+// response holds the decoded fields of a response or event.
+type response struct {
+	Complete bool `json:"whole"`
+	Choices  []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 	Usage struct {
@@ -128,7 +128,8 @@
 	} `json:"error"`
 }
 
-func (r *Reply) take(a *answer) {
+// add merges a response or event into r.
+func (r *Reply) add(a *response) {
 	if a.Error != nil {
 		r.Kind, r.Ran = a.Error.Kind, a.Error.Ran
 		r.RetryAfter = time.Duration(a.Error.RetryAfter * float64(time.Second))
@@ -136,39 +137,39 @@
 	if len(a.Choices) > 0 {
 		r.Text += a.Choices[0].Text
 	}
-	if a.Whole {
+	if a.Complete {
 		r.Tokens = a.Usage.Tokens
 	}
 }
 
-func read(resp *http.Response, stream bool, began time.Time) (Reply, error) {
+func read(resp *http.Response, stream bool, start time.Time) (Reply, error) {
 	r := Reply{RequestID: resp.Header.Get(api.HeaderRequestID)}
 	if resp.StatusCode == http.StatusOK && stream {
-		return readStream(resp.Body, r, began)
+		return readStream(resp.Body, r, start)
 	}
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
 		r.Ran = apierror.RanUnknown
 		return r, fmt.Errorf("client: %w", err)
 	}
-	var a answer
+	var a response
 	if err := json.Unmarshal(data, &a); err != nil {
 		return r, fmt.Errorf("client: %w", err)
 	}
-	r.take(&a)
-	r.Whole = a.Whole
+	r.add(&a)
+	r.Whole = a.Complete
 	return r, nil
 }
 
-// errNoMarker says that a stream ended without its completion marker.
+// errNoMarker is returned for a stream that ends without its completion marker.
 var errNoMarker = errors.New("client: stream ended without its completion marker")
 
 // readStream reads events up to the completion marker or an error event.
-func readStream(body io.Reader, r Reply, began time.Time) (Reply, error) {
+func readStream(body io.Reader, r Reply, start time.Time) (Reply, error) {
 	r.Ran = apierror.RanUnknown
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, 1<<20)
-	last := began
+	last := start
 	id := ""
 	for sc.Scan() {
 		line := sc.Text()
@@ -184,61 +185,62 @@
 			r.Whole = true
 			return r, nil
 		}
-		var a answer
+		var a response
 		if err := json.Unmarshal([]byte(data), &a); err != nil {
 			return r, fmt.Errorf("client: %w", err)
 		}
-		r.take(&a)
+		r.add(&a)
 		if r.Kind != "" {
 			return r, nil
 		}
-		if a.Whole {
+		if a.Complete {
 			continue
 		}
 		r.EventID = id
-		last = r.note(began, last)
+		last = r.recordToken(start, last)
 	}
 	return r, errors.Join(errNoMarker, sc.Err())
 }
 
-// note records the time of a token.
-func (r *Reply) note(began, last time.Time) time.Time {
+// recordToken counts a token, records its delay and returns its time.
+func (r *Reply) recordToken(start, last time.Time) time.Time {
 	now := time.Now()
 	r.Tokens++
 	if r.First == 0 {
-		r.First = now.Sub(began)
+		r.First = now.Sub(start)
 		return now
 	}
 	r.Gaps = append(r.Gaps, now.Sub(last))
 	return now
 }
 
-// CompleteThrough sends a streamed request and, while its connection breaks,
-// comes back with the last event ID through the address that next returns. The
-// reply holds the whole text.
+// CompleteThrough sends a streaming request and resumes it from the last event ID
+// when the connection fails after an event, up to tries requests in total. Each
+// request goes through the client that next returns. The reply holds the text of
+// all of them.
 func CompleteThrough(ctx context.Context, next func() *Client, r Request, tries int) (Reply, error) {
-	var all Reply
-	began := time.Now()
+	var total Reply
+	start := time.Now()
 	for i := 0; ; i++ {
 		part, err := next().Complete(ctx, r)
-		part.Text = all.Text + part.Text
-		part.Gaps = append(all.Gaps, part.Gaps...)
-		if all.RequestID != "" {
-			part.RequestID, part.First = all.RequestID, all.First
+		part.Text = total.Text + part.Text
+		part.Gaps = append(total.Gaps, part.Gaps...)
+		if total.RequestID != "" {
+			part.RequestID, part.First = total.RequestID, total.First
 			if part.EventID == "" {
-				part.EventID = all.EventID
+				part.EventID = total.EventID
 			}
 		}
-		part.Took = time.Since(began)
-		all = part
-		if err == nil || i+1 >= tries || all.EventID == "" {
-			return all, err
+		part.Took = time.Since(start)
+		total = part
+		if err == nil || i+1 >= tries || total.EventID == "" {
+			return total, err
 		}
-		r.EventID = all.EventID
+		r.EventID = total.EventID
 	}
 }
 
-// Call sends a call of a plain service.
+// Call calls a plain service. key is an idempotency key; empty for none.
 func (c *Client) Call(ctx context.Context, method, service, path string, payload []byte, key string) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+"/services/"+service+path, bytes.NewReader(payload))
 	if err != nil {
@@ -265,10 +267,10 @@
 		r.Text = string(data)
 		return r, nil
 	}
-	var a answer
+	var a response
 	if err := json.Unmarshal(data, &a); err != nil {
 		return r, fmt.Errorf("client: %w", err)
 	}
-	r.take(&a)
+	r.add(&a)
 	return r, nil
 }
