--- a/cmd/snowspoke/fleet.go
+++ b/cmd/snowspoke/fleet.go
@@ -19,22 +19,23 @@
 	"github.com/snowspoke/snowspoke/store/httpstore"
 )
 
-// Errors that decide the exit code.
+// Errors that exitCode maps to exit codes.
 var (
-	errUsage      = errors.New("wrong usage")
-	errInvalid    = errors.New("invalid")
-	errUnknown    = errors.New("not known")
-	errDaemon     = errors.New("daemon does not answer")
-	errNotInForce = errors.New("not in force in time")
+	errUsage       = errors.New("wrong usage")
+	errInvalid     = errors.New("invalid")
+	errNotFound    = errors.New("not known")
+	errUnavailable = errors.New("daemon does not answer")
+	errNotInForce  = errors.New("not in force in time")
 )
 
-// Time-outs of calls to the platform and to daemons.
+// Timeouts of calls to the platform and to daemons.
 const (
 	dialTimeout = 2 * time.Second
 	callTimeout = 5 * time.Second
 )
 
-// httpClient returns a client that trusts the authority, if one is given.
+// httpClient returns an HTTP client that trusts the authority given by --ca, if
+// any.
 func (c *cli) httpClient() (*http.Client, error) {
 	var conf *tls.Config
 	if c.CA != "" {
@@ -60,7 +61,7 @@
 	return "http://"
 }
 
-// store returns the platform's store.
+// store returns a client of the platform's store.
 func (c *cli) store() (*httpstore.Client, error) {
 	if c.Platform == "" {
 		return nil, fmt.Errorf("%w: give --platform URL or set SNOWSPOKE_PLATFORM", errUsage)
@@ -72,8 +73,8 @@
 	return httpstore.New(c.Platform, hc), nil
 }
 
-// ask reads a JSON answer of one daemon's operators' interface.
-func (c *cli) ask(address, path string, out any) error {
+// getJSON decodes a JSON response of the operators' interface of one daemon.
+func (c *cli) getJSON(address, path string, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	hc, err := c.httpClient()
@@ -87,23 +88,23 @@
 	req.Header.Set("Authorization", "Bearer "+c.Token)
 	resp, err := hc.Do(req)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %v", errDaemon, address, err)
+		return fmt.Errorf("%w: %s: %v", errUnavailable, address, err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("%w: %s: %v", errDaemon, address, err)
+		return fmt.Errorf("%w: %s: %v", errUnavailable, address, err)
 	}
 	if resp.StatusCode == http.StatusNotFound {
-		return fmt.Errorf("%w: %s: %s", errUnknown, address, data)
+		return fmt.Errorf("%w: %s: %s", errNotFound, address, data)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("%w: %s: %s", errDaemon, address, data)
+		return fmt.Errorf("%w: %s: %s", errUnavailable, address, data)
 	}
 	return json.Unmarshal(data, out)
 }
 
-// anyStatus returns the status of the first daemon that answers.
+// anyStatus returns the status of the first given daemon that responds.
 func (c *cli) anyStatus() (*api.Status, error) {
 	if len(c.Daemon) == 0 {
 		return nil, fmt.Errorf("%w: give --daemon IP:PORT or set SNOWSPOKE_DAEMONS", errUsage)
@@ -111,7 +112,7 @@
 	var errs []error
 	for _, d := range c.Daemon {
 		var s api.Status
-		err := c.ask(d, "/v1/status", &s)
+		err := c.getJSON(d, "/v1/status", &s)
 		if err == nil {
 			return &s, nil
 		}
@@ -120,8 +121,9 @@
 	return nil, errors.Join(errs...)
 }
 
-// fleet returns the operators' addresses of all daemons that are alive, by name.
-func (c *cli) fleet() (map[string]string, error) {
+// daemonAddresses returns the operators' addresses of all alive or suspect daemons
+// by name.
+func (c *cli) daemonAddresses() (map[string]string, error) {
 	s, err := c.anyStatus()
 	if err != nil {
 		return nil, err
@@ -135,15 +137,15 @@
 	return out, nil
 }
 
-// show prints a value as JSON, or by fn as a table.
-func (c *cli) show(v any, fn func(w io.Writer)) error {
+// print writes v as JSON, or as a table by writeTable.
+func (c *cli) print(v any, writeTable func(w io.Writer)) error {
 	if c.Output == "json" {
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
 		return enc.Encode(v)
 	}
 	tw := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fn(tw)
+	writeTable(tw)
 	return tw.Flush()
 }
 
--- a/cmd/snowspoke/inspect.go
+++ b/cmd/snowspoke/inspect.go
@@ -15,16 +15,16 @@
 	Each bool `help:"Ask every daemon and show what each has in force and carries."`
 }
 
-// Run shows one daemon's view of the fleet, or how each daemon is.
+// Run prints the fleet as known to one daemon, or the status of each daemon.
 func (k *statusCmd) Run(c *cli) error {
 	if k.Each {
-		return c.showEach()
+		return c.printEach()
 	}
 	s, err := c.anyStatus()
 	if err != nil {
 		return err
 	}
-	return c.show(s, func(w io.Writer) {
+	return c.print(s, func(w io.Writer) {
 		fmt.Fprintf(w, "as seen by %s, configuration %d/%s\n\n", s.Daemon, s.Revision, s.Digest)
 		fmt.Fprintln(w, "DAEMON\tDOMAIN\tSTATE\tOPERATORS")
 		for _, p := range s.Peers {
@@ -41,22 +41,22 @@
 	})
 }
 
-// showEach asks every daemon for its own status.
-func (c *cli) showEach() error {
-	fleet, err := c.fleet()
+// printEach prints the status of every daemon.
+func (c *cli) printEach() error {
+	addresses, err := c.daemonAddresses()
 	if err != nil {
 		return err
 	}
 	var all []api.Status
-	for _, address := range fleet {
+	for _, address := range addresses {
 		var s api.Status
-		if err := c.ask(address, "/v1/status", &s); err != nil {
+		if err := c.getJSON(address, "/v1/status", &s); err != nil {
 			return err
 		}
 		all = append(all, s)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Daemon < all[j].Daemon })
-	return c.show(all, func(w io.Writer) {
+	return c.print(all, func(w io.Writer) {
 		fmt.Fprintln(w, "DAEMON\tDOMAIN\tREADY\tCONFIGURATION\tRUNNING\tWAITING\tVIOLATIONS")
 		for _, s := range all {
 			fmt.Fprintf(w, "%s\t%s\t%v\t%d/%s\t%d\t%d\t%d\n", s.Daemon, s.FailureDomain, s.Ready, s.Revision, s.Digest, s.Running, s.Waiting, s.Violations)
@@ -74,11 +74,12 @@
 func writeModels(w io.Writer, models []api.ModelStatus) {
 	fmt.Fprintln(w, "\nMODEL\tVERSION\tBOUND TOKENS/S\tLIMITED BY")
 	for _, m := range models {
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%s\n", m.Model, m.Version, m.Bound, cutText(&m))
+		fmt.Fprintf(w, "%s\t%s\t%.0f\t%s\n", m.Model, m.Version, m.Bound, formatCut(&m))
 	}
 }
 
-func cutText(m *api.ModelStatus) string {
+// formatCut returns the servers and links that limit a model.
+func formatCut(m *api.ModelStatus) string {
 	if m.Bound == 0 {
 		return "no route holds all layers"
 	}
@@ -100,7 +101,7 @@
 	Model string `arg:"" optional:"" help:"Model; all when left out."`
 }
 
-// Run shows the bound of a model and the cut that limits it.
+// Run prints the bound of a model and the cut that limits it.
 func (b *boundCmd) Run(c *cli) error {
 	s, err := c.anyStatus()
 	if err != nil {
@@ -113,35 +114,35 @@
 		}
 	}
 	if len(models) == 0 {
-		return fmt.Errorf("%w: model %q", errUnknown, b.Model)
+		return fmt.Errorf("%w: model %q", errNotFound, b.Model)
 	}
-	return c.show(models, func(w io.Writer) { writeModels(w, models) })
+	return c.print(models, func(w io.Writer) { writeModels(w, models) })
 }
 
 type explainCmd struct {
 	ID string `arg:"" help:"Request ID, or name of a backend server or model."`
 }
 
-// Run shows the decisions about something from every daemon that knows it.
+// Run prints the decisions about an ID from every daemon that has any.
 func (e *explainCmd) Run(c *cli) error {
-	fleet, err := c.fleet()
+	addresses, err := c.daemonAddresses()
 	if err != nil {
 		return err
 	}
 	var all []decision.Record
-	for _, address := range fleet {
+	for _, address := range addresses {
 		var part []decision.Record
-		err := c.ask(address, "/v1/explain/"+escape(e.ID), &part)
-		if err != nil && !errors.Is(err, errUnknown) {
+		err := c.getJSON(address, "/v1/explain/"+escape(e.ID), &part)
+		if err != nil && !errors.Is(err, errNotFound) {
 			return err
 		}
 		all = append(all, part...)
 	}
 	if len(all) == 0 {
-		return fmt.Errorf("%w: no daemon remembers a decision about %q", errUnknown, e.ID)
+		return fmt.Errorf("%w: no daemon remembers a decision about %q", errNotFound, e.ID)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Time.Before(all[j].Time) })
-	return c.show(all, func(w io.Writer) {
+	return c.print(all, func(w io.Writer) {
 		fmt.Fprintln(w, "TIME\tKIND\tATTEMPT\tSUBJECT\tCHOSEN\tREASON\tREJECTED\tBOUND\tLOAD")
 		for _, r := range all {
 			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%.0f\t%.1f\n",
--- a/cmd/snowspoke/load.go
+++ b/cmd/snowspoke/load.go
@@ -24,22 +24,22 @@
 	Plot        string        `help:"PNG file for a plot of the timeline." type:"path"`
 }
 
-// loadGrace is how long requests may run on after the last was sent.
-const loadGrace = 30 * time.Second
+// loadDrainTimeout bounds how long requests run on after the last was sent.
+const loadDrainTimeout = 30 * time.Second
 
-// loadConns is the number of idle connections kept to each daemon.
-const loadConns = 512
+// loadIdleConns is the maximum number of idle connections to each daemon.
+const loadIdleConns = 512
 
-// Run sends the load.
+// Run sends the load and prints its results.
 func (l *loadCmd) Run(c *cli) error {
-	hc := network.Client(network.NewSystem(dialTimeout), loadConns)
+	hc := network.Client(network.NewSystem(dialTimeout), loadIdleConns)
 	var clients []*client.Client
 	for _, u := range l.URL {
 		clients = append(clients, client.New(u, l.CallerToken, hc))
 	}
 	r := load.Run(context.Background(), load.Spec{
 		Rate: l.Rate, Length: l.Length, Model: l.Model, Tokens: l.Tokens, Deadline: l.Deadline,
-		Priority: l.Priority, Seed: l.Seed, Timeout: loadGrace,
+		Priority: l.Priority, Seed: l.Seed, Timeout: loadDrainTimeout,
 	}, clients)
 	if l.Plot != "" {
 		if err := r.WritePlot(l.Plot); err != nil {
--- a/cmd/snowspoke/main.go
+++ b/cmd/snowspoke/main.go
@@ -1,4 +1,4 @@
-// Command snowspoke is the operators' command line.
+// Command snowspoke is the command line for operators.
 package main
 
 import (
@@ -64,7 +64,7 @@
 	var c cli
 	parser, err := kong.New(&c, kong.Name("snowspoke"), kong.Description(description), kong.Bind(&c))
 	if err != nil {
-		panic(err) // the command line is described wrongly
+		panic(err) // the command-line definition is invalid
 	}
 	k, err := parser.Parse(os.Args[1:])
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// exitCode maps an error to the code that scripts see.
+// exitCode maps an error to an exit code.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, errUsage), errors.Is(err, edit.ErrNoField):
@@ -87,9 +87,9 @@
 		return exitInvalid
 	case errors.Is(err, edit.ErrRaced), errors.Is(err, store.ErrConflict):
 		return exitConflict
-	case errors.Is(err, store.ErrNotFound), errors.Is(err, errUnknown):
+	case errors.Is(err, store.ErrNotFound), errors.Is(err, errNotFound):
 		return exitNotFound
-	case errors.Is(err, store.ErrUnavailable), errors.Is(err, errDaemon):
+	case errors.Is(err, store.ErrUnavailable), errors.Is(err, errUnavailable):
 		return exitUnavailable
 	case errors.Is(err, errNotInForce), errors.Is(err, context.DeadlineExceeded):
 		return exitTimeout
@@ -99,7 +99,7 @@
 
 type capacityCmd struct{}
 
-// Run prints the page.
+// Run prints the capacity page.
 func (capacityCmd) Run() error {
 	fmt.Print(capacity.Markdown())
 	return nil
@@ -107,7 +107,7 @@
 
 type errorsCmd struct{}
 
-// Run prints the table.
+// Run prints the table of errors.
 func (errorsCmd) Run() error {
 	fmt.Print(apierror.Markdown())
 	return nil
--- a/cmd/snowspoke/objects.go
+++ b/cmd/snowspoke/objects.go
@@ -19,8 +19,8 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// kindOf accepts a kind in any case.
-func kindOf(text string) (topology.Kind, error) {
+// parseKind parses a kind, ignoring case.
+func parseKind(text string) (topology.Kind, error) {
 	for _, k := range topology.ConfigKinds {
 		if strings.EqualFold(string(k), text) {
 			return k, nil
@@ -34,9 +34,9 @@
 	Name string `arg:"" optional:"" help:"Name; all objects of the kind when left out."`
 }
 
-// Run shows objects.
+// Run prints objects.
 func (g *getCmd) Run(c *cli) error {
-	kind, err := kindOf(g.Kind)
+	kind, err := parseKind(g.Kind)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 		return err
 	}
 	sort.Slice(objects, func(i, j int) bool { return objects[i].Name < objects[j].Name })
-	return c.show(shown(objects), func(w io.Writer) {
+	return c.print(viewsOf(objects), func(w io.Writer) {
 		fmt.Fprintln(w, "NAME\tVERSION\tSPEC")
 		for _, o := range objects {
 			fmt.Fprintf(w, "%s\t%d\t%s\n", o.Name, o.Version, o.Spec)
@@ -64,18 +64,18 @@
 	})
 }
 
-// shownObject is an object whose spec is shown as the JSON that it is.
-type shownObject struct {
+// objectView is an object whose spec is printed as raw JSON.
+type objectView struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
 	Version store.Position  `json:"version"`
 	Spec    json.RawMessage `json:"spec"`
 }
 
-func shown(objects []store.Object) []shownObject {
-	out := make([]shownObject, len(objects))
+func viewsOf(objects []store.Object) []objectView {
+	out := make([]objectView, len(objects))
 	for i, o := range objects {
-		out[i] = shownObject{o.Kind, o.Name, o.Version, o.Spec}
+		out[i] = objectView{o.Kind, o.Name, o.Version, o.Spec}
 	}
 	return out
 }
@@ -86,7 +86,7 @@
 	Label string `arg:"" help:"KEY=VALUE to set, KEY- to remove."`
 }
 
-// Run edits one label.
+// Run sets or removes one label.
 func (l *labelCmd) Run(c *cli) error {
 	key, value, set := strings.Cut(l.Label, "=")
 	if !set {
@@ -105,7 +105,7 @@
 	Value string `arg:"" help:"Selector in the Kubernetes syntax, such as 'team=night,accelerator in (h100,a100)'; '' selects everything."`
 }
 
-// Run edits one selector.
+// Run sets one selector.
 func (s *selectorCmd) Run(c *cli) error {
 	return c.edit(s.Kind, s.Name, edit.Selector{Name: s.Field}, s.Value)
 }
@@ -124,8 +124,9 @@
 	return c.edit(string(topology.KindBackendServer), d.Name, edit.Label{Key: topology.LabelDrain}, value)
 }
 
+// edit sets one field of an object and prints the result.
 func (c *cli) edit(kindText, name string, f edit.Field, value string) error {
-	kind, err := kindOf(kindText)
+	kind, err := parseKind(kindText)
 	if err != nil {
 		return err
 	}
@@ -137,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	return c.show(r, func(w io.Writer) {
+	return c.print(r, func(w io.Writer) {
 		fmt.Fprintf(w, "%s %s: version %d, %q -> %q\n", kind, name, r.Version, r.Before, r.After)
 	})
 }
@@ -148,12 +149,12 @@
 	Timeout time.Duration `help:"How long to wait." default:"10s"`
 }
 
-// waitPause is the time between two looks at the daemons.
-const waitPause = 200 * time.Millisecond
+// waitInterval is the interval at which wait polls the daemons.
+const waitInterval = 200 * time.Millisecond
 
-// Run waits until all daemons have the object's newest version in force.
+// Run waits until the newest version of an object is in force on all daemons.
 func (w *waitCmd) Run(c *cli) error {
-	kind, err := kindOf(w.Kind)
+	kind, err := parseKind(w.Kind)
 	if err != nil {
 		return err
 	}
@@ -178,20 +179,21 @@
 		if time.Now().After(deadline) {
 			return fmt.Errorf("%w: version %d of %s %s: %s", errNotInForce, o.Version, kind, w.Name, strings.Join(lagging, "; "))
 		}
-		time.Sleep(waitPause)
+		time.Sleep(waitInterval)
 	}
 }
 
-// lagging returns the daemons that do not have a version in force, and why.
+// lagging returns the daemons that do not yet have a version in force, each with
+// the reason. It fails if a daemon has rejected the version.
 func (c *cli) lagging(kind topology.Kind, name string, version store.Position) ([]string, error) {
-	fleet, err := c.fleet()
+	addresses, err := c.daemonAddresses()
 	if err != nil {
 		return nil, err
 	}
 	var out []string
-	for daemon, address := range fleet {
+	for daemon, address := range addresses {
 		var v catalog.Verdict
-		err := c.ask(address, "/v1/verdict/"+escape(string(kind))+"/"+escape(name), &v)
+		err := c.getJSON(address, "/v1/verdict/"+escape(string(kind))+"/"+escape(name), &v)
 		switch {
 		case err != nil:
 			out = append(out, daemon+": "+err.Error())
@@ -209,17 +211,17 @@
 	Files []string `arg:"" type:"existingfile" help:"INI files with settings, or JSON files with objects: {\"kind\":..., \"name\":..., \"spec\":{...}}."`
 }
 
-// Run checks files and reports every fault at once.
+// Run checks files and reports all errors at once.
 func (k *checkCmd) Run() error {
-	var faults []error
+	var errs []error
 	for _, file := range k.Files {
 		if err := checkFile(file); err != nil {
-			faults = append(faults, fmt.Errorf("%w: %s: %w", errInvalid, file, err))
+			errs = append(errs, fmt.Errorf("%w: %s: %w", errInvalid, file, err))
 			continue
 		}
 		fmt.Printf("%s: fine\n", file)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func checkFile(file string) error {
@@ -239,7 +241,7 @@
 	if err := json.Unmarshal(data, &o); err != nil {
 		return err
 	}
-	kind, err := kindOf(o.Kind)
+	kind, err := parseKind(o.Kind)
 	if err != nil {
 		return err
 	}
--- a/cmd/snowspoke/predictions.go
+++ b/cmd/snowspoke/predictions.go
@@ -13,7 +13,7 @@
 	Period time.Duration `help:"Length of the periods that are told apart." default:"5s"`
 }
 
-// Run compares the first events that a log predicts with those that it measured.
+// Run compares the predicted times to the first event in a log with the measured ones.
 func (c *predictionsCmd) Run() error {
 	defer c.Log.Close()
 	if c.Period <= 0 {
--- a/cmd/snowspoke/quarantine.go
+++ b/cmd/snowspoke/quarantine.go
@@ -19,7 +19,7 @@
 	Lift    string `help:"Fingerprint of a request that is to be sent again; only on the daemon's own VM." placeholder:"FINGERPRINT"`
 }
 
-// Run lists the requests that are held back, or lifts that for one.
+// Run lists the quarantined requests, or lifts the quarantine of one.
 func (k *quarantineCmd) Run(c *cli) error {
 	url := "http://" + k.Metrics + gateway.QuarantinePath
 	if k.Lift != "" {
@@ -30,20 +30,23 @@
 	if err != nil {
 		return err
 	}
-	var held []gateway.HeldBack
-	if err := json.Unmarshal(data, &held); err != nil {
+	var quarantined []gateway.HeldBack
+	if err := json.Unmarshal(data, &quarantined); err != nil {
 		return fmt.Errorf("answer of %s: %w", k.Metrics, err)
 	}
-	return c.show(held, func(w io.Writer) {
+	return c.print(quarantined, func(w io.Writer) {
 		fmt.Fprintln(w, "FINGERPRINT\tENDS\tSCORE\tLAST END\tUNTIL")
-		for _, h := range held {
+		for _, h := range quarantined {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", h.Fingerprint, h.Ends, h.Score, h.LastEnd.Format(time.RFC3339), h.Until.Format(time.RFC3339))
 		}
 	})
 }
 
+// errRefused is returned for an HTTP error status of a daemon.
 var errRefused = errors.New("the daemon refused")
 
+// operatorCall sends a request to the metrics address of a daemon and returns the
+// response body.
 func operatorCall(method, url string) ([]byte, error) {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
--- a/cmd/snowspoke/try.go
+++ b/cmd/snowspoke/try.go
@@ -14,7 +14,7 @@
 	"github.com/snowspoke/snowspoke/trial"
 )
 
-// onceTimeout bounds a run of try --once.
+// onceTimeout bounds the run of try --once.
 const onceTimeout = 28 * time.Second
 
 type tryCmd struct {
@@ -26,27 +26,27 @@
 	Log      string `help:"File for the daemons' logs; - for standard error." default:""`
 }
 
-// errBroken says that a promise did not hold.
-var errBroken = errors.New("a promise did not hold")
+// errViolated is returned when a run violates an invariant.
+var errViolated = errors.New("a promise did not hold")
 
-// Run tries the system out.
+// Run starts a fleet with simulated backend servers on loopback.
 func (t *tryCmd) Run() error {
 	logs, err := t.logs()
 	if err != nil {
 		return err
 	}
 	if t.Site {
-		return t.site(logs)
+		return t.runSite(logs)
 	}
 	w, err := trial.NewWorld(t.Daemons, trial.Loopback, logging.New(logs, "info"))
 	if err != nil {
 		return err
 	}
 	if t.Once {
-		return t.once(w)
+		return t.runOnce(w)
 	}
 	defer w.Close()
-	t.greet(w)
+	t.printAddresses(w)
 	if t.Settings != "" {
 		if err := w.WriteSettings(t.Settings); err != nil {
 			return err
@@ -58,6 +58,7 @@
 	return nil
 }
 
+// logs returns the writer for the logs of the daemons.
 func (t *tryCmd) logs() (io.Writer, error) {
 	switch t.Log {
 	case "":
@@ -68,7 +69,8 @@
 	return os.Create(t.Log)
 }
 
-func (t *tryCmd) greet(w *trial.World) {
+// printAddresses prints the addresses of the fleet and a sample command.
+func (t *tryCmd) printAddresses(w *trial.World) {
 	for _, p := range w.Daemons {
 		fmt.Printf("%s: callers %s operators %s\n", p.Name, p.CallersURL(), p.OperatorsURL())
 	}
@@ -78,8 +80,8 @@
 	fmt.Println("\nend with Ctrl-C")
 }
 
-// site is --once on the users' platform.
-func (t *tryCmd) site(logs io.Writer) error {
+// runSite runs --once with daemons of the users' platform.
+func (t *tryCmd) runSite(logs io.Writer) error {
 	if !t.Once {
 		return errors.New("--site goes with --once")
 	}
@@ -94,12 +96,13 @@
 	}
 	fmt.Println("try:", summary)
 	if len(problems) > 0 {
-		return errBroken
+		return errViolated
 	}
 	return nil
 }
 
-func (t *tryCmd) once(w *trial.World) error {
+// runOnce sends a fixed load to the fleet, stops it and prints a report.
+func (t *tryCmd) runOnce(w *trial.World) error {
 	ctx, cancel := context.WithTimeout(context.Background(), onceTimeout)
 	defer cancel()
 	report := trial.Once(ctx, w, t.Faults, func(s string) { fmt.Println("try:", s) })
@@ -109,7 +112,7 @@
 	w.Close()
 	fmt.Println(report)
 	if !report.OK() {
-		return errBroken
+		return errViolated
 	}
 	return nil
 }
--- a/cmd/snowspoked/main.go
+++ b/cmd/snowspoked/main.go
@@ -25,11 +25,11 @@
 	exitSettings = 2
 )
 
-// dialTimeout bounds the making of a connection.
+// dialTimeout bounds the time to establish a connection.
 const dialTimeout = time.Second
 
-// gcPercent suits small VMs: an open request then holds 58 KB resident instead of
-// 69 KB at the default of 100.
+// gcPercent is the GC target percentage unless GOGC is set. It trades processor
+// time for memory, which is scarce on small VMs.
 const gcPercent = 50
 
 type flags struct {
@@ -37,14 +37,14 @@
 	Platform platformCmd `cmd:"" help:"Serve on the users' platform, which hands the settings to the process."`
 }
 
-// serveCmd runs the daemon before our own interfaces.
+// serveCmd runs the daemon with snowspoke's own HTTP interfaces.
 type serveCmd struct {
 	Settings string `help:"INI file with the settings." default:"/etc/snowspoke/snowspoked.ini" type:"path"`
 	Check    bool   `help:"Check the settings and exit: 0 if they are fine, 2 if not."`
 	Sample   bool   `help:"Print every setting with its meaning and default, and exit."`
 }
 
-// settingsError is an error of the settings; it has its own exit code.
+// settingsError marks an error in the settings, which has its own exit code.
 type settingsError struct{ error }
 
 func main() {
--- a/cmd/snowspoked/platform.go
+++ b/cmd/snowspoked/platform.go
@@ -18,8 +18,8 @@
 	MetricsPort int `help:"Port on which metrics are served, 0 for none." default:"0"`
 }
 
-// platformGCPercent trades a little memory, which is cheap there, for processor
-// time, which is dear.
+// platformGCPercent is the GC target percentage on the platform. It trades memory
+// for processor time, which is more expensive there.
 const platformGCPercent = 200
 
 // Run implements the command.
