--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the settings of a daemon from an INI file and checks
-// every field. Each fault names its section and key and says what to write.
+// Package config reads the settings of a daemon from an INI file and validates
+// them. Each error names the section and key and the accepted values.
 package config
 
 import (
@@ -28,7 +28,7 @@
 	Log      Log
 }
 
-// Daemon says who and where the daemon is.
+// Daemon identifies the daemon and its location.
 type Daemon struct {
 	Name          string
 	FailureDomain string
@@ -42,87 +42,87 @@
 	Peers     string
 }
 
-// Platform says where the platform's service is.
+// Platform holds the URL of the platform's service and how often it is read.
 type Platform struct {
 	URL    string
-	VMPoll time.Duration // between two reads of the VM list
-	Resync time.Duration // between two full reads of the configuration
+	VMPoll time.Duration // interval between reads of the VM list
+	Resync time.Duration // interval between full reads of the configuration
 }
 
-// Limits bounds what one caller can cost.
+// Limits bounds the resources that callers can use.
 type Limits struct {
 	BodyBytes       int64
 	HeaderBytes     int
 	HeaderTimeout   time.Duration // to read the request header
 	BodyTimeout     time.Duration // to read the request body
 	WriteTimeout    time.Duration // for a caller to take one event
-	DefaultDeadline time.Duration // of a request that names none
-	MaxDeadline     time.Duration // longest that a caller may ask for
-	Connections     int           // callers' connections at once
-	Streams         int           // requests in flight at once
-	QueueLength     int           // waiting requests a model, unless the model says otherwise
-	RetryRatio      float64       // retries a successful request earns
+	DefaultDeadline time.Duration // of a request that sets none
+	MaxDeadline     time.Duration // longest deadline that a caller may set
+	Connections     int           // maximum number of callers' connections
+	Streams         int           // maximum number of requests in flight
+	QueueLength     int           // waiting requests per model, unless the model sets its own limit
+	RetryRatio      float64       // retries allowed per successful request
 }
 
-// Stop says how the daemon stops.
+// Stop configures the graceful stop.
 type Stop struct {
-	BalancerDelay time.Duration // between failing readiness and refusing work
+	BalancerDelay time.Duration // between failing readiness and refusing new requests
 	DrainTimeout  time.Duration // for requests in flight to finish
 }
 
-// Health bounds the detection of failed stages.
+// Health configures the detection of failed stages.
 type Health struct {
-	StatusPoll time.Duration // between two status reads of a backend server
-	GapFloor   time.Duration // least time without a token before a stage is given up
-	GapCeiling time.Duration // most, and the bound before anything is learnt
-	FirstToken time.Duration // most time to the first token
+	StatusPoll time.Duration // interval between status reads of a backend server
+	GapFloor   time.Duration // shortest time without a token after which a stage counts as failed
+	GapCeiling time.Duration // longest such time; also used until gaps have been measured
+	FirstToken time.Duration // maximum time to the first token
 }
 
-// Security holds keys, certificates and the operators' token hash.
+// Security holds key and certificate files and the hash of the operators' token.
 type Security struct {
 	FleetKeyFile      string // 32 bytes in hex; seals event IDs, the same on every daemon
-	OperatorTokenHash string // hex SHA-256; empty allows anybody on the operators' listener
+	OperatorTokenHash string // hex SHA-256; empty disables authorization for operators
 	CertFile          string
 	KeyFile           string
-	CAFile            string // authority of daemons, for mutual TLS between them
-	BackendTLS        bool   // use https towards backend servers
+	CAFile            string // certificate authority for mutual TLS between daemons
+	BackendTLS        bool   // use HTTPS for backend servers
 }
 
-// Peers says how daemons find and watch each other.
+// Peers configures discovery and failure detection among daemons.
 type Peers struct {
 	Seeds     []string // IP:port of other daemons' peer listeners
 	Heartbeat time.Duration
-	Suspect   time.Duration // silence before suspicion
-	Dead      time.Duration // silence before death
-	Degree    int           // links that a daemon opens
-	Watchers  int           // daemons of a failure domain that watch the store
+	Suspect   time.Duration // time without contact until a daemon is suspect
+	Dead      time.Duration // time without contact until a daemon is dead
+	Degree    int           // number of links that a daemon opens
+	Watchers  int           // number of daemons per failure domain that watch the store
 }
 
-// Claims says how idempotency keys are kept.
+// Claims configures the retention of idempotency keys.
 type Claims struct {
 	Shards    int
-	Retention time.Duration // keys older than this are refused
-	Skew      time.Duration // how far in the future a key may be
-	KeepBytes int64         // memory for kept answers
+	Retention time.Duration // maximum age of a key
+	Skew      time.Duration // maximum time by which a key may lie in the future
+	KeepBytes int64         // memory for retained responses
 }
 
-// Placement says how weights are placed.
+// Placement configures the placement of weights.
 type Placement struct {
 	Enabled      bool
-	Period       time.Duration // between two decisions
-	LeaseTTL     time.Duration // period of the lease that one daemon holds
-	OrderTimeout time.Duration // of one order to an engine
-	OrderExpiry  time.Duration // after which an order without effect is given again
-	BudgetBytes  int64         // under way from the weight store at once
+	Period       time.Duration // interval between placement decisions
+	LeaseTTL     time.Duration // duration of the placement lease
+	OrderTimeout time.Duration // of one placement order to an engine
+	OrderExpiry  time.Duration // time after which an order without effect is repeated
+	BudgetBytes  int64         // maximum bytes being loaded from the weight store
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
 	Level     string // debug, info, warn or error
-	Decisions int    // decisions remembered for explain
+	Decisions int    // number of decisions retained for explain
 }
 
-// Default returns the settings that a file may leave out.
+// Default returns the defaults of all settings.
 func Default() Config {
 	return Config{
 		Platform: Platform{VMPoll: 2 * time.Second, Resync: 5 * time.Minute},
@@ -149,7 +149,7 @@
 	}
 }
 
-// Load reads and checks a file. All faults are reported at once, joined.
+// Load reads and validates a file. All errors are returned joined.
 func Load(path string) (Config, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -158,7 +158,7 @@
 	return Parse(data)
 }
 
-// Parse reads and checks settings.
+// Parse parses and validates settings. All errors are returned joined.
 func Parse(data []byte) (Config, error) {
 	c := Default()
 	f, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: false, IgnoreInlineComment: true, AllowShadows: true}, data)
@@ -169,67 +169,69 @@
 	for _, s := range fields(&c) {
 		r.read(s)
 	}
-	r.unknown()
-	faults := append(r.faults, c.check()...)
-	if len(faults) > 0 {
-		return c, errors.Join(faults...)
+	r.checkUnknown()
+	errs := append(r.errs, c.validate()...)
+	if len(errs) > 0 {
+		return c, errors.Join(errs...)
 	}
 	return c, nil
 }
 
-func fault(section, key, format string, args ...any) error {
+// keyError returns an error about the value of a key.
+func keyError(section, key, format string, args ...any) error {
 	return fmt.Errorf("settings: [%s] %s: %s", section, key, fmt.Sprintf(format, args...))
 }
 
-// check tests what depends on more than the form of one value.
-func (c *Config) check() []error {
-	var f []error
+// validate checks required values, addresses and relations between values.
+func (c *Config) validate() []error {
+	var errs []error
 	missing := func(section, key, value, want string) {
 		if value == "" {
-			f = append(f, fault(section, key, "missing, %s", want))
+			errs = append(errs, keyError(section, key, "missing, %s", want))
 		}
 	}
 	missing("daemon", "name", c.Daemon.Name, "give this daemon a name of its own")
 	missing("daemon", "failure_domain", c.Daemon.FailureDomain, "name the failure domain of this VM")
 	missing("platform", "url", c.Platform.URL, "write the URL of the platform's service")
-	f = append(f, checkListen("callers", c.Listen.Callers)...)
-	f = append(f, checkListen("operators", c.Listen.Operators)...)
-	f = append(f, checkListen("peers", c.Listen.Peers)...)
+	errs = append(errs, validateListen("callers", c.Listen.Callers)...)
+	errs = append(errs, validateListen("operators", c.Listen.Operators)...)
+	errs = append(errs, validateListen("peers", c.Listen.Peers)...)
 	if c.Platform.URL != "" {
 		if u, err := url.Parse(c.Platform.URL); err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-			f = append(f, fault("platform", "url", "%q, write http://HOST:PORT or https://HOST:PORT", c.Platform.URL))
+			errs = append(errs, keyError("platform", "url", "%q, write http://HOST:PORT or https://HOST:PORT", c.Platform.URL))
 		}
 	}
-	return append(f, c.checkRelations()...)
+	return append(errs, c.validateRelations()...)
 }
 
-func (c *Config) checkRelations() []error {
-	var f []error
+// validateRelations checks values that depend on each other.
+func (c *Config) validateRelations() []error {
+	var errs []error
 	if c.Health.GapFloor > c.Health.GapCeiling {
-		f = append(f, fault("health", "gap_floor", "%s, write at most gap_ceiling (%s)", c.Health.GapFloor, c.Health.GapCeiling))
+		errs = append(errs, keyError("health", "gap_floor", "%s, write at most gap_ceiling (%s)", c.Health.GapFloor, c.Health.GapCeiling))
 	}
 	if c.Limits.DefaultDeadline > c.Limits.MaxDeadline {
-		f = append(f, fault("limits", "default_deadline", "%s, write at most max_deadline (%s)", c.Limits.DefaultDeadline, c.Limits.MaxDeadline))
+		errs = append(errs, keyError("limits", "default_deadline", "%s, write at most max_deadline (%s)", c.Limits.DefaultDeadline, c.Limits.MaxDeadline))
 	}
 	if c.Peers.Suspect >= c.Peers.Dead {
-		f = append(f, fault("peers", "suspect", "%s, write less than dead (%s)", c.Peers.Suspect, c.Peers.Dead))
+		errs = append(errs, keyError("peers", "suspect", "%s, write less than dead (%s)", c.Peers.Suspect, c.Peers.Dead))
 	}
 	if (c.Security.CertFile == "") != (c.Security.KeyFile == "") {
-		f = append(f, fault("security", "cert_file", "set cert_file and key_file together"))
+		errs = append(errs, keyError("security", "cert_file", "set cert_file and key_file together"))
 	}
 	if !validLevel(c.Log.Level) {
-		f = append(f, fault("log", "level", "%q, write debug, info, warn or error", c.Log.Level))
+		errs = append(errs, keyError("log", "level", "%q, write debug, info, warn or error", c.Log.Level))
 	}
-	return f
+	return errs
 }
 
-func checkListen(key, address string) []error {
+func validateListen(key, address string) []error {
 	if address == "" {
-		return []error{fault("listen", key, "missing, write IP:PORT")}
+		return []error{keyError("listen", key, "missing, write IP:PORT")}
 	}
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
-		return []error{fault("listen", key, "%q, write IP:PORT with an IP number", address)}
+		return []error{keyError("listen", key, "%q, write IP:PORT with an IP number", address)}
 	}
 	return nil
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, Default().Limits, c.Limits)
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestParseErrorsNameSectionAndKey(t *testing.T) {
 	cases := []struct{ add, want string }{
 		{"[limits]\nbody_bytes = many\n", "[limits] body_bytes: \"many\", write a whole number"},
 		{"[limits]\nheader_timeout = 5\n", "[limits] header_timeout: \"5\", write a duration"},
@@ -48,14 +48,14 @@
 	}
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	_, err := Parse([]byte("[listen]\ncallers = localhost:80\n[platform]\nurl = ftp://x\n"))
 	for _, want := range []string{"[daemon] name", "[daemon] failure_domain", "[listen] callers", "[listen] operators", "[platform] url"} {
 		require.ErrorContains(t, err, want)
 	}
 }
 
-func TestSampleIsReadable(t *testing.T) {
+func TestSampleParses(t *testing.T) {
 	sample := Sample()
 	sample = strings.Replace(sample, "name = \n", "name = a\n", 1)
 	sample = strings.Replace(sample, "failure_domain = \n", "failure_domain = b\n", 1)
--- a/config/fields.go
+++ b/config/fields.go
@@ -10,14 +10,14 @@
 	"gopkg.in/ini.v1"
 )
 
-// field binds a key of the file to a place in Config.
+// field maps a key of the file to a field of Config.
 type field struct {
 	section, key string
 	target       any // pointer to string, []string, bool, int, int64, float64 or time.Duration
 	help         string
 }
 
-// fields lists every key that a file may hold.
+// fields returns all keys that a file may contain.
 func fields(c *Config) []field {
 	return []field{
 		{"daemon", "name", &c.Daemon.Name, "name of this daemon, unique in the fleet"},
@@ -73,10 +73,10 @@
 	}
 }
 
-// Sample returns an INI file with every key, its meaning and its default.
+// Sample returns an INI file with every key, its description and its default.
 func Sample() string { return Format(Default()) }
 
-// Format returns the INI file of a configuration.
+// Format returns a configuration as an INI file.
 func Format(c Config) string {
 	var b strings.Builder
 	section := ""
@@ -110,13 +110,14 @@
 	panic(fmt.Sprintf("config: no format for %T", target))
 }
 
-// reader takes values out of a file and collects faults.
+// reader reads values from a file and collects errors.
 type reader struct {
-	file   *ini.File
-	known  map[string]map[string]bool
-	faults []error
+	file  *ini.File
+	known map[string]map[string]bool
+	errs  []error
 }
 
+// read stores the value of a key, if the file has it, and records the key as known.
 func (r *reader) read(f field) {
 	if r.known == nil {
 		r.known = map[string]map[string]bool{}
@@ -130,16 +131,16 @@
 		return
 	}
 	if n := len(s.Key(f.key).ValueWithShadows()); n > 1 {
-		r.faults = append(r.faults, fault(f.section, f.key, "given %d times, write it once", n))
+		r.errs = append(r.errs, keyError(f.section, f.key, "given %d times, write it once", n))
 		return
 	}
-	if msg := set(f.target, s.Key(f.key).String()); msg != "" {
-		r.faults = append(r.faults, fault(f.section, f.key, "%s", msg))
+	if msg := setValue(f.target, s.Key(f.key).String()); msg != "" {
+		r.errs = append(r.errs, keyError(f.section, f.key, "%s", msg))
 	}
 }
 
-// set stores text in target and returns what is wrong with it, or "".
-func set(target any, text string) string {
+// setValue parses text into target. It returns a message if text is invalid, or "".
+func setValue(target any, text string) string {
 	switch t := target.(type) {
 	case *string:
 		*t = text
@@ -189,18 +190,18 @@
 	return out
 }
 
-// unknown reports sections and keys that no field knows.
-func (r *reader) unknown() {
+// checkUnknown reports sections and keys that match no field.
+func (r *reader) checkUnknown() {
 	for _, s := range r.file.Sections() {
 		keys := s.KeyStrings()
 		sort.Strings(keys)
 		if s.Name() != ini.DefaultSection && r.known[s.Name()] == nil {
-			r.faults = append(r.faults, fmt.Errorf("settings: [%s]: unknown section, see snowspoked --sample", s.Name()))
+			r.errs = append(r.errs, fmt.Errorf("settings: [%s]: unknown section, see snowspoked --sample", s.Name()))
 			continue
 		}
 		for _, k := range keys {
 			if !r.known[s.Name()][k] {
-				r.faults = append(r.faults, fault(s.Name(), k, "unknown key, see snowspoked --sample"))
+				r.errs = append(r.errs, keyError(s.Name(), k, "unknown key, see snowspoked --sample"))
 			}
 		}
 	}
