--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the packages into one daemon that can run as a process
-// of its own or inside another program, as the try command and tests do.
+// Package daemon assembles a daemon that can run as its own process or inside
+// another program, as in the try command and in tests.
 package daemon
 
 import (
@@ -47,24 +47,24 @@
 	net     network.Network
 	logger  log.Logger
 	metrics *metrics.Metrics
-	tls     *tlsconf.Reloader // nil without certificates
+	tls     *tlsconf.Reloader // nil if no certificates are set
 
-	catalog   *catalog.Catalog
-	store     *httpstore.Client
-	node      *peer.Node
-	keeper    *lease.Keeper
-	control   *control.Controller
-	demand    atomic.Pointer[map[string]float64] // of the fleet, tokens per second by model
-	table     *fleet.Table
-	planner   *routing.Planner
-	prefixes  *routing.Prefixes
-	gate      *dispatch.Gate
-	monitor   *monitor.Monitor
-	decisions *decision.Log
-	key       []byte
-	sealer    *dispatch.Sealer
-	book      *claims.Book
-	limits    limits
+	catalog       *catalog.Catalog
+	store         *httpstore.Client
+	node          *peer.Node
+	leaseManager  *lease.Keeper
+	control       *control.Controller
+	demand        atomic.Pointer[map[string]float64] // of the fleet, in tokens per second by model
+	table         *fleet.Table
+	planner       *routing.Planner
+	prefixes      *routing.Prefixes
+	gate          *dispatch.Gate
+	monitor       *monitor.Monitor
+	decisions     *decision.Log
+	key           []byte
+	sealer        *dispatch.Sealer
+	claimRegistry *claims.Book
+	limits        limits
 
 	callers   *http.Server
 	operators *http.Server
@@ -76,11 +76,11 @@
 	killOnce  sync.Once
 }
 
-// Attempts and waits of one request that need no setting.
+// Limits of one request that have no setting.
 const (
-	maxAttempts = 8
-	recoverWait = 10 * time.Second
-	moveAfter   = 5 * time.Second
+	maxAttempts    = 8
+	recoverTimeout = 10 * time.Second
+	moveThreshold  = 5 * time.Second
 )
 
 // New builds a daemon and opens its listeners; Run starts it.
@@ -114,12 +114,13 @@
 	return d, nil
 }
 
-// fleetKey reads the fleet's key, or makes one that only this daemon knows.
+// fleetKey reads the key of the fleet. Without a file it generates a random key, so
+// that this daemon cannot link to others.
 func fleetKey(path string, logger log.Logger) ([]byte, error) {
 	if path != "" {
 		return dispatch.LoadKey(path)
 	}
-	_ = level.Warn(logger).Log("msg", "no fleet key is set, this daemon stays alone")
+	_ = level.Warn(logger).Log("msg", "no fleet key is set, this daemon cannot join others")
 	key := make([]byte, dispatch.KeyBytes)
 	if _, err := rand.Read(key); err != nil {
 		return nil, fmt.Errorf("fleet key: %w", err)
@@ -135,17 +136,17 @@
 	d.decisions = decision.New(d.logger, d.cfg.Log.Decisions)
 	d.gate = dispatch.NewGate(dispatch.GateOptions{
 		MaxStreams: d.cfg.Limits.Streams, QueueLimit: d.cfg.Limits.QueueLength,
-		RetryRatio: d.cfg.Limits.RetryRatio, Limit: admission.DefaultLimitConfig(), Shares: peersOf{d},
+		RetryRatio: d.cfg.Limits.RetryRatio, Limit: admission.DefaultLimitConfig(), Shares: peerAdapter{d},
 	}, d.table, time.Now)
 }
 
 func (d *Daemon) buildServers() {
 	store := httpstore.New(d.cfg.Platform.URL, d.client(platformConns))
 	d.store = store
-	d.book = claims.NewBook(claims.Options{
+	d.claimRegistry = claims.NewBook(claims.Options{
 		Self: d.cfg.Daemon.Name, Shards: d.cfg.Claims.Shards, KeepBytes: d.cfg.Claims.KeepBytes,
 		Window: claims.Window{Retention: d.cfg.Claims.Retention, Skew: d.cfg.Claims.Skew},
-	}, store, peersOf{d}, time.Now)
+	}, store, peerAdapter{d}, time.Now)
 	scheme := "http"
 	if d.cfg.Security.BackendTLS {
 		scheme = "https"
@@ -157,7 +158,7 @@
 		GapCeiling: d.cfg.Health.GapCeiling, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig(),
 	}, monitor.Parts{
 		Engine: engines, Table: d.table, Log: d.decisions, Logger: d.logger,
-		Owner: peersOf{d}, Publisher: peersOf{d}, Cache: d.prefixes, Wake: d.gate.Wake, Clock: time.Now,
+		Owner: peerAdapter{d}, Publisher: peerAdapter{d}, Cache: d.prefixes, Wake: d.gate.Wake, Clock: time.Now,
 	})
 	disp := d.dispatcher(engines)
 	services := dispatch.NewServices(disp, httpbackend.NewServices(d.client(backendConns), scheme))
@@ -165,7 +166,7 @@
 	callers := api.NewCallers(api.CallerOptions{
 		BodyBytes: l.BodyBytes, BodyTimeout: l.BodyTimeout, WriteTimeout: l.WriteTimeout,
 		DefaultDeadline: l.DefaultDeadline, MaxDeadline: l.MaxDeadline,
-	}, d.catalog, disp, services, d.sealer, d.book, time.Now)
+	}, d.catalog, disp, services, d.sealer, d.claimRegistry, time.Now)
 	d.callers = d.newServer(callers)
 	d.operators = d.newServer(api.NewOperators(d, d.metrics.Handler(), d.cfg.Security.OperatorTokenHash))
 }
@@ -173,7 +174,7 @@
 func (d *Daemon) dispatcher(engine backend.Engine) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{
 		FailureDomain: d.cfg.Daemon.FailureDomain, FirstToken: d.cfg.Health.FirstToken, GapCeiling: d.cfg.Health.GapCeiling,
-		MaxAttempts: maxAttempts, RecoverWait: recoverWait, MoveAfter: moveAfter,
+		MaxAttempts: maxAttempts, RecoverWait: recoverTimeout, MoveAfter: moveThreshold,
 	}, dispatch.Parts{
 		Engine: engine, Catalog: d.catalog, Table: d.table, Planner: d.planner, Gate: d.gate,
 		Health: d.monitor, Alive: d.monitor, Warm: d.prefixes, Sealer: d.sealer, Log: d.decisions,
@@ -181,13 +182,14 @@
 	})
 }
 
-// Idle connections kept to each host.
+// Maximum idle connections to each host.
 const (
 	platformConns = 8
 	backendConns  = 256
 )
 
-// client returns an HTTP client whose idle connections end with the daemon.
+// client returns an HTTP client whose idle connections are closed when the daemon
+// stops.
 func (d *Daemon) client(perHost int) *http.Client {
 	var conf *tls.Config
 	if d.tls != nil {
@@ -214,13 +216,13 @@
 		d.listeners[i] = l
 	}
 	d.listeners[0] = netutil.LimitListener(d.listeners[0], d.cfg.Limits.Connections)
-	d.secure()
+	d.wrapTLS()
 	return nil
 }
 
-// secure puts TLS on the listeners if there are certificates. Between daemons it
-// is mutual when an authority is set.
-func (d *Daemon) secure() {
+// wrapTLS adds TLS to the listeners if certificates are set. The peers' listener
+// uses mutual TLS if a certificate authority is set.
+func (d *Daemon) wrapTLS() {
 	if d.tls == nil {
 		return
 	}
@@ -233,10 +235,10 @@
 	}
 }
 
-// peersListener is the index of the listener for other daemons.
+// peersListener is the index of the listener for other daemons in listeners.
 const peersListener = 2
 
-// peerScheme is the scheme between daemons.
+// peerScheme returns the URL scheme for calls between daemons.
 func (d *Daemon) peerScheme() string {
 	if d.tls != nil {
 		return "https"
@@ -244,41 +246,41 @@
 	return "http"
 }
 
-// CallersAddr returns the address that callers reach.
+// CallersAddr returns the address of the callers' listener.
 func (d *Daemon) CallersAddr() string { return d.listeners[0].Addr().String() }
 
-// OperatorsAddr returns the address that operators reach.
+// OperatorsAddr returns the address of the operators' listener.
 func (d *Daemon) OperatorsAddr() string { return d.listeners[1].Addr().String() }
 
-// PeersAddr returns the address that other daemons reach.
+// PeersAddr returns the address of the peers' listener.
 func (d *Daemon) PeersAddr() string { return d.listeners[peersListener].Addr().String() }
 
-// Run serves until ctx ends, then stops without cutting off a request: it fails
-// readiness, waits until the balancer has moved, refuses new work, lets what
-// runs finish, and returns.
+// Run serves until ctx ends, then drains: it fails readiness, waits for the load
+// balancer to react, refuses new requests and returns when those in flight have
+// finished or the drain timeout has passed.
 func (d *Daemon) Run(ctx context.Context) error {
 	restore := invariant.SetReporter(d.reportViolation)
 	defer restore()
-	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	var wg sync.WaitGroup
-	wg.Go(func() { d.followStore(work) })
-	wg.Go(func() { d.followCatalog(work) })
-	wg.Go(func() { d.monitor.Run(work) })
-	wg.Go(func() { d.node.Run(work) })
-	wg.Go(func() { d.readVMs(work) })
-	wg.Go(func() { d.node.ReportQuotas(work) })
-	wg.Go(func() { d.limits.node.Run(work) })
-	wg.Go(func() { d.placeWeights(work) })
-	d.peers = d.newServer(d.peersHandler(work))
-	failed := make(chan error, 3)
-	wg.Go(func() { failed <- d.peers.Serve(d.listeners[peersListener]) })
-	wg.Go(func() { failed <- d.callers.Serve(d.listeners[0]) })
-	wg.Go(func() { failed <- d.operators.Serve(d.listeners[1]) })
+	wg.Go(func() { d.followStore(workCtx) })
+	wg.Go(func() { d.followCatalog(workCtx) })
+	wg.Go(func() { d.monitor.Run(workCtx) })
+	wg.Go(func() { d.node.Run(workCtx) })
+	wg.Go(func() { d.readVMs(workCtx) })
+	wg.Go(func() { d.node.ReportQuotas(workCtx) })
+	wg.Go(func() { d.limits.node.Run(workCtx) })
+	wg.Go(func() { d.placeWeights(workCtx) })
+	d.peers = d.newServer(d.peersHandler(workCtx))
+	serveErrs := make(chan error, 3)
+	wg.Go(func() { serveErrs <- d.peers.Serve(d.listeners[peersListener]) })
+	wg.Go(func() { serveErrs <- d.callers.Serve(d.listeners[0]) })
+	wg.Go(func() { serveErrs <- d.operators.Serve(d.listeners[1]) })
 	_ = level.Info(d.logger).Log("msg", "started", "callers", d.CallersAddr(), "operators", d.OperatorsAddr())
 	var err error
 	select {
-	case err = <-failed:
+	case err = <-serveErrs:
 	case <-d.killed:
 	case <-ctx.Done():
 		err = d.drain()
@@ -296,11 +298,11 @@
 	return err
 }
 
-// Kill ends the daemon at once, as a crash does: nothing is finished, announced
-// or handed over.
+// Kill stops the daemon at once, like a crash: it does not drain, announce its
+// leaving or hand over leases.
 func (d *Daemon) Kill() { d.killOnce.Do(func() { close(d.killed) }) }
 
-// drain is the planned stop.
+// drain performs the graceful stop. It fails if requests outlive the drain timeout.
 func (d *Daemon) drain() error {
 	d.stopping.Store(true)
 	_ = level.Info(d.logger).Log("msg", "stopping", "balancer_delay", d.cfg.Stop.BalancerDelay)
@@ -318,7 +320,8 @@
 	return nil
 }
 
-// followCatalog hands changes of the configuration to the fleet table.
+// followCatalog applies changes of the configuration to the fleet table and the
+// limits, and wakes waiting requests.
 func (d *Daemon) followCatalog(ctx context.Context) {
 	for {
 		changed := d.catalog.Changed()
--- a/daemon/inspect.go
+++ b/daemon/inspect.go
@@ -60,8 +60,8 @@
 		s.BackendServers = append(s.BackendServers, b)
 	}
 	s.Models = d.models()
-	if h := d.keeper.Holder(); h.Fencing > 0 {
-		_, mine := d.keeper.Held()
+	if h := d.leaseManager.Holder(); h.Fencing > 0 {
+		_, mine := d.leaseManager.Held()
 		s.Leases = append(s.Leases, api.LeaseStatus{Name: leasePlacement, Holder: h.Holder, Fencing: h.Fencing, Mine: mine})
 	}
 	for _, m := range d.node.Members() {
@@ -73,7 +73,8 @@
 	return s
 }
 
-// models returns the bound of each model for unrestricted requests.
+// models returns the bound of each model for requests without restrictions, sorted
+// by model.
 func (d *Daemon) models() []api.ModelStatus {
 	snap := d.catalog.Snapshot()
 	var out []api.ModelStatus
@@ -85,8 +86,8 @@
 	return out
 }
 
-// Explain implements api.Inspector. id is a request ID, or the name of a
-// backend server or model.
+// Explain implements api.Inspector. id is a request ID or the name of a backend
+// server or model.
 func (d *Daemon) Explain(id string) []decision.Record {
 	return d.decisions.Find(func(r *decision.Record) bool { return r.RequestID == id || r.Subject == id })
 }
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -13,35 +13,37 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// limits are this daemon's part in keeping what backend servers take from all daemons
-// together, as the configuration declares it.
+// limits enforces the declared limits on calls to backend servers, which apply to
+// all daemons together.
 type limits struct {
 	declared *quota.Limits
 	sends    *quota.Sends
 	pool     *quota.Pool
 	calls    *dispatch.CallLimits
-	node     *permit.Node // set once the daemon is a member of the fleet
+	node     *permit.Node // set by linkLimits
 }
 
 func (d *Daemon) buildLimits() {
 	l := &d.limits
 	l.declared, l.sends = quota.NewLimits(), quota.NewSends()
 	l.pool = quota.NewPool(d.cfg.Daemon.Name, l.declared, l.sends)
-	l.calls = dispatch.NewCallLimits(l.declared, l.sends, permitsOf{d})
+	l.calls = dispatch.NewCallLimits(l.declared, l.sends, permitAdapter{d})
 }
 
-// linkLimits has this daemon share its parts of the limits with the others. All daemons know
-// the limits from the configuration, so they tell each other none.
+// linkLimits connects this daemon's shares of the limits with those of other
+// daemons. The limits themselves are not exchanged, since every daemon has them
+// from the configuration. It must be called after buildNode.
 func (d *Daemon) linkLimits() {
 	l := &d.limits
 	l.node = permit.New(permit.Options{
-		Name: d.cfg.Daemon.Name, Members: d.sharing, Limits: l.declared, Pool: l.pool, Sends: l.sends,
+		Name: d.cfg.Daemon.Name, Members: d.permitMembers, Limits: l.declared, Pool: l.pool, Sends: l.sends,
 		Client: d.client(peerConns), Scheme: d.peerScheme(), Header: http.Header{"Authorization": {"Bearer " + d.peerToken()}},
 		Logger: d.logger,
 	})
 }
 
-func (d *Daemon) sharing() []permit.Member {
+// permitMembers returns the daemons that share the limits.
+func (d *Daemon) permitMembers() []permit.Member {
 	all := d.node.Sharing(time.Now())
 	out := make([]permit.Member, len(all))
 	for i, m := range all {
@@ -50,7 +52,7 @@
 	return out
 }
 
-// servePermits serves the links of other daemons that contribute their parts.
+// servePermits handles the permit links of other daemons.
 func (d *Daemon) servePermits(w http.ResponseWriter, r *http.Request) {
 	if !d.node.Authorized(r) {
 		http.Error(w, "wrong token", http.StatusUnauthorized)
@@ -59,7 +61,7 @@
 	d.limits.node.ServeHTTP(w, r)
 }
 
-// declareLimits takes the limits of the configuration in force.
+// declareLimits applies the limits of the configuration in force and logs changes.
 func (d *Daemon) declareLimits() {
 	snap := d.catalog.Snapshot()
 	rates := snap.CallLimits()
@@ -69,11 +71,11 @@
 	d.metrics.Limits(len(rates))
 }
 
-// permitsOf gives parts that are built before the links between daemons access to them. It
-// implements dispatch.Permits.
-type permitsOf struct{ d *Daemon }
+// permitAdapter implements dispatch.Permits for parts that are built before
+// limits.node is set.
+type permitAdapter struct{ d *Daemon }
 
 // Permit implements dispatch.Permits.
-func (p permitsOf) Permit(ctx context.Context, r quota.PermitRequest) quota.Decision {
+func (p permitAdapter) Permit(ctx context.Context, r quota.PermitRequest) quota.Decision {
 	return p.d.limits.node.Permit(ctx, r)
 }
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -12,42 +12,44 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// leasePlacement is the name of the lease for placement.
+// leasePlacement is the name of the placement lease.
 const leasePlacement = "placement"
 
 func (d *Daemon) buildControl(engine backend.Engine) {
 	p := d.cfg.Place
-	d.keeper = lease.NewKeeper(string(topology.KindLease), leasePlacement, d.cfg.Daemon.Name, p.LeaseTTL, d.store, d.logger)
+	d.leaseManager = lease.NewKeeper(string(topology.KindLease), leasePlacement, d.cfg.Daemon.Name, p.LeaseTTL, d.store, d.logger)
 	d.control = control.New(control.Options{
 		Period: p.Period, LeaseTTL: p.LeaseTTL, OrderTimeout: p.OrderTimeout, OrderExpiry: p.OrderExpiry, Budget: p.BudgetBytes,
 	}, control.Parts{
-		Lease: d.keeper, Store: d.store, Engine: engine, Config: d.catalog.Snapshot, Table: d.table,
+		Lease: d.leaseManager, Store: d.store, Engine: engine, Config: d.catalog.Snapshot, Table: d.table,
 		Demand: d.FleetDemand, Log: d.decisions, Logger: d.logger, Clock: time.Now,
 	})
 }
 
-// placeWeights takes part in the lease for placement. Of each failure domain
-// only few daemons do, so that reads of the lease do not grow with the fleet.
+// placeWeights competes for the placement lease and places weights while it is
+// held. Only daemons that follow the store do, so that reads of the lease do not
+// grow with the fleet.
 func (d *Daemon) placeWeights(ctx context.Context) {
 	if !d.cfg.Place.Enabled {
 		return
 	}
 	d.node.Follow(ctx, func(ctx context.Context) {
 		var wg sync.WaitGroup
-		wg.Go(func() { d.keeper.Run(ctx) })
+		wg.Go(func() { d.leaseManager.Run(ctx) })
 		wg.Go(func() { d.control.Run(ctx) })
 		wg.Go(func() { d.collectDemand(ctx) })
 		wg.Wait()
 	})
 }
 
-// demandEvery is the period at which the holder of the lease asks all daemons
-// for the demand that they see.
-const demandEvery = 10 * time.Second
+// demandInterval is the interval at which the holder of the placement lease
+// requests the demand of all daemons.
+const demandInterval = 10 * time.Second
 
-// collectDemand keeps the fleet's demand while this daemon holds the lease.
+// collectDemand updates the demand of the fleet while this daemon holds the
+// placement lease.
 func (d *Daemon) collectDemand(ctx context.Context) {
-	t := time.NewTicker(demandEvery)
+	t := time.NewTicker(demandInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -55,15 +57,16 @@
 			return
 		case <-t.C:
 		}
-		if _, held := d.keeper.Held(); held {
+		if _, held := d.leaseManager.Held(); held {
 			sum := d.node.Demands(ctx, d.ownDemand())
 			d.demand.Store(&sum)
 		}
 	}
 }
 
-// FleetDemand returns the demand by model, in tokens per second, that the holder
-// of the lease for placement has collected; nil elsewhere.
+// FleetDemand returns the last collected demand of the fleet, in tokens per second
+// by model, or nil if this daemon has collected none. Only the holder of the
+// placement lease collects it.
 func (d *Daemon) FleetDemand() map[string]float64 {
 	if sum := d.demand.Load(); sum != nil {
 		return *sum
@@ -71,6 +74,7 @@
 	return nil
 }
 
+// ownDemand returns the demand of this daemon by model.
 func (d *Daemon) ownDemand() []peer.ModelDemand {
 	var out []peer.ModelDemand
 	d.gate.Demand(func(model string, tokens float64) {
