--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,6 +1,6 @@
-// Package decision records why the system did what it did: one key=value log
-// line for each routing, admission, recovery or placement decision, and a
-// bounded memory of the newest ones that operators can query.
+// Package decision records routing, admission, recovery and placement decisions
+// with their reasons. Each is logged as one key=value line, and the newest are
+// retained for operators to query.
 package decision
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/go-kit/log/level"
 )
 
-// Kind says which part of the system decided.
+// Kind is the kind of a decision.
 type Kind string
 
 // The decision kinds.
@@ -28,7 +28,7 @@
 	Move      Kind = "move"
 )
 
-// Record is one decision and its reasons.
+// Record is one decision with its reasons.
 type Record struct {
 	Time      time.Time `json:"time"`
 	Kind      Kind      `json:"kind"`
@@ -36,31 +36,31 @@
 	Attempt   int       `json:"attempt"`
 	Workspace string    `json:"workspace,omitempty"`
 	Subject   string    `json:"subject,omitempty"`  // model, service or backend server
-	Chosen    string    `json:"chosen,omitempty"`   // what was chosen
-	Reason    string    `json:"reason,omitempty"`   // why
-	Rejected  string    `json:"rejected,omitempty"` // what was not chosen, and why
+	Chosen    string    `json:"chosen,omitempty"`   // chosen alternative
+	Reason    string    `json:"reason,omitempty"`   // reason of the choice
+	Rejected  string    `json:"rejected,omitempty"` // rejected alternatives, with reasons
 	Bound     float64   `json:"bound,omitempty"`    // throughput bound of the model, tokens per second
-	Load      float64   `json:"load,omitempty"`     // requests in flight seen on the chosen hops
+	Load      float64   `json:"load,omitempty"`     // requests in flight on the chosen hops
 }
 
-// Log writes records to a logger and keeps the newest in a ring.
+// Log writes records to a logger and retains the newest in a ring buffer.
 type Log struct {
 	logger log.Logger
 
-	mu   sync.Mutex
+	mu   sync.Mutex // protects the fields below
 	ring []Record
-	next int
-	full bool
+	next int  // index of the next write
+	full bool // the ring has wrapped
 }
 
-// New returns a Log that remembers the newest size records.
+// New returns a Log that retains the newest size records.
 func New(logger log.Logger, size int) *Log {
 	return &Log{logger: logger, ring: make([]Record, size)}
 }
 
-// Add logs r as one line and remembers it.
+// Add logs r as one line and retains it.
 func (l *Log) Add(r Record) {
-	l.remember(r)
+	l.retain(r)
 	kv := make([]any, 0, 24)
 	kv = append(kv, "msg", "decision", "kind", string(r.Kind))
 	kv = appendString(kv, "request", r.RequestID)
@@ -88,7 +88,8 @@
 	return append(kv, key, value)
 }
 
-func (l *Log) remember(r Record) {
+// retain stores r in the ring buffer, replacing the oldest record if it is full.
+func (l *Log) retain(r Record) {
 	if len(l.ring) == 0 {
 		return
 	}
@@ -102,7 +103,7 @@
 	}
 }
 
-// Find returns the remembered records for which match is true, oldest first.
+// Find returns the retained records for which match is true, oldest first.
 func (l *Log) Find(match func(*Record) bool) []Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/edit/edit.go
+++ b/edit/edit.go
@@ -1,7 +1,7 @@
-// Package edit changes one field of an object in the platform's store, the way
-// several operators can do at the same time: edits of different fields merge,
-// edits of the same field show a conflict, and a write whose answer was lost is
-// settled by reading back.
+// Package edit changes single fields of objects in the platform's store, safely
+// for concurrent editors: edits of different fields merge, edits of the same
+// field conflict, and a write with an unknown outcome is resolved by reading the
+// object again.
 package edit
 
 import (
@@ -14,34 +14,35 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Errors of edits.
+// Errors returned by Apply.
 var (
-	// ErrRaced says that somebody else changed the same field meanwhile.
-	ErrRaced = errors.New("edit: the field was changed by somebody else meanwhile")
-	// ErrNoField says that objects of the kind do not have the field.
+	// ErrRaced reports that the same field was changed concurrently.
+	ErrRaced = errors.New("edit: the field was changed concurrently")
+	// ErrNoField reports that objects of the kind do not have the field.
 	ErrNoField = errors.New("edit: no such field")
 )
 
 // Field is one field of an object.
 type Field interface {
-	// Get returns the field's value as text, "" when it is not set.
+	// Get returns the value of the field as text, or "" if it is not set.
 	Get(obj any) (string, error)
-	// Set changes the field; "" removes it.
+	// Set sets the field; "" removes it.
 	Set(obj any, value string) error
 }
 
-// Result says what an edit did.
+// Result is the outcome of an edit.
 type Result struct {
-	Version store.Position `json:"version"` // in which the value stands
+	Version store.Position `json:"version"` // object version that has the new value
 	Before  string         `json:"before"`
 	After   string         `json:"after"`
 	Changed bool           `json:"changed"`
 }
 
-// maxTries bounds how often an edit is tried against racing ones.
+// maxTries bounds the attempts of an edit that conflicts with concurrent ones.
 const maxTries = 20
 
-// Apply sets a field of an object.
+// Apply sets a field of an object. It retries after conflicting and ambiguous
+// writes, and fails if the field itself was changed concurrently.
 func Apply(ctx context.Context, s store.Store, kind topology.Kind, name string, f Field, value string) (Result, error) {
 	var r Result
 	for try := range maxTries {
@@ -49,19 +50,19 @@
 		if err != nil {
 			return r, err
 		}
-		have, err := f.Get(obj)
+		current, err := f.Get(obj)
 		if err != nil {
 			return r, err
 		}
 		if try == 0 {
-			r.Before = have
+			r.Before = current
 		}
-		if have == value {
+		if current == value {
 			r.Version, r.After, r.Changed = o.Version, value, r.Before != value
 			return r, nil
 		}
-		if have != r.Before {
-			return r, fmt.Errorf("%w: it was %q, is %q, should be %q", ErrRaced, r.Before, have, value)
+		if current != r.Before {
+			return r, fmt.Errorf("%w: it was %q, is %q, should be %q", ErrRaced, r.Before, current, value)
 		}
 		if err := f.Set(obj, value); err != nil {
 			return r, err
@@ -73,9 +74,9 @@
 		if !errors.Is(err, store.ErrConflict) && !errors.Is(err, store.ErrAmbiguous) {
 			return r, err
 		}
-		// Read again: the write may have taken effect, or another came first.
+		// Read again: this write may have taken effect, or another one came first.
 	}
-	return r, fmt.Errorf("edit: %s %s: gave up after %d tries: %w", kind, name, maxTries, store.ErrConflict)
+	return r, fmt.Errorf("edit: %s %s: not stored after %d attempts: %w", kind, name, maxTries, store.ErrConflict)
 }
 
 func read(ctx context.Context, s store.Store, kind topology.Kind, name string) (store.Object, any, error) {
@@ -87,7 +88,7 @@
 	return o, obj, err
 }
 
-// write checks the changed object as a daemon will before it stores it.
+// write validates the changed object as daemons do, then stores it.
 func write(ctx context.Context, s store.Store, kind topology.Kind, name string, obj any, ifVersion store.Position) (store.Position, error) {
 	spec, err := json.Marshal(obj)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return s.Put(ctx, string(kind), name, spec, ifVersion)
 }
 
-// Label is the label with a key.
+// Label is the label of an object with a given key.
 type Label struct{ Key string }
 
 func (l Label) labels(obj any) (*topology.Labels, error) {
@@ -142,8 +143,8 @@
 	return nil
 }
 
-// Selector is the selector in a field: workspaces, requests, stages or
-// backendServers of a rule, backendServers of a stage.
+// Selector is the selector in a named field: workspaces, requests, stages or
+// backendServers of a rule, or backendServers of a stage.
 type Selector struct{ Name string }
 
 func (s Selector) of(obj any) (*topology.Selector, error) {
--- a/edit/edit_test.go
+++ b/edit/edit_test.go
@@ -30,14 +30,14 @@
 	return obj.(*topology.BackendServer).Labels
 }
 
-// Many operators edit different labels of one object while writes and answers
-// are lost: every edit that is said to be done stands.
-func TestRacingEditsMerge(t *testing.T) {
+// Concurrent edits of different labels of one object must all take effect if they
+// were acknowledged, also when writes and responses are lost.
+func TestConcurrentEditsMerge(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		s := storeWithServer(t)
 		s.SetFaults(memstore.Faults{LoseAnswer: 0.3, LoseWrite: 0.1, Delay: time.Millisecond})
 		var mu sync.Mutex
-		done := map[string]string{}
+		acked := map[string]string{}
 		var wg sync.WaitGroup
 		for i := range 8 {
 			wg.Go(func() {
@@ -46,7 +46,7 @@
 					value := fmt.Sprint("v", n)
 					if _, err := Apply(context.Background(), s, topology.KindBackendServer, "b", Label{key}, value); err == nil {
 						mu.Lock()
-						done[key] = value
+						acked[key] = value
 						mu.Unlock()
 					}
 				}
@@ -54,30 +54,30 @@
 		}
 		wg.Wait()
 		s.SetFaults(memstore.Faults{})
-		require.Len(t, done, 8)
-		have := labelsOf(t, s)
-		for k, v := range done {
-			require.Equal(t, v, have[k])
+		require.Len(t, acked, 8)
+		got := labelsOf(t, s)
+		for k, v := range acked {
+			require.Equal(t, v, got[k])
 		}
-		require.Equal(t, "h100", have["kind"])
+		require.Equal(t, "h100", got["kind"])
 	})
 }
 
-// interferer changes the same label right before the first write.
-type interferer struct {
+// racingStore changes the same label right before the first write.
+type racingStore struct {
 	*memstore.Store
 	once sync.Once
 }
 
-func (i *interferer) Put(ctx context.Context, kind, name string, spec []byte, v store.Position) (store.Position, error) {
-	i.once.Do(func() {
-		_, _ = Apply(ctx, i.Store, topology.KindBackendServer, "b", Label{"kind"}, "a100")
+func (r *racingStore) Put(ctx context.Context, kind, name string, spec []byte, v store.Position) (store.Position, error) {
+	r.once.Do(func() {
+		_, _ = Apply(ctx, r.Store, topology.KindBackendServer, "b", Label{"kind"}, "a100")
 	})
-	return i.Store.Put(ctx, kind, name, spec, v)
+	return r.Store.Put(ctx, kind, name, spec, v)
 }
 
 func TestSameFieldConflicts(t *testing.T) {
-	s := &interferer{Store: storeWithServer(t)}
+	s := &racingStore{Store: storeWithServer(t)}
 	_, err := Apply(context.Background(), s, topology.KindBackendServer, "b", Label{"kind"}, "l40s")
 	require.ErrorIs(t, err, ErrRaced)
 	require.Equal(t, "a100", labelsOf(t, s.Store)["kind"])
--- a/load/load.go
+++ b/load/load.go
@@ -1,5 +1,5 @@
 // Package load sends an open-loop load to the callers' interface and measures
-// what callers see: time to the first token, gaps between tokens, goodput.
+// the time to the first token, the gaps between tokens and the goodput.
 package load
 
 import (
@@ -20,34 +20,34 @@
 	Rate     float64 // requests per second, Poisson arrivals
 	Length   time.Duration
 	Model    string
-	Tokens   int // mean length of an answer; uniform from 1 to twice that
+	Tokens   int // mean response length; uniformly distributed from 1 to just below twice that
 	Deadline time.Duration
 	Priority int
 	Seed     uint64
-	Timeout  time.Duration // for requests that are still running at the end
+	Timeout  time.Duration // for requests still running after Length
 }
 
-// Result is what a load showed.
+// Result holds the measurements of a load.
 type Result struct {
 	Sent     int
 	Whole    int
-	Errors   map[apierror.Kind]int // explicit answers that are not whole
-	Broken   int                   // no explicit answer
-	Tokens   int                   // of whole answers
+	Errors   map[apierror.Kind]int // error responses by kind
+	Broken   int                   // requests whose connection failed before a complete response or an error
+	Tokens   int                   // in complete responses
 	Elapsed  time.Duration
 	First    *hdrhistogram.Histogram // microseconds
 	Gap      *hdrhistogram.Histogram // microseconds
-	Refusal  *hdrhistogram.Histogram // microseconds until a refusal
+	Refusal  *hdrhistogram.Histogram // microseconds until an error of a request that did not run
 	Timeline []Second
 }
 
-// Second is one second of a load.
+// Second holds the results of requests that ended in one second of a load.
 type Second struct {
-	Tokens int // delivered in whole answers that ended in this second
+	Tokens int // in complete responses
 	Errors int
 }
 
-// Bounds and precision of the histograms, in microseconds.
+// Maximum value, in microseconds, and significant digits of the histograms.
 const (
 	histMax    = int64(10 * time.Minute / time.Microsecond)
 	histDigits = 3
@@ -55,40 +55,41 @@
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, histMax, histDigits) }
 
-// runner is one load under way.
+// runner executes one load.
 type runner struct {
 	spec    Spec
 	clients []*client.Client
-	began   time.Time
+	start   time.Time
 	mu      sync.Mutex
 	result  Result
 }
 
-// Run sends the load over the clients in turn and waits for the answers.
+// Run sends the load, rotating over the clients, and waits for the responses.
 func Run(ctx context.Context, s Spec, clients []*client.Client) *Result {
-	r := &runner{spec: s, clients: clients, began: time.Now(), result: Result{
+	r := &runner{spec: s, clients: clients, start: time.Now(), result: Result{
 		Errors: map[apierror.Kind]int{}, First: newHistogram(), Gap: newHistogram(), Refusal: newHistogram(),
 	}}
 	rng := rand.New(rand.NewPCG(s.Seed, 0))
 	ctx, cancel := context.WithTimeout(ctx, s.Length+s.Timeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	next := r.began
+	next := r.start
 	for n := 0; ctx.Err() == nil; n++ {
 		next = next.Add(time.Duration(rng.ExpFloat64() / s.Rate * float64(time.Second)))
-		if next.Sub(r.began) >= s.Length {
+		if next.Sub(r.start) >= s.Length {
 			break
 		}
 		time.Sleep(time.Until(next))
 		tokens := 1 + rng.IntN(max(1, 2*s.Tokens-1))
-		wg.Go(func() { r.one(ctx, n, tokens) })
+		wg.Go(func() { r.send(ctx, n, tokens) })
 	}
 	wg.Wait()
-	r.result.Elapsed = time.Since(r.began)
+	r.result.Elapsed = time.Since(r.start)
 	return &r.result
 }
 
-func (r *runner) one(ctx context.Context, n, tokens int) {
+// send sends the nth request and records its result.
+func (r *runner) send(ctx context.Context, n, tokens int) {
 	req := client.Request{
 		Model: r.spec.Model, Prompt: fmt.Sprintf("load %d of seed %d", n, r.spec.Seed), MaxTokens: tokens,
 		Stream: true, Repeatable: true, Deadline: r.spec.Deadline, Priority: r.spec.Priority,
@@ -96,11 +97,11 @@
 	reply, err := r.clients[n%len(r.clients)].Complete(ctx, req)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.result.take(&reply, err, time.Since(r.began))
+	r.result.add(&reply, err, time.Since(r.start))
 }
 
-// take adds one answer, which ended at a time since the beginning.
-func (t *Result) take(reply *client.Reply, err error, at time.Duration) {
+// add records a response that ended at a time since the start of the load.
+func (t *Result) add(reply *client.Reply, err error, at time.Duration) {
 	t.Sent++
 	for len(t.Timeline) <= int(at.Seconds()) {
 		t.Timeline = append(t.Timeline, Second{})
@@ -129,5 +130,5 @@
 	}
 }
 
-// Goodput returns the tokens a second in whole answers.
+// Goodput returns the tokens per second in complete responses.
 func (t *Result) Goodput() float64 { return float64(t.Tokens) / t.Elapsed.Seconds() }
--- a/load/report.go
+++ b/load/report.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// WriteTable prints a result for people.
+// WriteTable writes a result as a table.
 func (t *Result) WriteTable(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "sent\twhole\tbroken\ttokens/s\n%d\t%d\t%d\t%.1f\n\n", t.Sent, t.Whole, t.Broken, t.Goodput())
@@ -31,13 +31,13 @@
 	return tw.Flush()
 }
 
-// Size of a plot.
+// Size of the plot.
 const (
 	plotWidth  = 8 * vg.Inch
 	plotHeight = 4 * vg.Inch
 )
 
-// WritePlot draws tokens and errors a second into a PNG file.
+// WritePlot writes a plot of tokens and errors per second to a PNG file.
 func (t *Result) WritePlot(path string) error {
 	p := plot.New()
 	p.Title.Text = "load"
