--- a/client/client.go
+++ b/client/client.go
@@ -114,8 +114,8 @@
 
 // response holds the decoded fields of a response or event.
 type response struct {
-	Complete bool `json:"whole"`
-	Choices  []struct {
+	Completed bool `json:"whole"`
+	Choices   []struct {
 		Text string `json:"text"`
 	} `json:"choices"`
 	Usage struct {
@@ -137,7 +137,7 @@
 	if len(a.Choices) > 0 {
 		r.Text += a.Choices[0].Text
 	}
-	if a.Complete {
+	if a.Completed {
 		r.Tokens = a.Usage.Tokens
 	}
 }
@@ -157,7 +157,7 @@
 		return r, fmt.Errorf("client: %w", err)
 	}
 	r.add(&a)
-	r.Whole = a.Complete
+	r.Whole = a.Completed
 	return r, nil
 }
 
@@ -193,7 +193,7 @@
 		if r.Kind != "" {
 			return r, nil
 		}
-		if a.Complete {
+		if a.Completed {
 			continue
 		}
 		r.EventID = id
