--- a/trial/declared_test.go
+++ b/trial/declared_test.go
@@ -18,11 +18,12 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// callRate is how many calls a second the callers of these tests want.
+// callRate is the rate of calls of these tests, in calls per second.
 const callRate = 24
 
-// declare sets what some engines take from all daemons together, nil for no limit.
-func (w *World) declare(rate *float64, names ...string) {
+// declareLimit sets the requests per second that all daemons together may send to each
+// of the named engines; nil removes the limit.
+func (w *World) declareLimit(rate *float64, names ...string) {
 	for _, name := range names {
 		for _, s := range engines {
 			if s.name == name {
@@ -33,17 +34,17 @@
 			}
 		}
 	}
-	time.Sleep(2 * time.Second) // in force, parts contributed
+	time.Sleep(2 * time.Second) // until the configuration is in force on all daemons
 }
 
-// outcomes counts the answers that callers got.
+// outcomes counts the answers to callers.
 type outcomes struct {
-	whole, refused int
-	slowest        time.Duration // refusal
-	untold         int           // refusals without a time to return
+	complete, refused int
+	slowestRefusal    time.Duration
+	noRetryAfter      int // refusals without a retry time
 }
 
-// callFor has callers want callRate calls a second at all daemons for a time.
+// callFor sends callRate calls per second, spread over the daemons, for a time.
 func callFor(length time.Duration, daemons int, call func(daemon, n int) (client.Reply, error)) outcomes {
 	var mu sync.Mutex
 	var o outcomes
@@ -55,14 +56,14 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err == nil && reply.Whole {
-				o.whole++
+				o.complete++
 				return
 			}
 			if err == nil && reply.Kind == apierror.Overloaded {
 				o.refused++
-				o.slowest = max(o.slowest, time.Since(began))
+				o.slowestRefusal = max(o.slowestRefusal, time.Since(began))
 				if reply.RetryAfter == 0 {
-					o.untold++
+					o.noRetryAfter++
 				}
 			}
 		})
@@ -72,9 +73,10 @@
 	return o
 }
 
-// mostInWindow returns the most arrivals within any window of a limit.
-func mostInWindow(at []time.Time, since time.Time) int {
-	most := 0
+// maxInWindow returns the highest number of arrivals within any quota.Window that
+// starts at or after since.
+func maxInWindow(at []time.Time, since time.Time) int {
+	highest := 0
 	for i, first := range at {
 		n := 0
 		for _, t := range at[i:] {
@@ -83,10 +85,10 @@
 			}
 		}
 		if !first.Before(since) {
-			most = max(most, n)
+			highest = max(highest, n)
 		}
 	}
-	return most
+	return highest
 }
 
 func countSince(at []time.Time, since time.Time) int {
@@ -99,55 +101,56 @@
 	return n
 }
 
-// allowed is what a backend server may get within a window.
-func allowed(rate float64) int { return int(1.5*rate*quota.Window.Seconds()) + 5 }
+// maxAllowed returns the highest number of calls within a window that the limit permits.
+func maxAllowed(rate float64) int { return int(1.5*rate*quota.Window.Seconds()) + 5 }
 
-// A limit that an operator has declared is kept by all daemons together and used: requests
-// beyond it go to the other backend server of the stage. Where both have one, who finds no
-// room is refused at once and told when to return. Without the limit the load is back.
-func TestDeclaredLimitIsKeptByAllDaemons(t *testing.T) {
+// All daemons together keep within a declared limit and use most of it: requests beyond
+// it go to the other backend server of the stage. If both have a limit, excess requests
+// are refused at once with a retry time. After the limits are removed all requests are
+// served.
+func TestDeclaredLimitAcrossDaemons(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
 		call := func(daemon, n int) (client.Reply, error) {
 			return w.clientOf(daemon, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: fmt.Sprint("p", n), MaxTokens: 5, Repeatable: true})
 		}
 		rate := 4.0
-		w.declare(&rate, "engine-1")
+		w.declareLimit(&rate, "engine-1")
 		began := time.Now()
 		o := callFor(16*time.Second, 3, call)
 		at := w.Fleet.Engine("engine-1").Arrivals()
 		used := float64(countSince(at, began)) / rate / 16
-		t.Logf("%+v, %.2f of the limit used, %d calls in a window", o, used, mostInWindow(at, began))
-		assert.Equal(t, 16*callRate, o.whole)
-		assert.LessOrEqual(t, mostInWindow(at, began), allowed(rate))
+		t.Logf("%+v, %.2f of the limit used, %d calls in a window", o, used, maxInWindow(at, began))
+		assert.Equal(t, 16*callRate, o.complete)
+		assert.LessOrEqual(t, maxInWindow(at, began), maxAllowed(rate))
 		assert.GreaterOrEqual(t, used, 0.8)
 
-		w.declare(&rate, "engine-2")
+		w.declareLimit(&rate, "engine-2")
 		began = time.Now()
 		o = callFor(16*time.Second, 3, call)
 		t.Logf("%+v", o)
 		for _, name := range []string{"engine-1", "engine-2"} {
 			at = w.Fleet.Engine(name).Arrivals()
 			used = float64(countSince(at, began)) / rate / 16
-			t.Logf("%s: %.2f used, %d in a window", name, used, mostInWindow(at, began))
-			assert.LessOrEqual(t, mostInWindow(at, began), allowed(rate), name)
+			t.Logf("%s: %.2f used, %d in a window", name, used, maxInWindow(at, began))
+			assert.LessOrEqual(t, maxInWindow(at, began), maxAllowed(rate), name)
 			assert.GreaterOrEqual(t, used, 0.8, name)
 		}
-		assert.Equal(t, 16*callRate, o.whole+o.refused)
-		assert.LessOrEqual(t, o.slowest, 50*time.Millisecond)
-		assert.Zero(t, o.untold)
+		assert.Equal(t, 16*callRate, o.complete+o.refused)
+		assert.LessOrEqual(t, o.slowestRefusal, 50*time.Millisecond)
+		assert.Zero(t, o.noRetryAfter)
 
-		w.declare(nil, "engine-1", "engine-2")
+		w.declareLimit(nil, "engine-1", "engine-2")
 		o = callFor(4*time.Second, 3, call)
-		assert.Equal(t, 4*callRate, o.whole)
+		assert.Equal(t, 4*callRate, o.complete)
 	})
 }
 
-// The same while daemons are killed and started again.
-func TestDeclaredLimitIsKeptWhileDaemonsRestart(t *testing.T) {
+// The declared limit holds while daemons are killed and restarted.
+func TestDeclaredLimitWhileDaemonsRestart(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
 		rate := 6.0
-		w.declare(&rate, "engine-1")
-		var clients []*client.Client // daemons come back at the addresses that they had
+		w.declareLimit(&rate, "engine-1")
+		var clients []*client.Client // restarted daemons keep their addresses
 		for i := range w.Daemons {
 			clients = append(clients, w.clientOf(i, hc))
 		}
@@ -164,12 +167,12 @@
 		})
 		cycles.Wait()
 		at := w.Fleet.Engine("engine-1").Arrivals()
-		t.Logf("%d calls, %d in a window", countSince(at, began), mostInWindow(at, began))
-		assert.LessOrEqual(t, mostInWindow(at, began), allowed(rate))
+		t.Logf("%d calls, %d in a window", countSince(at, began), maxInWindow(at, began))
+		assert.LessOrEqual(t, maxInWindow(at, began), maxAllowed(rate))
 	})
 }
 
-// Endpoints of plain services have limits as backend servers do.
+// The limits of endpoints of plain services are enforced like those of backend servers.
 func TestDeclaredLimitOfAnEndpoint(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
 		rate := 3.0
@@ -187,17 +190,17 @@
 		for _, s := range w.Services {
 			at := s.Arrivals()
 			used := float64(countSince(at, began)) / rate / 12
-			t.Logf("%.2f used, %d in a window", used, mostInWindow(at, began))
-			assert.LessOrEqual(t, mostInWindow(at, began), allowed(rate))
+			t.Logf("%.2f used, %d in a window", used, maxInWindow(at, began))
+			assert.LessOrEqual(t, maxInWindow(at, began), maxAllowed(rate))
 			assert.GreaterOrEqual(t, used, 0.8)
 		}
-		assert.Equal(t, 12*callRate, o.whole+o.refused)
-		assert.LessOrEqual(t, o.slowest, 50*time.Millisecond)
-		assert.Zero(t, o.untold)
+		assert.Equal(t, 12*callRate, o.complete+o.refused)
+		assert.LessOrEqual(t, o.slowestRefusal, 50*time.Millisecond)
+		assert.Zero(t, o.noRetryAfter)
 	})
 }
 
-// A limit below zero is refused with what to write instead.
+// A negative limit is rejected with an error that names the valid values.
 func TestDeclaredLimitIsChecked(t *testing.T) {
 	for kind, spec := range map[topology.Kind]string{
 		topology.KindBackendServer: `{"address":"a:1","failureDomain":"d","requestsPerSecond":-1}`,
--- a/trial/faults_test.go
+++ b/trial/faults_test.go
@@ -23,8 +23,8 @@
 	"github.com/snowspoke/snowspoke/network"
 )
 
-// inWorld runs fn in a world of n daemons in virtual time and checks the ledger
-// and the program's own assertions afterwards.
+// inWorld runs fn in a world of n daemons in virtual time. It checks the ledger and
+// the daemons' invariants afterwards.
 func inWorld(t *testing.T, n int, fn func(w *World, hc *http.Client, net *memnet.Net)) {
 	virtual.Test(t, func(t *testing.T) {
 		net := memnet.New()
@@ -36,7 +36,7 @@
 			hc.CloseIdleConnections()
 			net.Heal()
 			w.Close()
-			time.Sleep(time.Minute) // lets what still runs come to its end
+			time.Sleep(time.Minute) // until background work has ended
 			assert.NoError(t, w.Fleet.Ledger.Check())
 			assert.Equal(t, before, invariant.Total(), "invariants violated")
 		}()
@@ -48,8 +48,8 @@
 	return client.New(w.Daemons[i].CallersURL(), Token, hc)
 }
 
-// Late, repeated, reordered and foreign events never reach a caller.
-func TestDisturbedEvents(t *testing.T) {
+// Stale, repeated, reordered and foreign events are not delivered to callers.
+func TestInvalidEventsAreDropped(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		w.Fleet.Engine("engine-1").Shuffle.Store(true)
 		w.Fleet.Engine("engine-2").Shuffle.Store(true)
@@ -58,32 +58,32 @@
 			reply, err := w.clientOf(0, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: prompt, MaxTokens: 50, Stream: true, Repeatable: true})
 			require.NoError(t, err)
 			require.True(t, reply.Whole)
-			require.True(t, reply.Text == standin.Answer(prompt, 50), "not the whole own answer")
+			require.True(t, reply.Text == standin.Answer(prompt, 50), "the answer differs from the expected text")
 		}
 	})
 }
 
-// faultCases are faults that a repeatable stream must survive.
+// faultCases are faults that must not interrupt a repeatable stream.
 var faultCases = map[string]func(w *World){
 	"last stage dies": func(w *World) { w.Fleet.Engine("engine-5").DieAfter.Store(30) },
 	"head dies":       func(w *World) { w.Fleet.Engine("engine-1").DieAfter.Store(30) },
-	"head freezes":    func(w *World) { freezeSoon(w, "engine-1") },
-	"middle freezes":  func(w *World) { freezeSoon(w, "engine-3") },
-	"domain dies":     func(w *World) { w.killDomainSoon("bogota-1") },
+	"head freezes":    func(w *World) { freezeLater(w, "engine-1") },
+	"middle freezes":  func(w *World) { freezeLater(w, "engine-3") },
+	"domain dies":     func(w *World) { w.killDomainLater("bogota-1") },
 	"two die": func(w *World) {
 		w.Fleet.Engine("engine-1").DieAfter.Store(10)
 		w.Fleet.Engine("engine-5").DieAfter.Store(40)
 	},
 }
 
-func freezeSoon(w *World, name string) {
+func freezeLater(w *World, name string) {
 	go func() {
 		time.Sleep(20 * time.Millisecond)
 		w.Fleet.Engine(name).Frozen.Store(true)
 	}()
 }
 
-func (w *World) killDomainSoon(domain string) {
+func (w *World) killDomainLater(domain string) {
 	go func() {
 		time.Sleep(20 * time.Millisecond)
 		for _, s := range engines {
@@ -115,7 +115,7 @@
 						if !assert.True(t, reply.Whole, reply.Kind) {
 							t.Logf("%+v", w.Daemons[0].daemon.Explain(reply.RequestID))
 						}
-						assert.True(t, reply.Text == standin.Answer(prompt, 80), "not the whole own answer")
+						assert.True(t, reply.Text == standin.Answer(prompt, 80), "the answer differs from the expected text")
 					})
 				}
 				wg.Wait()
@@ -124,10 +124,10 @@
 	}
 }
 
-// While every head refuses, a request is sent again within the retry budget.
-// Beyond it requests are refused as not run, which is true, and told when to
-// come back.
-func TestEveryHeadRefuses(t *testing.T) {
+// While all heads refuse, requests are retried within the retry budget. Beyond it
+// they are refused as not run, with a retry time, and the ledger has no execution of
+// them.
+func TestAllHeadsRefuse(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		r := client.Request{Model: Model, Prompt: "p", MaxTokens: 80, Stream: true}
 		refuseFor(w, 100*time.Millisecond)
@@ -152,8 +152,8 @@
 	})
 }
 
-// A request that is not repeatable runs at most once, whatever fails, and its
-// answer says truly what is known.
+// A request that is not repeatable runs at most once under every fault, and is
+// answered as not run only if it did not run.
 func TestNotRepeatableRunsAtMostOnce(t *testing.T) {
 	for name, fault := range faultCases {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 						runs := w.Fleet.Ledger.Executions(reply.RequestID)
 						assert.LessOrEqual(t, runs, 1)
 						if reply.Whole {
-							assert.True(t, reply.Text == standin.Answer(prompt, 80), "not the whole own answer")
+							assert.True(t, reply.Text == standin.Answer(prompt, 80), "the answer differs from the expected text")
 							return
 						}
 						assert.NotEmpty(t, reply.Kind)
@@ -183,8 +183,8 @@
 	}
 }
 
-// A caller of a daemon that dies gets the rest of its stream from another one,
-// and nothing is computed again.
+// When a daemon becomes unreachable, the caller resumes its stream on another daemon
+// without recomputation.
 func TestResumeOnAnotherDaemon(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, net *memnet.Net) {
 		go func() {
@@ -198,15 +198,15 @@
 		reply, err := client.CompleteThrough(context.Background(), next, client.Request{Model: Model, Prompt: "p", MaxTokens: 60, Stream: true, Repeatable: true}, 3)
 		require.NoError(t, err)
 		require.True(t, reply.Whole, reply.Kind)
-		require.True(t, reply.Text == standin.Answer("p", 60), "not the whole own answer")
+		require.True(t, reply.Text == standin.Answer("p", 60), "the answer differs from the expected text")
 		require.Positive(t, i, "the stream was not interrupted")
 		require.Zero(t, w.Fleet.Ledger.Recomputed())
 		require.Equal(t, 1, w.Fleet.Ledger.Executions(reply.RequestID))
 	})
 }
 
-// A caller that goes away cancels its work at every stage.
-func TestCallerGoesAway(t *testing.T) {
+// A caller's disconnect cancels its request on all stages.
+func TestCallerDisconnects(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
@@ -221,8 +221,8 @@
 	})
 }
 
-// A plain service: repeatable calls survive a broken answer, others say that
-// the outcome is unknown and are not sent again; a refusal is sent elsewhere.
+// Repeatable calls of a plain service are retried after a broken answer; others are
+// answered with an unknown outcome. Refused calls are sent to the other endpoint.
 func TestPlainService(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		c := w.clientOf(0, hc)
@@ -231,7 +231,7 @@
 		w.Services[1].CutAfter.Store(1)
 		get, err := c.Call(ctx, http.MethodGet, Service, "/cards", nil, "")
 		require.NoError(t, err)
-		require.Equal(t, apierror.OutcomeUnknown, get.Kind, "both endpoints cut it")
+		require.Equal(t, apierror.OutcomeUnknown, get.Kind, "both endpoints cut the answer")
 		w.Services[0].CutAfter.Store(1)
 		get, err = c.Call(ctx, http.MethodGet, Service, "/cards", nil, "")
 		require.NoError(t, err)
@@ -256,16 +256,16 @@
 	})
 }
 
-// A caller that loses its connection comes back with its key, to any daemon, and
-// gets the answer of the one execution: a call, and a stream.
-func TestComeBackWithKey(t *testing.T) {
+// A caller that loses its connection and retries with its key on any daemon gets the
+// answer of the single execution, for calls and for streams.
+func TestRetryWithKey(t *testing.T) {
 	inWorld(t, 2, func(w *World, hc *http.Client, _ *memnet.Net) {
 		for _, s := range w.Services {
 			s.Delay.Store(int64(2 * time.Second))
 		}
-		gone, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
+		shortCtx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		_, err := w.clientOf(0, hc).Call(gone, http.MethodPost, Service, "/cards", []byte("loss 7"), "key-7")
+		_, err := w.clientOf(0, hc).Call(shortCtx, http.MethodPost, Service, "/cards", []byte("loss 7"), "key-7")
 		require.Error(t, err)
 		for i := range 4 {
 			reply, err := w.clientOf(i%2, hc).Call(context.Background(), http.MethodPost, Service, "/cards", []byte("loss 7"), "key-7")
@@ -274,38 +274,38 @@
 		}
 		require.Equal(t, 1, w.Fleet.Ledger.Calls("loss 7"))
 
-		gone, cancel = context.WithTimeout(context.Background(), 200*time.Millisecond)
+		shortCtx, cancel = context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer cancel()
 		r := client.Request{Model: Model, Prompt: "p", MaxTokens: 300, Stream: true, Key: "key-8"}
-		first, err := w.clientOf(0, hc).Complete(gone, r)
+		first, err := w.clientOf(0, hc).Complete(shortCtx, r)
 		require.Error(t, err)
-		require.NotEmpty(t, first.Text, "a stream under a key is streamed")
+		require.NotEmpty(t, first.Text, "a stream with a key must deliver events")
 		require.True(t, strings.HasPrefix(standin.Answer("p", 300), first.Text))
-		again, err := w.clientOf(1, hc).Complete(context.Background(), r)
+		retried, err := w.clientOf(1, hc).Complete(context.Background(), r)
 		require.NoError(t, err)
-		require.True(t, again.Whole && again.Text == standin.Answer("p", 300), again.Kind)
+		require.True(t, retried.Whole && retried.Text == standin.Answer("p", 300), retried.Kind)
 		require.Equal(t, 1, w.Fleet.Ledger.Executions(first.RequestID))
 	})
 }
 
-// How long a caller waits for the next token when an engine in the middle of its
-// stream is killed, or freezes: no answer, no error, just silence.
+// The gap that a caller sees is bounded when an engine is killed, or freezes, in
+// mid-stream. A frozen engine keeps its connections but sends nothing.
 func TestRecoveryTime(t *testing.T) {
 	const streams = 40
 	cases := []struct {
-		name string
-		end  func(e *standin.Engine)
-		most time.Duration
+		name   string
+		fail   func(e *standin.Engine)
+		maxGap time.Duration
 	}{
 		{"killed", func(e *standin.Engine) { e.Kill() }, 100 * time.Millisecond},
-		// The least bound on a gap, the question who is silent, and a hop's time.
+		// The minimum gap timeout, the query that finds the silent hop, and a hop's time.
 		{"frozen", func(e *standin.Engine) { e.Frozen.Store(true) }, 500 * time.Millisecond},
 	}
 	for _, c := range cases {
 		for _, engine := range []string{"engine-1", "engine-3", "engine-5"} {
 			t.Run(c.name+" "+engine, func(t *testing.T) {
 				inWorld(t, 2, func(w *World, hc *http.Client, _ *memnet.Net) {
-					time.AfterFunc(300*time.Millisecond, func() { c.end(w.Fleet.Engine(engine)) })
+					time.AfterFunc(300*time.Millisecond, func() { c.fail(w.Fleet.Engine(engine)) })
 					var mu sync.Mutex
 					longest := time.Duration(0)
 					var wg sync.WaitGroup
@@ -322,7 +322,7 @@
 						})
 					}
 					wg.Wait()
-					require.LessOrEqual(t, longest, c.most)
+					require.LessOrEqual(t, longest, c.maxGap)
 				})
 			})
 		}
--- a/trial/input_test.go
+++ b/trial/input_test.go
@@ -16,6 +16,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
+// Invalid requests get the matching error kind and are not run.
 func TestBadInput(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		w.Platform.Set(string(topology.KindModel), "unheld", &topology.Model{Layers: 4, Version: "v1"})
@@ -94,9 +95,9 @@
 		reply, err := w.clientOf(0, hc).Complete(context.Background(), r)
 		require.NoError(t, err)
 		r.EventID = reply.EventID
-		stolen, err := client.New(w.Daemons[0].CallersURL(), "other", hc).Complete(context.Background(), r)
+		other, err := client.New(w.Daemons[0].CallersURL(), "other", hc).Complete(context.Background(), r)
 		require.NoError(t, err)
-		require.Equal(t, apierror.BadEventID, stolen.Kind)
+		require.Equal(t, apierror.BadEventID, other.Kind)
 		r.Prompt = "q"
 		changed, err := w.clientOf(0, hc).Complete(context.Background(), r)
 		require.NoError(t, err)
@@ -104,16 +105,17 @@
 	})
 }
 
-// An invalid object leaves the last valid version in force and says why.
+// After an invalid update the last valid version stays in force, and the reason for
+// the rejection is shown.
 func TestInvalidObject(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		v := w.Platform.Set(string(topology.KindModel), Model, &topology.Model{Layers: -1})
 		time.Sleep(time.Second)
-		verdict, ok := w.Daemons[0].daemon.Verdict(string(topology.KindModel), Model)
+		state, ok := w.Daemons[0].daemon.Verdict(string(topology.KindModel), Model)
 		require.True(t, ok)
-		require.Equal(t, v, verdict.Seen)
-		require.Less(t, verdict.InForce, v)
-		require.Contains(t, verdict.Rejected, "layers: -1, write a number from 1")
+		require.Equal(t, v, state.Seen)
+		require.Less(t, state.InForce, v)
+		require.Contains(t, state.Rejected, "layers: -1, write a number from 1")
 		reply, err := w.clientOf(0, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: "p", MaxTokens: 3, Repeatable: true})
 		require.NoError(t, err)
 		require.True(t, reply.Whole)
--- a/trial/leave_test.go
+++ b/trial/leave_test.go
@@ -22,8 +22,8 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// A planned stop that has to cut off a request, because it outlives the time for
-// draining, fires; the same stop with enough time cuts off nothing.
+// A graceful stop that interrupts a request after the drain timeout counts an invariant
+// violation; one with a sufficient timeout interrupts nothing.
 func TestPlannedStop(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, time.Minute} {
 		virtual.Test(t, func(t *testing.T) {
@@ -44,15 +44,15 @@
 			time.Sleep(100 * time.Millisecond)
 			stopped := p.Stop()
 			wg.Wait()
-			fired := invariant.Count(invariant.PlannedStopCutsOff) - before
+			violations := invariant.Count(invariant.PlannedStopCutsOff) - before
 			if drain == time.Second {
 				assert.Error(t, stopped)
-				assert.EqualValues(t, 1, fired)
+				assert.EqualValues(t, 1, violations)
 			} else {
 				assert.NoError(t, stopped)
 				assert.NoError(t, err)
 				assert.True(t, reply.Whole)
-				assert.Zero(t, fired)
+				assert.Zero(t, violations)
 			}
 			hc.CloseIdleConnections()
 			assert.NoError(t, p.Start())
@@ -62,13 +62,13 @@
 	}
 }
 
-// leaveTokens makes a stream last longer than the leaving takes.
+// leaveTokens makes streams outlast the drain.
 const leaveTokens = 2000
 
-// A backend server that leaves, by VM list, label or its own word, gets no new
-// work within 3 s, and streams on it are not cut off.
+// A backend server that is leaving by VM list, by label or as it reports gets no new
+// requests after 3 s. Running streams are not interrupted.
 func TestLeaving(t *testing.T) {
-	ways := map[string]func(w *World){
+	marks := map[string]func(w *World){
 		"vm list": func(w *World) { w.SetLeaving("engine-1") },
 		"status":  func(w *World) { w.Fleet.Engine("engine-1").Leave(true) },
 		"label": func(w *World) {
@@ -76,7 +76,7 @@
 				Address: w.Fleet.Engine("engine-1").Address(), FailureDomain: "bogota-1", Labels: topology.Labels{topology.LabelDrain: "true"}})
 		},
 	}
-	for name, leave := range ways {
+	for name, mark := range marks {
 		t.Run(name, func(t *testing.T) {
 			inWorld(t, 2, func(w *World, hc *http.Client, _ *memnet.Net) {
 				var wg sync.WaitGroup
@@ -84,11 +84,11 @@
 					wg.Go(func() {
 						reply, err := w.clientOf(i%2, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: "p", MaxTokens: leaveTokens, Stream: true, Repeatable: i%4 == 0})
 						assert.NoError(t, err)
-						assert.True(t, reply.Text == standin.Answer("p", leaveTokens), "not the whole own answer")
+						assert.True(t, reply.Text == standin.Answer("p", leaveTokens), "the answer differs from the expected text")
 					})
 				}
 				time.Sleep(100 * time.Millisecond)
-				leave(w)
+				mark(w)
 				time.Sleep(3 * time.Second)
 				for i := range 30 {
 					reply, err := w.clientOf(i%2, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: "q", MaxTokens: 2, Repeatable: true})
@@ -103,8 +103,8 @@
 	}
 }
 
-// A long stream leaves a leaving backend server with its KV cache: nothing is
-// computed again, and the caller notices nothing.
+// A long stream moves off a leaving backend server with its KV cache, without
+// recomputation and without an effect on the caller.
 func TestPlannedMove(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		var reply client.Reply
@@ -121,10 +121,10 @@
 		leaving, _, _ := strings.Cut(first, "[")
 		w.Fleet.Engine(leaving).Leave(true)
 		time.Sleep(time.Second)
-		require.Zero(t, w.Fleet.Engine(leaving).InFlight(), "the stream stayed")
+		require.Zero(t, w.Fleet.Engine(leaving).InFlight(), "the stream did not move")
 		wg.Wait()
 		require.NoError(t, err)
-		require.True(t, reply.Text == standin.Answer("p", 4000), "not the whole own answer")
+		require.True(t, reply.Text == standin.Answer("p", 4000), "the answer differs from the expected text")
 		require.Zero(t, w.Fleet.Ledger.Recomputed())
 		moved := false
 		for _, d := range w.Daemons[0].daemon.Explain(reply.RequestID) {
--- a/trial/limits_test.go
+++ b/trial/limits_test.go
@@ -21,7 +21,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// A caller that stops reading is cut off and costs bounded memory meanwhile.
+// A caller that stops reading is disconnected.
 func TestSlowReader(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		body := `{"model":"` + Model + `","prompt":"p","max_tokens":4000,"stream":true}`
@@ -36,8 +36,8 @@
 	})
 }
 
-// A caller that sends its header or body a byte at a time is cut off in bounded
-// time.
+// A caller that stops in the middle of its header or body is disconnected after a
+// timeout.
 func TestSlowSender(t *testing.T) {
 	inWorld(t, 1, func(w *World, _ *http.Client, _ *memnet.Net) {
 		address := strings.TrimPrefix(w.Daemons[0].CallersURL(), "http://")
@@ -56,8 +56,8 @@
 	})
 }
 
-// A workspace's limit is that of the fleet: with all its requests at one of
-// three daemons it gets most of it, and never more than the whole plus a burst.
+// The limit of a workspace holds for the complete fleet: with all requests at one of three
+// daemons it can use highest of the limit.
 func TestWorkspaceLimit(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
 		const limit = 20
@@ -65,25 +65,25 @@
 			TokenHashes: []string{topology.HashToken("limited")}, RequestsPerSecond: limit, Burst: 10})
 		time.Sleep(time.Second)
 		c := client.New(w.Daemons[0].CallersURL(), "limited", hc)
-		whole := 0
+		complete := 0
 		const seconds = 40
 		for i := range seconds * 2 * limit {
 			reply, err := c.Call(context.Background(), http.MethodGet, Service, "/cards", nil, "")
 			require.NoError(t, err)
 			if reply.Whole && i >= seconds*limit {
-				whole++
+				complete++
 			}
 			if !reply.Whole {
 				require.Equal(t, apierror.WorkspaceLimit, reply.Kind)
 			}
 			time.Sleep(time.Second / (2 * limit))
 		}
-		perSecond := float64(whole) / (seconds / 2)
+		perSecond := float64(complete) / (seconds / 2)
 		require.InDelta(t, (0.8+0.2/3)*limit, perSecond, 1)
 	})
 }
 
-// The demand that all daemons see reaches the holder of the lease for placement.
+// The demand observed by all daemons reaches the holder of the placement lease.
 func TestDemandIsCollected(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
 		for i := range 200 {
@@ -91,16 +91,15 @@
 			require.NoError(t, err)
 			time.Sleep(100 * time.Millisecond)
 		}
-		most := 0.0
+		highest := 0.0
 		for _, p := range w.Daemons {
-			most = max(most, p.daemon.FleetDemand()[Model])
+			highest = max(highest, p.daemon.FleetDemand()[Model])
 		}
-		require.InDelta(t, 45, most, 30)
+		require.InDelta(t, 45, highest, 30)
 	})
 }
 
-// No token, token hash or key gets into the log or the metrics, whatever a
-// caller sends.
+// Tokens, token hashes and keys do not appear in logs or metrics.
 func TestNoSecretsInLogs(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		net := memnet.New()
@@ -135,7 +134,7 @@
 	})
 }
 
-// syncBuffer is a buffer that many write to.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
@@ -148,7 +147,7 @@
 	return s.b.Write(p)
 }
 
-// String returns what was written.
+// String returns the data written so far.
 func (s *syncBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/trial/once.go
+++ b/trial/once.go
@@ -17,27 +17,27 @@
 	"github.com/snowspoke/snowspoke/network"
 )
 
-// Report is what a run of mixed requests showed.
+// Report holds the counters of a run of mixed requests.
 type Report struct {
 	Requests int
 	Whole    int
-	Refused  int // truly not run
-	Unknown  int // told so
-	Lost     int // no explicit answer, or a whole one that is not
-	Repeated int // not repeatable, and ran more than once
-	Foreign  int // not the caller's own answer
-	Untrue   int // called not run, but ran
-	Broken   int // the connection broke although the caller may expect that
-	Recovery time.Duration
+	Refused  int           // answered as not run
+	Unknown  int           // answered with an unknown outcome
+	Lost     int           // no explicit answer
+	Repeated int           // not repeatable, but ran more than once
+	Foreign  int           // the answer has the wrong text
+	Untrue   int           // answered as not run, but ran
+	Broken   int           // the connection broke while faults allow that
+	Recovery time.Duration // 99th percentile of the longest gap of each stream
 	Problems []string
 }
 
-// OK reports whether every promise held.
+// OK reports whether all guarantees held.
 func (r *Report) OK() bool {
 	return r.Lost == 0 && r.Repeated == 0 && r.Foreign == 0 && r.Untrue == 0 && len(r.Problems) == 0
 }
 
-// String is the last line of a run.
+// String returns the summary line of a run.
 func (r *Report) String() string {
 	return fmt.Sprintf("try: requests=%d whole=%d refused=%d unknown=%d lost=%d repeated=%d foreign=%d recovery_p99_ms=%d",
 		r.Requests, r.Whole, r.Refused, r.Unknown, r.Lost, r.Repeated, r.Foreign, r.Recovery.Milliseconds())
@@ -45,13 +45,13 @@
 
 // mix is one run of requests against a world.
 type mix struct {
-	w      *World
-	crash  bool // connections may break: daemons are killed or cut off
-	http   *http.Client
-	mu     sync.Mutex
-	report Report
-	gaps   []time.Duration // the longest of each stream
-	next   atomic.Int64
+	w           *World
+	allowBroken bool // broken connections are not errors: daemons are killed or cut off
+	http        *http.Client
+	mu          sync.Mutex
+	report      Report
+	gaps        []time.Duration // longest gap of each stream
+	next        atomic.Int64    // index of the daemon used last
 }
 
 // Sizes of a run.
@@ -62,14 +62,14 @@
 	longTokens  = 400
 )
 
-// Once sends a few hundred mixed requests, kills a stage in mid-stream, drains a
-// backend server and restarts a daemon while they run; with faults the store
-// fails too.
-func Once(ctx context.Context, w *World, faults bool, say func(string)) *Report {
+// Once sends mixed requests while a stage is killed in mid-stream, a backend server
+// is drained and a daemon restarts. With faults the store fails and an engine freezes
+// too. Each event is passed to progress.
+func Once(ctx context.Context, w *World, faults bool, progress func(string)) *Report {
 	m := newMix(w)
-	events := m.events(say)
+	events := m.events(progress)
 	if faults {
-		m.addPlatformFaults(events, say)
+		m.addPlatformFaults(events, progress)
 	}
 	m.run(ctx, mixRequests, func(i int, wg *sync.WaitGroup) {
 		if event := events[i]; event != nil {
@@ -81,7 +81,7 @@
 
 func newMix(w *World) *mix { return &mix{w: w, http: network.Client(w.hosts(callersIP), mixParallel)} }
 
-// run sends n requests, calling before for each.
+// run sends n requests and calls before ahead of each.
 func (m *mix) run(ctx context.Context, n int, before func(i int, wg *sync.WaitGroup)) {
 	defer m.http.CloseIdleConnections()
 	jobs := make(chan int)
@@ -89,7 +89,7 @@
 	for range mixParallel {
 		wg.Go(func() {
 			for i := range jobs {
-				m.one(ctx, i)
+				m.send(ctx, i)
 			}
 		})
 	}
@@ -99,56 +99,57 @@
 	}
 	close(jobs)
 	wg.Wait()
-	m.settle()
+	m.finish()
 }
 
 // addPlatformFaults adds an outage of the store, lost answers and a frozen
 // engine to the events.
-func (m *mix) addPlatformFaults(events map[int]func(), say func(string)) {
+func (m *mix) addPlatformFaults(events map[int]func(), progress func(string)) {
 	store := m.w.Platform.Store
 	events[20] = func() {
-		say("answers of the store are lost")
+		progress("answers of the store are lost")
 		store.SetFaults(memstore.Faults{LoseAnswer: 0.5})
 	}
 	events[90] = func() {
-		say("the store is down")
+		progress("the store is down")
 		store.SetFaults(memstore.Faults{Outage: true})
 	}
 	events[100] = func() {
-		say("engine-5 freezes for a second")
+		progress("engine-5 freezes for a second")
 		m.w.Fleet.Engine("engine-5").Frozen.Store(true)
 		time.Sleep(time.Second)
 		m.w.Fleet.Engine("engine-5").Frozen.Store(false)
 	}
 	events[140] = func() {
-		say("the store is back")
+		progress("the store is back")
 		store.SetFaults(memstore.Faults{})
 	}
 }
 
-// events are the faults, by the number of the request before which they begin.
-func (m *mix) events(say func(string)) map[int]func() {
+// events returns the faults by the index of the request before which they start.
+func (m *mix) events(progress func(string)) map[int]func() {
 	return map[int]func(){
 		60: func() {
-			say("engine-3 dies in mid-stream")
+			progress("engine-3 dies in mid-stream")
 			m.w.Fleet.Engine("engine-3").DieAfter.Store(20)
 		},
 		120: func() {
-			say("engine-3 is back")
-			m.check(m.w.Fleet.Engine("engine-3").Restart())
+			progress("engine-3 is back")
+			m.addProblem(m.w.Fleet.Engine("engine-3").Restart())
 		},
 		150: func() {
-			say("engine-2 is leaving by the VM list")
+			progress("engine-2 is leaving by the VM list")
 			m.w.SetLeaving("engine-2")
 		},
 		200: func() {
-			say("daemon-2 stops and starts again")
-			m.check(m.w.Daemons[1].Cycle(false, time.Millisecond))
+			progress("daemon-2 stops and starts again")
+			m.addProblem(m.w.Daemons[1].Cycle(false, time.Millisecond))
 		},
 	}
 }
 
-func (m *mix) check(err error) {
+// addProblem records an error, if any.
+func (m *mix) addProblem(err error) {
 	if err == nil {
 		return
 	}
@@ -157,8 +158,9 @@
 	m.report.Problems = append(m.report.Problems, err.Error())
 }
 
-// balance is the platform's balancer: the next ready daemon.
-func (m *mix) balance() *client.Client {
+// nextClient returns a client of the next ready daemon, in round-robin order, or of
+// the first daemon when none becomes ready.
+func (m *mix) nextClient() *client.Client {
 	for range 200 {
 		n := int(m.next.Add(1))
 		p := m.w.Daemons[n%len(m.w.Daemons)]
@@ -170,12 +172,12 @@
 	return client.New(m.w.Daemons[0].CallersURL(), Token, m.http)
 }
 
-// one sends the i-th request and judges its answer.
-func (m *mix) one(ctx context.Context, i int) {
+// send sends the i-th request and checks its answer.
+func (m *mix) send(ctx context.Context, i int) {
 	prompt := fmt.Sprintf("truck %d is warm", i)
 	switch i % 7 {
 	case 6:
-		m.keyed(ctx, prompt, fmt.Sprint("key-", i))
+		m.callWithKey(ctx, prompt, fmt.Sprint("key-", i))
 	case 0, 1, 2:
 		m.stream(ctx, prompt, mixTokens)
 	case 3:
@@ -192,13 +194,13 @@
 
 func (m *mix) stream(ctx context.Context, prompt string, tokens int) {
 	r := client.Request{Model: Model, Prompt: prompt, MaxTokens: tokens, Stream: true, Repeatable: true}
-	reply, err := client.CompleteThrough(ctx, m.balance, r, 3)
-	m.judge(&r, &reply, err, standin.Answer(prompt, tokens))
+	reply, err := client.CompleteThrough(ctx, m.nextClient, r, 3)
+	m.record(&r, &reply, err, standin.Answer(prompt, tokens))
 }
 
 func (m *mix) complete(ctx context.Context, r client.Request) {
-	reply, err := m.balance().Complete(ctx, r)
-	m.judge(&r, &reply, err, standin.Answer(r.Prompt, r.MaxTokens))
+	reply, err := m.nextClient().Complete(ctx, r)
+	m.record(&r, &reply, err, standin.Answer(r.Prompt, r.MaxTokens))
 }
 
 func (m *mix) call(ctx context.Context, payload string, read bool) {
@@ -206,19 +208,19 @@
 	if read {
 		method = http.MethodGet
 	}
-	reply, err := m.balance().Call(ctx, method, Service, "/cards", []byte(payload), "")
-	m.judge(&client.Request{Prompt: payload, Repeatable: read}, &reply, err, method+" /cards "+payload)
+	reply, err := m.nextClient().Call(ctx, method, Service, "/cards", []byte(payload), "")
+	m.record(&client.Request{Prompt: payload, Repeatable: read}, &reply, err, method+" /cards "+payload)
 }
 
-// keyed sends a call that must not be repeated under a key, twice at once and
-// once more later, on whatever daemons the balancer picks: it must run once, and
-// every whole answer must be that of the one run.
-func (m *mix) keyed(ctx context.Context, payload, key string) {
+// callWithKey sends a call with an idempotency key twice concurrently and once more
+// afterwards. The call must run at most once, and every complete answer must be that
+// of the one execution.
+func (m *mix) callWithKey(ctx context.Context, payload, key string) {
 	before := m.w.Fleet.Ledger.Calls(payload)
 	var wg sync.WaitGroup
 	send := func() {
-		reply, err := m.balance().Call(ctx, http.MethodPost, Service, "/cards", []byte(payload), key)
-		m.judge(&client.Request{Prompt: payload, Repeatable: true}, &reply, err, "POST /cards "+payload)
+		reply, err := m.nextClient().Call(ctx, http.MethodPost, Service, "/cards", []byte(payload), key)
+		m.record(&client.Request{Prompt: payload, Repeatable: true}, &reply, err, "POST /cards "+payload)
 	}
 	wg.Go(send)
 	wg.Go(send)
@@ -231,8 +233,9 @@
 	}
 }
 
-// judge compares an answer with what the caller must get and with what ran.
-func (m *mix) judge(r *client.Request, reply *client.Reply, err error, want string) {
+// record counts an answer, comparing it with the expected text and with the
+// executions in the ledger.
+func (m *mix) record(r *client.Request, reply *client.Reply, err error, want string) {
 	runs := m.w.Fleet.Ledger.Executions(reply.RequestID)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -244,7 +247,7 @@
 		m.report.Repeated++
 	}
 	switch {
-	case err != nil && m.crash && !reply.Whole:
+	case err != nil && m.allowBroken && !reply.Whole:
 		m.report.Broken++
 	case err != nil:
 		m.report.Lost++
@@ -267,9 +270,9 @@
 	}
 }
 
-// settle checks the engines' ledger and finds the recovery time.
-func (m *mix) settle() {
-	m.check(m.w.Fleet.Ledger.Check())
+// finish checks the ledger and computes the recovery time.
+func (m *mix) finish() {
+	m.addProblem(m.w.Fleet.Ledger.Check())
 	slices.Sort(m.gaps)
 	if n := len(m.gaps); n > 0 {
 		m.report.Recovery = m.gaps[n*99/100]
--- a/trial/outage_test.go
+++ b/trial/outage_test.go
@@ -17,19 +17,19 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// The store is down for ten minutes: requests go on, a daemon that restarts
-// serves again, keyed calls are refused as not run within their deadline, and an
-// operator's edit that is tried until it is taken is in force everywhere soon
-// after the store is back.
+// During a ten-minute outage of the store, requests are served, a restarted daemon
+// becomes ready, and calls with a key are refused as not run within their deadline. An
+// operator's edit that is retried until it succeeds is in force on all daemons soon
+// after the outage.
 func TestStoreDownForTenMinutes(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
 		store := w.Platform.Store
-		ask := func(i int) {
+		complete := func(i int) {
 			reply, err := w.clientOf(i%3, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: "p", MaxTokens: 5, Repeatable: true})
 			require.NoError(t, err)
 			require.True(t, reply.Whole, reply.Kind)
 		}
-		ask(0)
+		complete(0)
 		time.Sleep(5 * time.Second)
 		store.SetFaults(memstore.Faults{Outage: true})
 		edited := make(chan edit.Result, 1)
@@ -45,7 +45,7 @@
 		}()
 		for i := range 60 {
 			time.Sleep(10 * time.Second)
-			ask(i)
+			complete(i)
 			if i == 20 {
 				require.NoError(t, w.Daemons[1].Cycle(true, time.Second))
 				time.Sleep(10 * time.Second)
@@ -72,7 +72,7 @@
 		require.NoError(t, err)
 		require.NoError(t, json.Unmarshal(o.Spec, &spec))
 		require.Equal(t, "r7", spec.Labels["rack"])
-		// The key can be used once its claim is released.
+		// The key is usable again after its claim is released.
 		time.Sleep(time.Minute)
 		reply, err = w.clientOf(1, hc).Call(ctx, http.MethodPost, Service, "/cards", []byte("report"), "key-9")
 		require.NoError(t, err)
--- a/trial/site.go
+++ b/trial/site.go
@@ -17,17 +17,18 @@
 
 // Sizes of one run.
 const (
-	onceRequests = 300
-	onceParallel = 16
-	onceDaemons  = 3
-	onceEvents   = 30
-	readyWithin  = 10 * time.Second
+	onceRequests     = 300
+	onceParallel     = 16
+	onceDaemons      = 3
+	onceEvents       = 30
+	siteReadyTimeout = 10 * time.Second
 )
 
-// OnceOnSite runs a site of the users' platform and daemons in this process, sends mixed requests, kills a
-// head, spoils answers, takes the store away and stops a daemon as planned while
-// they run. It returns what was counted and every promise that did not hold.
-func OnceOnSite(ctx context.Context, logs io.Writer, say func(string)) (summary string, problems []string, err error) {
+// OnceOnSite runs a stand-in site of the platform and daemons in this process. It
+// sends mixed requests while a head is killed, answers fail, the store is
+// unavailable and a daemon is stopped gracefully. Each event is passed to progress.
+// It returns the counters of the run and the guarantees that were violated.
+func OnceOnSite(ctx context.Context, logs io.Writer, progress func(string)) (summary string, problems []string, err error) {
 	s := sitetrial.New([]string{"a", "b"}, 2, 2, 2)
 	defer s.Close()
 	for _, p := range s.Servers() {
@@ -43,7 +44,7 @@
 		return "", nil, err
 	}
 	callers := sitetrial.NewCallers(s, onceEvents)
-	runOnce(ctx, s, daemons, callers, say)
+	runOnce(ctx, s, daemons, callers, progress)
 	sent, served, refused := callers.Counts()
 	return fmt.Sprintf("requests=%d served=%d refused=%d", sent, served, refused), callers.Verify(), nil
 }
@@ -65,7 +66,7 @@
 			return all, err
 		}
 		ctx, stop := context.WithCancel(context.Background())
-		go func() { _ = g.Run(ctx) }() // how it ends shows in what callers see
+		go func() { _ = g.Run(ctx) }() // failures show in the answers to callers
 		all = append(all, siteDaemon{g, stop})
 	}
 	for _, d := range all {
@@ -77,7 +78,7 @@
 }
 
 func awaitReady(d siteDaemon) error {
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(siteReadyTimeout); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + d.ReadinessAddr() + "/ready")
 		if err != nil {
 			continue // not listening yet
@@ -87,14 +88,14 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("daemon at %s is not ready after %s", d.ReadinessAddr(), readyWithin)
+	return fmt.Errorf("daemon at %s is not ready after %s", d.ReadinessAddr(), siteReadyTimeout)
 }
 
-// runOnce sends the requests and injects the faults at fixed points among them.
-func runOnce(ctx context.Context, s *sitetrial.Site, daemons []siteDaemon, callers *sitetrial.Callers, say func(string)) {
+// runOnce sends the requests and injects each fault before a fixed request.
+func runOnce(ctx context.Context, s *sitetrial.Site, daemons []siteDaemon, callers *sitetrial.Callers, progress func(string)) {
 	events := map[int]func(){
 		60: func() {
-			say("a head of a pipeline is killed")
+			progress("a head of a pipeline is killed")
 			for _, p := range s.Servers() {
 				if p.ID == "a-card-0" {
 					p.Kill()
@@ -103,16 +104,16 @@
 			}
 		},
 		100: func() {
-			say("a backend server breaks answers off")
+			progress("a backend server breaks answers off")
 			for _, p := range s.Servers() {
 				if p.ID == "b-plain-0" {
 					p.Next(standin.BreakOff, standin.ResetAfter, standin.Surplus)
 				}
 			}
 		},
-		140: func() { say("the store is away"); s.Store.SetTrouble(standin.Refusing) },
-		200: func() { say("the store is back"); s.Store.SetTrouble(standin.Sound) },
-		220: func() { say("a daemon is stopped as planned"); daemons[2].stop() },
+		140: func() { progress("the store is away"); s.Store.SetTrouble(standin.Refusing) },
+		200: func() { progress("the store is back"); s.Store.SetTrouble(standin.Sound) },
+		220: func() { progress("a daemon is stopped as planned"); daemons[2].stop() },
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: onceParallel}}
 	slots := make(chan struct{}, onceParallel)
--- a/trial/site_test.go
+++ b/trial/site_test.go
@@ -7,6 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// A run on a stand-in site violates no guarantee.
 func TestOnceOnSite(t *testing.T) {
 	summary, problems, err := OnceOnSite(t.Context(), io.Discard, func(s string) { t.Log(s) })
 	require.NoError(t, err)
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -26,33 +26,33 @@
 	firstSeed = flag.Int("first-seed", 1, "first seed of TestSoak")
 )
 
-// soak is one randomised run: the seed decides which faults come when.
+// soak is one randomised run; the seed determines the faults and their times.
 type soak struct {
 	w   *World
 	net *memnet.Net
 	mix *mix
 	rng *rand.Rand
 	mu  sync.Mutex
-	// afterLeave are routes chosen through an engine that had left.
-	afterLeave int
-	leaving    map[string]bool
-	freezes    map[string]int
-	log        []string
+	// routesAfterLeave counts routes through engines 3 s or more after they reported leaving.
+	routesAfterLeave int
+	leaving          map[string]bool
+	freezes          map[string]int
+	faultNames       []string // injected so far
 }
 
 const (
-	soakRequests = 150
-	soakPace     = 60 * time.Millisecond // mean time between two requests
+	soakRequests        = 150
+	meanRequestInterval = 60 * time.Millisecond
 )
 
-// soakFaults begin something and end it again.
+// soakFaults maps the name of a fault to a function that starts it and ends it.
 var soakFaults = map[string]func(s *soak, r *rand.Rand){
 	"engine dies": func(s *soak, r *rand.Rand) {
 		e := s.w.Fleet.Engine(engines[r.IntN(len(engines))].name)
 		e.DieAfter.Store(1 + r.Int64N(60))
-		time.Sleep(pause(r, 3*time.Second))
+		time.Sleep(randomDuration(r, 3*time.Second))
 		e.Kill()
-		s.mix.check(e.Restart())
+		s.mix.addProblem(e.Restart())
 	},
 	"engine freezes": func(s *soak, r *rand.Rand) {
 		e := s.w.Fleet.Engine(engines[r.IntN(len(engines))].name)
@@ -60,19 +60,19 @@
 		s.freezes[e.Name]++
 		s.mu.Unlock()
 		e.Frozen.Store(true)
-		time.Sleep(pause(r, 4*time.Second))
+		time.Sleep(randomDuration(r, 4*time.Second))
 		e.Frozen.Store(false)
 	},
 	"engine refuses": func(s *soak, r *rand.Rand) {
 		e := s.w.Fleet.Engine(engines[r.IntN(len(engines))].name)
 		e.RefuseAll.Store(true)
-		time.Sleep(pause(r, time.Second))
+		time.Sleep(randomDuration(r, time.Second))
 		e.RefuseAll.Store(false)
 	},
 	"events disturbed": func(s *soak, r *rand.Rand) {
 		e := s.w.Fleet.Engine(engines[r.IntN(2)].name)
 		e.Shuffle.Store(true)
-		time.Sleep(pause(r, 3*time.Second))
+		time.Sleep(randomDuration(r, 3*time.Second))
 		e.Shuffle.Store(false)
 	},
 	"engine leaves": func(s *soak, r *rand.Rand) {
@@ -80,7 +80,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.leaving[e.Name] {
-			return // it leaves already
+			return // already leaving
 		}
 		s.leaving[e.Name] = true
 		freezes, frozen := s.freezes[e.Name], e.Frozen.Load()
@@ -88,10 +88,10 @@
 		s.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		from := time.Now()
-		time.Sleep(pause(r, 2*time.Second))
+		time.Sleep(randomDuration(r, 2*time.Second))
 		s.mu.Lock()
-		if !frozen && freezes == s.freezes[e.Name] { // a frozen engine cannot say that it leaves
-			s.afterLeave += s.w.sentTo(e.Name, from)
+		if !frozen && freezes == s.freezes[e.Name] { // a frozen engine cannot report that it is leaving
+			s.routesAfterLeave += s.w.routesSince(e.Name, from)
 		}
 		s.leaving[e.Name] = false
 		e.Leave(false)
@@ -99,38 +99,38 @@
 	"slow links": func(s *soak, r *rand.Rand) {
 		a, b := engines[r.IntN(len(engines))].name, engines[r.IntN(len(engines))].name
 		s.w.Fleet.SetLink(a, b, 30*time.Millisecond)
-		time.Sleep(pause(r, 5*time.Second))
+		time.Sleep(randomDuration(r, 5*time.Second))
 		s.w.Fleet.SetLink(a, b, 300*time.Microsecond)
 	},
 	"store down": func(s *soak, r *rand.Rand) {
 		s.w.Platform.Store.SetFaults(memstore.Faults{Outage: true})
-		time.Sleep(pause(r, 5*time.Second))
+		time.Sleep(randomDuration(r, 5*time.Second))
 		s.w.Platform.Store.SetFaults(memstore.Faults{})
 	},
 	"store loses": func(s *soak, r *rand.Rand) {
 		s.w.Platform.Store.SetFaults(memstore.Faults{LoseAnswer: 0.4, LoseWrite: 0.2, Late: 0.2, Delay: 20 * time.Millisecond})
-		time.Sleep(pause(r, 5*time.Second))
+		time.Sleep(randomDuration(r, 5*time.Second))
 		s.w.Platform.Store.SetFaults(memstore.Faults{})
 	},
 	"daemon killed": func(s *soak, r *rand.Rand) {
 		p := s.w.Daemons[r.IntN(len(s.w.Daemons))]
-		s.mix.check(p.Cycle(true, pause(r, time.Second)))
+		s.mix.addProblem(p.Cycle(true, randomDuration(r, time.Second)))
 	},
 	"daemon restarts": func(s *soak, r *rand.Rand) {
 		p := s.w.Daemons[r.IntN(len(s.w.Daemons))]
-		s.mix.check(p.Cycle(false, time.Millisecond))
+		s.mix.addProblem(p.Cycle(false, time.Millisecond))
 	},
 	"daemon cut off": func(s *soak, r *rand.Rand) {
 		d := fmt.Sprintf(daemonIP, 1+r.IntN(len(s.w.Daemons)))
 		s.net.Cut(d, fmt.Sprintf(engineIP, 1+r.IntN(len(engines))))
 		s.net.Cut(d, platformIP)
 		s.net.Cut(d, fmt.Sprintf(daemonIP, 1+r.IntN(len(s.w.Daemons))))
-		time.Sleep(pause(r, 5*time.Second))
+		time.Sleep(randomDuration(r, 5*time.Second))
 		s.net.Heal()
 	},
 	"caller cut off": func(s *soak, r *rand.Rand) {
 		s.net.Cut(callersIP, fmt.Sprintf(daemonIP, 1+r.IntN(len(s.w.Daemons))))
-		time.Sleep(pause(r, time.Second))
+		time.Sleep(randomDuration(r, time.Second))
 		s.net.Heal()
 	},
 	"service breaks": func(s *soak, r *rand.Rand) {
@@ -143,16 +143,16 @@
 				m.Layers = -1
 			}
 			s.w.Platform.Set(string(topology.KindModel), Model, m)
-			time.Sleep(pause(r, 200*time.Millisecond))
+			time.Sleep(randomDuration(r, 200*time.Millisecond))
 		}
 		s.w.Platform.Set(string(topology.KindModel), Model, &topology.Model{Layers: layers, Version: version, MaxTokens: 4096})
 	},
 }
 
-// sentTo counts the routes that daemons chose through an engine since a moment.
-// What an engine begins is no measure: a head that was frozen begins late what
-// was sent long before.
-func (w *World) sentTo(engine string, since time.Time) int {
+// routesSince counts the routes that daemons chose through an engine after a time.
+// Starts at the engine are not counted, as a head that was frozen starts requests
+// late.
+func (w *World) routesSince(engine string, since time.Time) int {
 	n := 0
 	for _, p := range w.Daemons {
 		for _, d := range p.decisions(Model) {
@@ -164,22 +164,22 @@
 	return n
 }
 
-func pause(r *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(r.Int64N(int64(most))) + time.Millisecond
+func randomDuration(r *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(r.Int64N(int64(limit))) + time.Millisecond
 }
 
-// faultNames is sorted, so that a seed means the same on every run.
-var faultNames = []string{
+// allFaultNames lists the keys of soakFaults in a fixed order, so that a seed gives the
+// same faults on every run.
+var allFaultNames = []string{
 	"caller cut off", "daemon cut off", "daemon killed", "daemon restarts", "engine dies", "engine freezes",
 	"engine leaves", "engine refuses", "events disturbed", "operators race", "service breaks", "slow links",
 	"store down", "store loses",
 }
 
-// TestSoak runs the daemons' real code under random faults in virtual time and
-// checks every promise. The seed fixes the faults and their times; the order in
-// which goroutines run is the scheduler's.
+// TestSoak runs daemons under random faults in virtual time and checks the guarantees.
+// The seed determines the faults and their times, but not the scheduling of goroutines.
 func TestSoak(t *testing.T) {
-	require.Len(t, faultNames, len(soakFaults))
+	require.Len(t, allFaultNames, len(soakFaults))
 	total := &Report{}
 	var mu sync.Mutex
 	t.Run("seeds", func(t *testing.T) {
@@ -214,42 +214,42 @@
 	w, err := NewWorld(3, func(ip string) network.Network { return net.Host(ip) }, log.NewNopLogger())
 	require.NoError(t, err)
 	s := &soak{w: w, net: net, mix: newMix(w), leaving: map[string]bool{}, freezes: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 9))}
-	s.mix.crash = true
+	s.mix.allowBroken = true
 	var faults sync.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
-	faults.Go(func() { s.disturb(ctx, &faults) })
+	faults.Go(func() { s.injectFaults(ctx, &faults) })
 	rng := rand.New(rand.NewPCG(seed, 10))
 	s.mix.run(context.Background(), soakRequests, func(int, *sync.WaitGroup) {
-		time.Sleep(time.Duration(rng.ExpFloat64() * float64(soakPace)))
+		time.Sleep(time.Duration(rng.ExpFloat64() * float64(meanRequestInterval)))
 	})
 	cancel()
 	faults.Wait()
 	net.Heal()
-	s.settle(t)
+	s.awaitSameConfiguration(t)
 	w.Close()
 	time.Sleep(2 * time.Minute)
 	r := &s.mix.report
-	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.Untrue, r.Problems, s.log)
-	require.Zero(t, s.afterLeave, "seed %d: new work on an engine that had left\nfaults %v", seed, s.log)
+	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.Untrue, r.Problems, s.faultNames)
+	require.Zero(t, s.routesAfterLeave, "seed %d: routes through an engine that is leaving\nfaults %v", seed, s.faultNames)
 	require.Equal(t, before, invariant.Total(), "seed %d: invariants violated", seed)
 	require.Greater(t, r.Whole, r.Requests/3, "seed %d: %s", seed, r)
 	return r
 }
 
-// disturb begins faults at random moments; several may be there at once, also
-// the same one twice.
-func (s *soak) disturb(ctx context.Context, wg *sync.WaitGroup) {
+// injectFaults starts faults at random times until ctx ends. Faults may overlap, also
+// several of the same kind.
+func (s *soak) injectFaults(ctx context.Context, wg *sync.WaitGroup) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(s.rng.ExpFloat64() * float64(1200*time.Millisecond)))
-		name := faultNames[s.rng.IntN(len(faultNames))]
+		name := allFaultNames[s.rng.IntN(len(allFaultNames))]
 		r := rand.New(rand.NewPCG(s.rng.Uint64(), 11))
-		s.log = append(s.log, name)
+		s.faultNames = append(s.faultNames, name)
 		wg.Go(func() { soakFaults[name](s, r) })
 	}
 }
 
-// settle waits until every daemon has the same configuration in force.
-func (s *soak) settle(t *testing.T) {
+// awaitSameConfiguration waits until all daemons have the same configuration in force.
+func (s *soak) awaitSameConfiguration(t *testing.T) {
 	same := func() bool {
 		first := s.w.Daemons[0].daemon.Status()
 		for _, p := range s.w.Daemons {
@@ -265,5 +265,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	require.Fail(t, "the daemons did not come to the same configuration")
+	require.Fail(t, "the daemons do not have the same configuration")
 }
--- a/trial/tls_test.go
+++ b/trial/tls_test.go
@@ -18,8 +18,8 @@
 	"github.com/snowspoke/snowspoke/network"
 )
 
-// Daemons with certificates form a fleet over mutual TLS and serve callers over
-// TLS; one with a certificate of another authority stays outside.
+// Daemons with certificates form a fleet over mutual TLS and serve callers over TLS. A
+// daemon with a certificate of another authority does not join.
 func TestTLSBetweenDaemonsAndToCallers(t *testing.T) {
 	dirs := []string{t.TempDir(), t.TempDir(), t.TempDir()}
 	virtual.Test(t, func(t *testing.T) {
@@ -30,11 +30,11 @@
 			w.Close()
 			time.Sleep(time.Minute)
 		}()
-		ours, err := testcert.NewAuthority()
+		fleetCA, err := testcert.NewAuthority()
 		require.NoError(t, err)
-		theirs, err := testcert.NewAuthority()
+		otherCA, err := testcert.NewAuthority()
 		require.NoError(t, err)
-		for i, authority := range []*testcert.Authority{ours, ours, theirs} {
+		for i, authority := range []*testcert.Authority{fleetCA, fleetCA, otherCA} {
 			files, err := authority.Issue(dirs[i], fmt.Sprintf(daemonIP, i+1), int64(i+2))
 			require.NoError(t, err)
 			cfg := w.Settings(i)
@@ -45,16 +45,16 @@
 		for i, want := range []int{2, 2, 1} {
 			require.Len(t, w.Daemons[i].daemon.Status().Peers, want, "daemon %d", i)
 		}
-		ask := func(pool *x509.CertPool) (client.Reply, error) {
+		complete := func(pool *x509.CertPool) (client.Reply, error) {
 			hc := network.TLSClient(w.hosts(callersIP), 4, &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool})
 			defer hc.CloseIdleConnections()
 			c := client.New("https://"+w.Daemons[0].cfg.Listen.Callers, Token, hc)
 			return c.Complete(context.Background(), client.Request{Model: Model, Prompt: "p", MaxTokens: 5, Stream: true, Repeatable: true})
 		}
-		reply, err := ask(ours.Pool())
+		reply, err := complete(fleetCA.Pool())
 		require.NoError(t, err)
 		require.True(t, reply.Whole)
-		_, err = ask(theirs.Pool())
+		_, err = complete(otherCA.Pool())
 		require.Error(t, err)
 	})
 }
--- a/trial/world.go
+++ b/trial/world.go
@@ -1,5 +1,5 @@
-// Package trial runs stand-ins and daemons in one process on loopback, for
-// trying the system out and for checking its promises under faults.
+// Package trial runs daemons and stand-in backends in one process on loopback, for
+// demonstrations and for checking the system's guarantees under faults.
 package trial
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Names of what a world holds.
+// Names of the objects in a world.
 const (
 	Model   = "excursion-7b"
 	Service = "status-cards"
@@ -41,10 +41,10 @@
 	domain      string
 	rate        float64 // tokens per second
 	delay       time.Duration
-	holds       topology.LayerRange
+	layers      topology.LayerRange
 }
 
-// engines holds three stages, each on two of four kinds of accelerator.
+// engines form three stages with two engines each, of different accelerators.
 var engines = []engineSpec{
 	{"engine-1", "h100", "bogota-1", 4000, 400 * time.Microsecond, topology.LayerRange{Lo: 0, Hi: 8}},
 	{"engine-2", "a100", "bogota-2", 2000, 700 * time.Microsecond, topology.LayerRange{Lo: 0, Hi: 8}},
@@ -54,7 +54,7 @@
 	{"engine-6", "a100", "bogota-3", 2000, 700 * time.Microsecond, topology.LayerRange{Lo: 16, Hi: 24}},
 }
 
-// World is the stand-ins and the daemons.
+// World is a complete system: the platform, stand-in engines and services, and daemons.
 type World struct {
 	Platform *memstore.Platform
 	Fleet    *standin.Fleet
@@ -67,13 +67,13 @@
 	dir     string
 }
 
-// Hosts gives each process of a world the network of its host, by IP number.
+// Hosts returns the network of the host with the given IP address.
 type Hosts func(ip string) network.Network
 
-// Loopback puts every process on the machine's own network.
+// Loopback returns the machine's own network for every host.
 func Loopback(string) network.Network { return network.NewSystem(time.Second) }
 
-// IP numbers of a world's hosts on a network in memory.
+// IP addresses of a world's hosts on an in-memory network.
 const (
 	platformIP = "10.0.0.1"
 	callersIP  = "10.0.0.2"
@@ -82,20 +82,21 @@
 	daemonIP   = "10.0.3.%d"
 )
 
-// Process is one daemon that can be stopped and started again.
+// Process is a daemon that can be restarted.
 type Process struct {
 	Name   string
 	world  *World
 	cfg    config.Config
 	net    network.Network
-	cycle  chan struct{} // full while the daemon is replaced
+	cycle  chan struct{} // semaphore that serializes restarts
 	mu     sync.Mutex
 	daemon *daemon.Daemon
 	stop   context.CancelFunc
 	done   chan error
 }
 
-// NewWorld starts stand-ins, and n daemons that log to logger.
+// NewWorld starts the platform, the stand-ins and n daemons that log to logger,
+// and waits until the daemons are ready.
 func NewWorld(n int, hosts Hosts, logger log.Logger) (*World, error) {
 	w := &World{Fleet: standin.NewFleet(), hosts: hosts, logger: logger}
 	var err error
@@ -118,7 +119,7 @@
 
 func (w *World) addBackends() error {
 	for i, s := range engines {
-		e, err := w.Fleet.Add(w.hosts(fmt.Sprintf(engineIP, i+1)), s.name, s.rate, s.delay, backend.Holding{Model: Model, Version: version, Layers: s.holds})
+		e, err := w.Fleet.Add(w.hosts(fmt.Sprintf(engineIP, i+1)), s.name, s.rate, s.delay, backend.Holding{Model: Model, Version: version, Layers: s.layers})
 		if err != nil {
 			return err
 		}
@@ -127,7 +128,7 @@
 			TokensPerSecond: s.rate, ChecksFencing: true, Labels: topology.Labels{"accelerator": s.accelerator, "name": s.name},
 		})
 	}
-	w.linkEngines()
+	w.setLinkDelays()
 	w.Platform.Set(string(topology.KindModel), Model, &topology.Model{Layers: layers, Version: version, MaxTokens: 4096})
 	for i, lo := range []int{0, 8, 16} {
 		w.Platform.Set(string(topology.KindStage), fmt.Sprintf("stage-%d", i+1), &topology.Stage{
@@ -140,8 +141,8 @@
 	return w.addService()
 }
 
-// linkEngines makes the links between failure domains slower.
-func (w *World) linkEngines() {
+// setLinkDelays gives links between failure domains a longer delay.
+func (w *World) setLinkDelays() {
 	for _, a := range engines {
 		for _, b := range engines {
 			d := 50 * time.Microsecond
@@ -196,8 +197,8 @@
 	return cfg
 }
 
-// WriteSettings writes settings with which one more daemon can be run as a
-// process of its own.
+// WriteSettings writes a settings file for one more daemon, to be run as a
+// separate process.
 func (w *World) WriteSettings(path string) error {
 	cfg := w.Settings(len(w.Daemons))
 	for _, p := range w.Daemons {
@@ -229,13 +230,13 @@
 	defer p.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	p.daemon, p.stop, p.done = d, cancel, make(chan error, 1)
-	// A restarted daemon is found at the address that it had.
+	// A restarted daemon listens on the same addresses.
 	p.cfg.Listen = config.Listen{Callers: d.CallersAddr(), Operators: d.OperatorsAddr(), Peers: d.PeersAddr()}
 	go func(done chan error) { done <- d.Run(ctx) }(p.done)
 	return nil
 }
 
-// Stop ends the daemon as a planned stop does.
+// Stop shuts the daemon down gracefully.
 func (p *Process) Stop() error {
 	p.mu.Lock()
 	stop, done := p.stop, p.done
@@ -244,7 +245,7 @@
 	return <-done
 }
 
-// Kill ends the daemon as a crash does.
+// Kill stops the daemon without a graceful shutdown.
 func (p *Process) Kill() {
 	p.mu.Lock()
 	d, done := p.daemon, p.done
@@ -253,8 +254,8 @@
 	<-done
 }
 
-// Cycle ends the daemon, as a crash or as a planned stop, and starts it again
-// after a pause. Two cycles of one daemon follow each other.
+// Cycle kills or stops the daemon and starts it again after a pause. Concurrent
+// cycles of one daemon run one after the other.
 func (p *Process) Cycle(crash bool, pause time.Duration) error {
 	p.cycle <- struct{}{}
 	defer func() { <-p.cycle }()
@@ -267,35 +268,35 @@
 	return p.Start()
 }
 
-// Ready reports whether the balancer would send callers to the daemon.
+// Ready reports whether the daemon is ready for callers.
 func (p *Process) Ready() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.daemon.Ready() == nil
 }
 
-// decisions returns what the daemon remembers about a request, model or backend
-// server.
+// decisions returns the decisions that the daemon keeps about a request, model or
+// backend server.
 func (p *Process) decisions(about string) []decision.Record {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.daemon.Explain(about)
 }
 
-// CallersURL returns the base URL of the callers' interface.
+// CallersURL returns the base URL of the callers' API.
 func (p *Process) CallersURL() string { return "http://" + p.cfg.Listen.Callers }
 
-// OperatorsURL returns the base URL of the operators' interface.
+// OperatorsURL returns the base URL of the operators' API.
 func (p *Process) OperatorsURL() string { return "http://" + p.cfg.Listen.Operators }
 
-// readyTimeout bounds the start of a world.
+// readyTimeout is the maximum time until all daemons of a world are ready.
 const readyTimeout = 10 * time.Second
 
-// waitReady waits until every daemon can serve the model.
+// waitReady waits until every daemon is ready and can route requests to Model.
 func (w *World) waitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, p := range w.Daemons {
-		for !p.serves() {
+		for !p.canServe() {
 			if time.Now().After(deadline) {
 				return errors.New("trial: the daemons did not become ready")
 			}
@@ -305,7 +306,7 @@
 	return nil
 }
 
-func (p *Process) serves() bool {
+func (p *Process) canServe() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.daemon.Status().Models {
@@ -316,12 +317,13 @@
 	return false
 }
 
-// SetLeaving marks a backend server's VM as leaving in the platform's list.
+// SetLeaving replaces the platform's VM list by the VM of one backend server, marked
+// as leaving.
 func (w *World) SetLeaving(name string) {
 	w.Platform.SetVMs([]store.VM{{Name: name, State: store.VMLeaving, Role: "backend"}})
 }
 
-// Close ends everything that the world started.
+// Close stops everything that the world started and removes its files.
 func (w *World) Close() {
 	for _, p := range w.Daemons {
 		_ = p.Stop()
