--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -13,106 +13,105 @@
 	"github.com/snowspoke/snowspoke/platform/standin"
 )
 
-// What a backend server that has named a limit may get, from the users' pages: within
-// limitWindow limitFactor times what the limit allows and limitSlack calls more, from
-// limitWithin after it first named one, by daemons that heard of it limitHeard before.
-// Daemons that were just started, frozen or cut off are excused: each may send excusedCalls
-// more before it has heard.
+// Bounds on the calls that a backend server with a limit may get. From limitDelay after
+// it first reported a limit, the calls within any limitWindow must not exceed limitFactor
+// times the limit plus limitSlack. A limit has reached all daemons limitPropagation after the
+// report. A daemon that was started, frozen, thawed or cut off within tolerancePeriod may send
+// toleratedCalls more, as it may not know the limit yet.
 const (
-	limitWindow  = 4 * time.Second
-	limitWithin  = 3 * time.Second
-	limitHeard   = 500 * time.Millisecond
-	limitFactor  = 1.5
-	limitSlack   = 5
-	excusedCalls = 4
-	excusedFor   = 3 * time.Second
+	limitWindow      = 4 * time.Second
+	limitDelay       = 3 * time.Second
+	limitPropagation = 500 * time.Millisecond
+	limitFactor      = 1.5
+	limitSlack       = 5
+	toleratedCalls   = 4
+	tolerancePeriod  = 3 * time.Second
 )
 
-// limitEvery is the time between two moments at which backend servers begin to name limits,
-// at most.
-const limitEvery = 4 * time.Second
+// maxLimitInterval is the maximum time until further backend servers report limits.
+const maxLimitInterval = 4 * time.Second
 
-// nameLimits has some backend servers name limits again and again, which change and end,
-// until ctx ends.
-func (f *faults) nameLimits(ctx context.Context, r *rand.Rand) {
-	for wait.For(ctx, time.Duration(r.Int64N(int64(limitEvery)))) {
+// reportLimits makes random backend servers report limits that change and end, until ctx
+// ends.
+func (f *faults) reportLimits(ctx context.Context, r *rand.Rand) {
+	for wait.For(ctx, time.Duration(r.Int64N(int64(maxLimitInterval)))) {
 		all := f.site.Servers()
 		for range 1 + r.IntN(3) {
 			p, first, then := all[r.IntN(len(all))], r.IntN(len(limitRates)), r.IntN(len(limitRates))
-			f.limiting.Go(func() { nameLimit(ctx, p, first, then) })
+			f.reporters.Go(func() { reportLimit(ctx, p, first, then) })
 		}
 	}
 }
 
-// limitRates are the limits that backend servers name, in calls a second.
+// limitRates are the limits that backend servers report, in calls per second.
 var limitRates = []string{"0", "0.5", "2", "6"}
 
-// nameLimit has a backend server name one limit and then another, each for limitWithin and
-// a second more.
-func nameLimit(ctx context.Context, p *sitetrial.Placed, first, then int) {
+// reportLimit makes a backend server report two limits in turn, each for a second longer
+// than limitDelay, and then none.
+func reportLimit(ctx context.Context, p *sitetrial.Placed, first, then int) {
 	for _, rate := range []int{first, then} {
 		p.NameLimit(limitRates[rate])
-		wait.For(ctx, limitWithin+time.Second)
+		wait.For(ctx, limitDelay+time.Second)
 	}
 	p.NameLimit("")
 }
 
-// endLimits has no backend server name a limit any more.
-func (f *faults) endLimits() {
-	f.limiting.Wait()
+// clearLimits waits for running reports and removes the limits of all backend servers.
+func (f *faults) clearLimits() {
+	f.reporters.Wait()
 	for _, p := range f.site.Servers() {
 		p.NameLimit("")
 	}
 }
 
-// excuse notes that a daemon was started, frozen, thawed or cut off.
-func (f *faults) excuse() {
+// noteDisturbance records the time at which a daemon was started, frozen, thawed or cut off.
+func (f *faults) noteDisturbance() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.excusing = append(f.excusing, time.Now())
+	f.disturbedAt = append(f.disturbedAt, time.Now())
 }
 
-// excused returns how many calls more are excused in a window.
-func (f *faults) excused(from, to time.Time) int {
+// tolerated returns the number of calls tolerated in a window on top of the limit.
+func (f *faults) tolerated(from, to time.Time) int {
 	n := 0
-	for _, at := range f.excusing {
-		if at.Add(excusedFor).After(from) && at.Before(to) {
-			n += excusedCalls
+	for _, at := range f.disturbedAt {
+		if at.Add(tolerancePeriod).After(from) && at.Before(to) {
+			n += toleratedCalls
 		}
 	}
 	return n
 }
 
-// keptLimits checks that no backend server got more than the limits that it had named
-// within each window. Calls before the daemons could have heard count in full; where they
-// alone are more than is allowed no others may follow. Where the limit changed within the
-// window the highest one counts.
-func (f *faults) keptLimits(seed uint64) {
+// checkLimits checks that no backend server got more calls than its limit allows in any
+// window. Calls from before the limit reached the daemons count too: if they exceed the
+// bound, no later calls are allowed in the window. If the limit changed within the window,
+// the highest value applies.
+func (f *faults) checkLimits(seed uint64) {
 	for _, p := range f.site.Servers() {
 		arrivals := p.Arrivals()
 		for i, last := range arrivals {
-			if last.Limit == "" || last.At.Sub(last.Since) < limitWithin {
+			if last.Limit == "" || last.At.Sub(last.Since) < limitDelay {
 				continue
 			}
-			before, after, rate := callsWithin(arrivals[:i+1], last)
-			excused := float64(f.excused(last.At.Add(-limitWindow), last.At))
-			left := max(0, limitFactor*rate*limitWindow.Seconds()+limitSlack-float64(before))
-			if !assert.LessOrEqual(f.t, float64(after), left+excused, "seed %d: %s with a limit of %g, %d calls before", seed, p.ID, rate, before) {
-				f.keepLogs(seed)
+			before, after, rate := countCalls(arrivals[:i+1], last)
+			tolerated := float64(f.tolerated(last.At.Add(-limitWindow), last.At))
+			remaining := max(0, limitFactor*rate*limitWindow.Seconds()+limitSlack-float64(before))
+			if !assert.LessOrEqual(f.t, float64(after), remaining+tolerated, "seed %d: %s with a limit of %g, %d calls before", seed, p.ID, rate, before) {
+				f.saveLogs(seed)
 				return
 			}
 		}
 	}
 }
 
-// callsWithin returns the calls in the window that ends with the last one, before and after
-// the daemons could have heard of the limit, and the highest limit named there.
-func callsWithin(arrivals []standin.Arrival, last standin.Arrival) (before, after int, rate float64) {
+// countCalls returns the calls in the window that ends with last, before and after the
+// limit reached all daemons, and the highest limit reported in the window.
+func countCalls(arrivals []standin.Arrival, last standin.Arrival) (before, after int, rate float64) {
 	for _, a := range arrivals {
 		if last.At.Sub(a.At) >= limitWindow {
 			continue
 		}
-		if a.At.Before(last.Since.Add(limitHeard)) {
+		if a.At.Before(last.Since.Add(limitPropagation)) {
 			before++
 		} else {
 			after++
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -1,7 +1,6 @@
-// Package soak runs the real programs as processes of their own and injects
-// faults from outside: signals, and a proxy before the store that delays, resets,
-// cuts or silences connections. It checks the promises from what callers and
-// backend servers see.
+// Package soak runs daemons as separate processes and injects faults from outside:
+// signals, and a proxy in front of the store that delays, resets, cuts or stalls
+// connections. It checks the guarantees that callers and backend servers can observe.
 package soak
 
 import (
@@ -34,14 +33,13 @@
 	daemons  = flag.Int("soak-daemons", 4, "daemons of a seed")
 )
 
-// failed are seeds that have failed once, with their cause; they are run again
-// every time.
-var failed = map[uint64]string{
-	973166922785630206:  "a daemon was not ready 10 s after its start; its log was lost, the next one says why",
-	9252377730292573721: "the same: another process had taken its port between the choice and the start",
+// regressionSeeds are seeds that failed before, with the cause. They are always run.
+var regressionSeeds = map[uint64]string{
+	973166922785630206:  "a daemon was not ready 10 s after its start, probably as another process took its port",
+	9252377730292573721: "a daemon was not ready: another process took its port before it listened",
 }
 
-// streamEvents is the length of a stream; with streamGap it takes half a second.
+// Number of events of a stream and time between two of them.
 const (
 	streamEvents = 50
 	streamGap    = 10 * time.Millisecond
@@ -67,7 +65,7 @@
 
 func TestSoak(t *testing.T) {
 	var all []uint64
-	for s := range failed {
+	for s := range regressionSeeds {
 		all = append(all, s)
 	}
 	if *seed != 0 {
@@ -82,7 +80,7 @@
 	}
 }
 
-// process is one daemon.
+// process is a daemon that runs as a separate process.
 type process struct {
 	name    string
 	dir     string
@@ -92,7 +90,7 @@
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	stopped bool // by SIGSTOP
+	stopped bool // paused by SIGSTOP
 }
 
 const settings = `nodeName = %q
@@ -120,19 +118,19 @@
 	return p
 }
 
-// Ports of the daemons lie below those that the kernel gives to connections: one
-// of these had taken a daemon's port between its choice and its use.
+// Range of the daemons' ports. It lies below the kernel's ephemeral ports, so that
+// outgoing connections do not take a port before its daemon listens on it.
 const (
-	portsFrom = 20000
-	portsTo   = 32000
+	minPort = 20000
+	maxPort = 32000
 )
 
 func freePort(t *testing.T) int {
 	for range 100 {
-		port := portsFrom + rand.IntN(portsTo-portsFrom)
+		port := minPort + rand.IntN(maxPort-minPort)
 		l, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
 		if err != nil {
-			continue // taken
+			continue // in use
 		}
 		require.NoError(t, l.Close())
 		return port
@@ -141,25 +139,25 @@
 	return 0
 }
 
-// pickPort chooses the ports of daemons.
+// pickPort returns a port for a daemon. Tests replace it.
 var pickPort = freePort
 
-// portTries bounds the starts of a daemon whose ports others took meanwhile.
-const portTries = 5
+// maxPortTries is the maximum number of starts of a daemon whose ports are in use.
+const maxPortTries = 5
 
-// newProcess starts a daemon. A port that was free may be taken before the daemon
-// listens on it, by any process of the machine: it is then started with others.
+// newProcess starts a daemon. If another process takes one of its ports first, the
+// daemon is started again with other ports.
 func newProcess(t *testing.T, name, domain, store string) *process {
 	p := &process{name: name, dir: t.TempDir(), proxy: newProxy(t, store)}
 	t.Cleanup(p.kill)
-	for range portTries {
-		links := pickPort(t)
+	for range maxPortTries {
+		linkPort := pickPort(t)
 		p.callers = fmt.Sprintf("127.0.0.1:%d", pickPort(t))
 		p.ready = fmt.Sprintf("127.0.0.1:%d", pickPort(t))
-		text := fmt.Sprintf(settings, name, domain, links, links, p.callers, p.ready, p.proxy.Address())
+		text := fmt.Sprintf(settings, name, domain, linkPort, linkPort, p.callers, p.ready, p.proxy.Address())
 		require.NoError(t, os.WriteFile(p.settings(), []byte(text), 0o600))
 		p.start(t)
-		if !p.lostPort(t) {
+		if !p.portInUse(t) {
 			return p
 		}
 		p.wait()
@@ -169,9 +167,9 @@
 	return nil
 }
 
-// lostPort reports whether the daemon ended since another process has its port. It
-// waits until the daemon's log says that, or that it has started.
-func (p *process) lostPort(t *testing.T) bool {
+// portInUse reports whether the daemon exited because a port is in use. It waits until
+// the daemon's log shows that or a successful start.
+func (p *process) portInUse(t *testing.T) bool {
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		data, err := os.ReadFile(filepath.Join(p.dir, "log"))
 		require.NoError(t, err)
@@ -184,11 +182,11 @@
 			return false
 		}
 	}
-	return false // whether it becomes ready is asked later
+	return false // readiness is checked by the caller
 }
 
-// A daemon whose port another process has taken is started with other ports.
-func TestDaemonIsStartedWithOtherPorts(t *testing.T) {
+// A daemon whose port is in use is started again with other ports.
+func TestDaemonRetriesWithOtherPorts(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = taken.Close() })
@@ -221,11 +219,11 @@
 	_ = log.Close()
 }
 
-// signal sends a signal to the process that this soak started.
+// signal sends a signal to the process.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.cmd.Process.Signal(s) // it may have ended just now
+	_ = p.cmd.Process.Signal(s) // the process may have exited
 	p.stopped = s == syscall.SIGSTOP
 }
 
@@ -235,7 +233,7 @@
 }
 
 func (p *process) wait() {
-	_ = p.cmd.Wait() // the way it ended is judged by what callers saw
+	_ = p.cmd.Wait() // failures show in the answers to callers
 }
 
 func (p *process) isReady() bool {
@@ -261,7 +259,7 @@
 	f := &faults{t: t, site: site, all: all, r: r}
 	for _, p := range all {
 		if !assert.Eventually(t, p.isReady, 10*time.Second, 20*time.Millisecond, p.name) {
-			f.keepLogs(seed)
+			f.saveLogs(seed)
 			t.FailNow()
 		}
 	}
@@ -272,7 +270,7 @@
 		cr := rand.New(rand.NewPCG(seed, uint64(i+2)))
 		wg.Go(func() { keepCalling(ctx, callers, all, cr) })
 	}
-	wg.Go(func() { f.nameLimits(ctx, rand.New(rand.NewPCG(seed, 0))) })
+	wg.Go(func() { f.reportLimits(ctx, rand.New(rand.NewPCG(seed, 0))) })
 	until := time.Now().Add(*duration)
 	for time.Now().Before(until) {
 		f.inject()
@@ -281,21 +279,22 @@
 	f.heal()
 	stop()
 	wg.Wait()
-	f.endLimits()
-	f.servesAgain(callers)
-	f.nothingPanicked()
-	f.keptLimits(seed)
+	f.clearLimits()
+	f.checkServing(callers)
+	f.checkNoPanics()
+	f.checkLimits(seed)
 	sent, served, refused := callers.Counts()
 	t.Logf("seed %d: sent %d, served %d, refused %d, faults %v", seed, sent, served, refused, f.names)
 	problems := callers.Verify()
 	if len(problems) > 0 {
-		f.keepLogs(seed)
+		f.saveLogs(seed)
 	}
 	require.Empty(t, problems, "seed %d, faults %v", seed, f.names)
 	require.Positive(t, served)
 }
 
-// keepCalling sends requests over connections that are kept until they close.
+// keepCalling sends requests to random daemons until ctx ends, over keep-alive
+// connections.
 func keepCalling(ctx context.Context, c *sitetrial.Callers, all []*process, r *rand.Rand) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	for ctx.Err() == nil {
@@ -307,19 +306,19 @@
 	}
 }
 
-// faults injects one fault after the other; they overlap.
+// faults injects faults one after the other. Faults may overlap.
 type faults struct {
-	t     *testing.T
-	site  *sitetrial.Site
-	all   []*process
-	r     *rand.Rand
-	names []string
-	back  sync.WaitGroup // faults that end by themselves
+	t      *testing.T
+	site   *sitetrial.Site
+	all    []*process
+	r      *rand.Rand
+	names  []string
+	active sync.WaitGroup // faults that have not ended
 
-	limiting sync.WaitGroup // backend servers that name limits
+	reporters sync.WaitGroup // running calls of reportLimit
 
-	mu       sync.Mutex
-	excusing []time.Time // when a daemon was started, frozen, thawed or cut off
+	mu          sync.Mutex
+	disturbedAt []time.Time // times at which a daemon was started, frozen, thawed or cut off
 }
 
 func (f *faults) inject() {
@@ -329,53 +328,54 @@
 		do   func()
 	}{
 		{"kill", func() { p.kill(); p.start(f.t) }},
-		{"stop", func() { f.restart(p) }},
+		{"stop", func() { f.restartDaemon(p) }},
 		{"freeze", func() { f.freeze(p) }},
 		{"hup", func() { p.signal(syscall.SIGHUP) }},
 		{"store silent for one", func() { f.during(func() { p.proxy.Set(standin.Silence) }, func() { p.proxy.Set(standin.Pass) }) }},
 		{"store resets for one", func() { f.during(func() { p.proxy.Set(standin.Reset) }, func() { p.proxy.Set(standin.Pass) }) }},
 		{"store slow for one", func() { f.during(func() { p.proxy.Set(standin.Slow) }, func() { p.proxy.Set(standin.Pass) }) }},
-		{"store away", func() { f.trouble(standin.Refusing) }},
-		{"store silent", func() { f.trouble(standin.Silent) }},
-		{"store loses answers", func() { f.trouble(standin.LoseWrites) }},
-		{"history gone", f.site.Store.Compact},
-		{"store comes back older", f.restore},
+		{"store unavailable", func() { f.disturbStore(standin.Refusing) }},
+		{"store silent", func() { f.disturbStore(standin.Silent) }},
+		{"store loses answers", func() { f.disturbStore(standin.LoseWrites) }},
+		{"history compacted", f.site.Store.Compact},
+		{"store restored from a copy", f.restoreStore},
 		{"configuration", func() { f.site.AddRoute() }},
-		{"backend server faults", f.spoil},
-		{"backend server leaves", f.leave},
-		{"backend server starts again", f.startAgain},
-		{"entry of another writer", f.foreign},
-		{"request that ends backend servers", f.crash},
+		{"backend server faults", f.failAnswers},
+		{"backend server leaves", f.replaceServer},
+		{"backend server restarts", f.restartServer},
+		{"foreign entry", f.addForeignEntry},
+		{"request that crashes backend servers", f.sendCrashRequest},
 	}
 	k := kinds[f.r.IntN(len(kinds))]
 	f.names = append(f.names, k.name)
 	k.do()
 	if strings.Contains(" kill stop freeze ", " "+k.name+" ") || strings.HasSuffix(k.name, " for one") {
-		f.excuse()
+		f.noteDisturbance()
 	}
 }
 
-// during starts a fault and ends it a moment later.
+// during starts a fault and ends it after a random time.
 func (f *faults) during(start, end func()) {
 	d := time.Duration(200+f.r.IntN(2500)) * time.Millisecond
 	start()
-	f.back.Go(func() {
+	f.active.Go(func() {
 		time.Sleep(d)
 		end()
 	})
 }
 
-func (f *faults) trouble(t standin.Trouble) {
+// disturbStore gives the store a trouble for a random time.
+func (f *faults) disturbStore(t standin.Trouble) {
 	f.during(func() { f.site.Store.SetTrouble(t) }, func() { f.site.Store.SetTrouble(standin.Sound) })
 }
 
-// writeAgainMost is how long it takes at most until the operator and the backend servers
-// have written what a store that came back from a copy has lost.
-const writeAgainMost = time.Second
+// maxRewriteDelay is the maximum time until the operator and the backend servers write
+// again what a restored store has lost.
+const maxRewriteDelay = time.Second
 
-// restore has the store come back later from a copy of now.
-func (f *faults) restore() {
-	copied, pause := f.site.Store.Copy(), time.Duration(f.r.Int64N(int64(writeAgainMost)))
+// restoreStore copies the store and restores it from the copy after a random time.
+func (f *faults) restoreStore() {
+	copied, pause := f.site.Store.Copy(), time.Duration(f.r.Int64N(int64(maxRewriteDelay)))
 	f.during(func() {}, func() {
 		f.site.Store.Restore(copied)
 		time.Sleep(pause)
@@ -384,21 +384,21 @@
 }
 
 func (f *faults) freeze(p *process) {
-	f.during(func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT); f.excuse() })
+	f.during(func() { p.signal(syscall.SIGSTOP) }, func() { p.signal(syscall.SIGCONT); f.noteDisturbance() })
 }
 
-// restart stops a daemon as planned and starts it again.
-func (f *faults) restart(p *process) {
+// restartDaemon stops a daemon gracefully and starts it again.
+func (f *faults) restartDaemon(p *process) {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGTERM)
 	began := time.Now()
 	p.wait()
-	require.Less(f.t, time.Since(began), 8*time.Second, "a planned stop outlived its grace")
+	require.Less(f.t, time.Since(began), 8*time.Second, "a graceful stop exceeded its grace period")
 	p.start(f.t)
 }
 
-// spoil lets the next answers of a backend server fail in a random way.
-func (f *faults) spoil() {
+// failAnswers makes the next answers of a backend server fail with random faults.
+func (f *faults) failAnswers() {
 	all := f.site.Servers()
 	p := all[f.r.IntN(len(all))]
 	for range 1 + f.r.IntN(4) {
@@ -406,8 +406,8 @@
 	}
 }
 
-// leave takes a backend server away and brings another of its kind.
-func (f *faults) leave() {
+// replaceServer replaces a backend server by a new one of the same kind.
+func (f *faults) replaceServer() {
 	all := f.site.Servers()
 	p := all[f.r.IntN(len(all))]
 	n := standin.NewServer(fmt.Sprintf("%s-%d", p.ID, len(all)))
@@ -419,18 +419,18 @@
 	f.site.Remove(p)
 }
 
-// startAgain ends a backend server and starts it again under its ID.
-func (f *faults) startAgain() {
+// restartServer kills a backend server and restarts it with the same ID.
+func (f *faults) restartServer() {
 	all := f.site.Servers()
 	all[f.r.IntN(len(all))].Kill()
-	f.back.Go(func() {
+	f.active.Go(func() {
 		time.Sleep(300 * time.Millisecond)
 		f.site.StartEndedAgain(time.Now())
 	})
 }
 
-// foreign has lists and watches give an entry that no backend server wrote.
-func (f *faults) foreign() {
+// addForeignEntry makes lists and watches return an entry that no backend server wrote.
+func (f *faults) addForeignEntry() {
 	entries := []string{
 		`{"metadata":{"name":"other","revision":1},"spec":{"state":"odd"}}`, `{"metadata":7}`, `null`, `"text"`,
 		`{"metadata":{"name":"other"},"spec":"\x00"}`, `{"metadata":{"name":"other","revision":2},"spec":{"address":[],"born":0.5}}`,
@@ -438,31 +438,31 @@
 	f.site.Store.SetForeign("servers", entries[f.r.IntN(len(entries))])
 }
 
-// crashWait is how long the caller of such a request waits.
-const crashWait = 500 * time.Millisecond
+// crashTimeout is the time-out of the caller of a request that crashes backend servers.
+const crashTimeout = 500 * time.Millisecond
 
-// crash sends a request that ends the backend servers that run it to all daemons, and
-// starts those again.
-func (f *faults) crash() {
+// sendCrashRequest sends all daemons a request that crashes the backend servers that run
+// it, and restarts those.
+func (f *faults) sendCrashRequest() {
 	body := fmt.Sprint("crash ", f.r.Uint64())
 	for _, s := range f.site.Servers() {
 		s.CrashOn(body)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	f.back.Go(func() {
+	f.active.Go(func() {
 		for _, p := range f.all {
 			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamTo, Key: sitetrial.Key, ID: body + p.name, Body: body}
-			ctx, cancel := context.WithTimeout(context.Background(), crashWait)
-			_ = sitetrial.Do(ctx, client, p.callers, call) // whatever it gets
+			ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
+			_ = sitetrial.Do(ctx, client, p.callers, call) // any result is valid
 			cancel()
 		}
 		f.site.StartEndedAgain(time.Now())
 	})
 }
 
-// heal ends all faults.
+// heal waits for faults that end and clears the others.
 func (f *faults) heal() {
-	f.back.Wait()
+	f.active.Wait()
 	f.site.Store.SetTrouble(standin.Sound)
 	for _, p := range f.all {
 		p.proxy.Set(standin.Pass)
@@ -470,22 +470,22 @@
 	}
 }
 
-// servesAgain checks that every daemon serves soon after the last fault, by the
-// newest configuration.
-func (f *faults) servesAgain(c *sitetrial.Callers) {
+// checkServing checks that every daemon serves by the newest configuration soon after the
+// last fault.
+func (f *faults) checkServing(c *sitetrial.Callers) {
 	prefix, _ := f.site.AddRoute()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, p := range f.all {
 		call := sitetrial.Call{Method: "GET", Path: prefix, Key: sitetrial.Key, ID: "after-" + p.name}
 		require.Eventually(f.t, func() bool {
 			return sitetrial.Do(f.t.Context(), client, p.callers, call).Status == http.StatusOK
-		}, 10*time.Second, 50*time.Millisecond, "%s does not serve again", p.name)
+		}, 10*time.Second, 50*time.Millisecond, "%s does not serve after the faults", p.name)
 	}
 }
 
-// nothingPanicked checks that no handler of a daemon ended in a panic: its caller's
-// connection is closed without an answer, and a few such look like losses.
-func (f *faults) nothingPanicked() {
+// checkNoPanics checks that no handler of a daemon panicked. Callers see only a closed
+// connection, which is like a lost answer.
+func (f *faults) checkNoPanics() {
 	for _, p := range f.all {
 		data, err := os.ReadFile(filepath.Join(p.dir, "log"))
 		require.NoError(f.t, err)
@@ -493,8 +493,8 @@
 	}
 }
 
-// keepLogs copies the logs of a seed that failed.
-func (f *faults) keepLogs(seed uint64) {
+// saveLogs copies the logs of a failed seed to the temporary directory.
+func (f *faults) saveLogs(seed uint64) {
 	for _, p := range f.all {
 		data, err := os.ReadFile(filepath.Join(p.dir, "log"))
 		if err != nil {
@@ -505,6 +505,6 @@
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			f.t.Log(err)
 		}
-		f.t.Log("log kept: ", path)
+		f.t.Log("log saved: ", path)
 	}
 }
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -20,13 +20,11 @@
 	"github.com/snowspoke/snowspoke/platform/sitetrial"
 )
 
-// A daemon that is kept from running, here by a signal, blames nobody for it: while
-// streams pass it whose events are so far apart that their hops are looked after all
-// the time, it is stopped again and again, for 50 ms to a second. No backend server is
-// taken for dead, no stream is sent anywhere else, and all of them are whole. Before
-// time-outs left stalls out, a dozen sound backend servers were called dead within 11 ms
-// of a stall, and living streams went on at up to four heads where two are allowed.
-func TestStalledDaemonBlamesNobody(t *testing.T) {
+// A daemon that is stalled repeatedly, here by SIGSTOP, must not attribute its stalls to
+// others: no backend server is marked as failed, no stream is retried, and all streams
+// are complete. The events of the streams are so far apart that their hops are checked
+// all the time.
+func TestStalledDaemonReportsNoFailures(t *testing.T) {
 	site := sitetrial.New([]string{"a"}, 4, 4, 2)
 	t.Cleanup(site.Close)
 	for _, s := range site.Servers() {
@@ -59,7 +57,7 @@
 		second.signal(syscall.SIGCONT)
 	}
 	wg.Wait()
-	time.Sleep(300 * time.Millisecond) // the log is written
+	time.Sleep(300 * time.Millisecond) // until the log is written
 	log, err := os.ReadFile(filepath.Join(second.dir, "log"))
 	require.NoError(t, err)
 	for _, sign := range []string{"state=failed", "kind=unanswered", "attempt=2", "source left", "store lost"} {
@@ -67,9 +65,9 @@
 	}
 }
 
-// A card that dies while the daemon is kept from running is found at once when it runs
-// again: its streams go on elsewhere.
-func TestCardThatDiesDuringAStallIsFoundAtOnce(t *testing.T) {
+// A backend server that dies while the daemon is stalled is detected as soon as the daemon
+// runs again, and its streams continue on others.
+func TestFailureDuringStallIsDetectedAtOnce(t *testing.T) {
 	site := sitetrial.New([]string{"a"}, 2, 2, 2)
 	t.Cleanup(site.Close)
 	for _, s := range site.Servers() {
@@ -94,16 +92,16 @@
 	time.Sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGCONT)
 	resumed := time.Now()
-	found := func() bool {
+	detected := func() bool {
 		log, err := os.ReadFile(filepath.Join(p.dir, "log"))
 		return err == nil && strings.Contains(string(log), "server="+dead.ID) && strings.Contains(string(log), "state=failed")
 	}
-	require.Eventually(t, found, 600*time.Millisecond, 5*time.Millisecond, "the log is written every 250 ms")
-	t.Logf("found %s after the stall, with the log's pause", time.Since(resumed).Round(time.Millisecond))
+	require.Eventually(t, detected, 600*time.Millisecond, 5*time.Millisecond, "the failure was not detected; the log is written every 250 ms")
+	t.Logf("detected %s after the stall, including the log's write interval", time.Since(resumed).Round(time.Millisecond))
 	wg.Wait()
 }
 
-// linesWith returns the lines that hold some text.
+// linesWith returns the lines that contain a text.
 func linesWith(log, text string) string {
 	var out []string
 	for line := range strings.Lines(log) {
@@ -114,7 +112,8 @@
 	return strings.Join(out, "")
 }
 
-// headRuns returns how many streams a backend server has run as their first hop.
+// headRuns returns the number of streams that a backend server ran as their head, or
+// -1 if it holds no first layers.
 func headRuns(p *sitetrial.Placed) int {
 	if from, to := p.Held(); from > 0 || to == 0 {
 		return -1
