--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,5 +1,5 @@
-// Package baseline holds the usual ways to pick a pipeline, which measurements
-// put beside the policy of package routing.
+// Package baseline implements common routing policies, for comparison with the policy
+// of package routing.
 package baseline
 
 import (
@@ -8,10 +8,11 @@
 	"github.com/snowspoke/snowspoke/routing"
 )
 
-// pick returns one of the admissible nodes.
+// pick selects one of the admissible nodes.
 type pick func(nodes []int32, l routing.Loads, p *routing.Plan, r *rand.Rand) int32
 
-// walk builds a route hop by hop.
+// walk builds a route hop by hop. It returns routing.ErrFull if a hop has no admissible
+// node.
 func walk(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand, choose pick) (routing.Choice, error) {
 	if !p.Routable() {
 		return routing.Choice{}, routing.ErrNoRoute
@@ -40,16 +41,16 @@
 	return out
 }
 
-// Random picks each hop at random.
+// Random picks each hop uniformly at random.
 func Random(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand) (routing.Choice, error) {
 	return walk(p, l, o, r, func(nodes []int32, _ routing.Loads, _ *routing.Plan, r *rand.Rand) int32 {
 		return nodes[r.IntN(len(nodes))]
 	})
 }
 
-// NewRoundRobin returns a policy that takes the hops in turn.
+// NewRoundRobin returns a policy that rotates over the admissible nodes of each hop.
 func NewRoundRobin() func(*routing.Plan, routing.Loads, routing.Options, *rand.Rand) (routing.Choice, error) {
-	turn := map[int32]int{}
+	turn := map[int32]int{} // by the first admissible node
 	return func(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand) (routing.Choice, error) {
 		return walk(p, l, o, r, func(nodes []int32, _ routing.Loads, _ *routing.Plan, _ *rand.Rand) int32 {
 			turn[nodes[0]]++
@@ -58,7 +59,7 @@
 	}
 }
 
-// LeastInFlight picks the hop with the fewest expected requests in flight.
+// LeastInFlight picks for each hop the node with the fewest expected requests in flight.
 func LeastInFlight(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand) (routing.Choice, error) {
 	return walk(p, l, o, r, func(nodes []int32, l routing.Loads, p *routing.Plan, r *rand.Rand) int32 {
 		best := nodes[r.IntN(len(nodes))]
@@ -71,12 +72,12 @@
 	})
 }
 
-// First is the first version of this project's own policy: it did not know how
-// loaded a link is.
+// First is the policy of package routing without the load of links.
 func First(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand) (routing.Choice, error) {
 	return routing.Choose(p, noLinks{l}, o, r)
 }
 
+// noLinks reports no load for all links.
 type noLinks struct{ routing.Loads }
 
 // LinkLoad implements routing.Loads.
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -1,4 +1,4 @@
-// Package layout holds the rule by which the packages import each other.
+// Package layout tests the import rules of the module.
 package layout
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// rank orders the packages: a package imports only those of a lower rank.
-// Packages that are not listed are leaves that anybody may import.
+// rank orders the packages: a package imports only packages of a lower rank. Packages
+// without a rank may be imported by all.
 var rank = map[string]int{
 	"topology": 1, "execution": 1, "fleet": 2, "catalog": 2,
 	"boottime": 1, "stall": 2, "quarantine": 3, "routing": 3, "admission": 3, "health": 3, "placement": 3, "claims": 3, "lease": 3, "quota": 3,
@@ -25,25 +25,27 @@
 	"site": 1, "inventory": 2, "pipeline": 3, "permit": 4, "relay": 4, "forward": 5, "placer": 6, "platform": 6, "gateway": 7,
 }
 
-// adapters lists what a package that only translates may import of this module,
-// and who may import it: no decider. Clocks decide nothing, and time-outs are made
-// where calls are.
-var adapters = map[string]struct{ may, by []string }{
+// adapters lists, for packages that only translate a wire format, the packages of this
+// module that they may import and those that may import them. An adapter imports no
+// package that makes routing or placement decisions. Clocks and stall detection are
+// allowed, as time-outs are set where calls are made.
+var adapters = map[string]struct{ imports, importedBy []string }{
 	"platform": {
-		may: []string{"apierror", "boottime", "execution", "forward", "inventory", "site", "stall", "store"},
-		by:  []string{"gateway", "cmd", "platform"},
+		imports:    []string{"apierror", "boottime", "execution", "forward", "inventory", "site", "stall", "store"},
+		importedBy: []string{"gateway", "cmd", "platform"},
 	},
 }
 
-// wire lists who may know a wire format.
-var wire = map[string][]string{
+// wireImporters lists, for packages with a wire format, the packages that may import them.
+var wireImporters = map[string][]string{
 	"backend/httpbackend": {"daemon", "internal/standin", "backend/httpbackend"},
 	"store/httpstore":     {"daemon", "cmd", "internal/memstore", "store/httpstore"},
 }
 
 const module = "github.com/snowspoke/snowspoke/"
 
-func TestImportsRunOneWay(t *testing.T) {
+// Imports follow the order of ranks and the lists of allowed importers.
+func TestImportOrder(t *testing.T) {
 	files := 0
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -72,7 +74,7 @@
 		require.Greater(t, rank[top(from)], rank[top(to)], "%s imports %s", from, to)
 	}
 	checkAdapter(t, from, to)
-	allowed, isWire := wire[to]
+	allowed, isWire := wireImporters[to]
 	if !isWire {
 		return
 	}
@@ -81,24 +83,24 @@
 			return
 		}
 	}
-	t.Errorf("%s imports the wire format %s", from, to)
+	t.Errorf("%s must not import the wire format %s", from, to)
 }
 
-// checkAdapter holds that an adapter imports no decider, and that only the wiring
-// imports it.
+// checkAdapter checks an import by or of an adapter.
 func checkAdapter(t *testing.T, from, to string) {
 	if a, ok := adapters[from]; ok && to != from+"/standin" {
-		require.Contains(t, a.may, to, "%s imports %s", from, to)
+		require.Contains(t, a.imports, to, "%s imports %s", from, to)
 	}
 	if a, ok := adapters[to]; ok {
-		require.Contains(t, a.by, strings.SplitN(from, "/", 2)[0], "%s imports %s", from, to)
+		require.Contains(t, a.importedBy, strings.SplitN(from, "/", 2)[0], "%s imports %s", from, to)
 	}
 }
 
-// platformNames are names of the users' wire that may stand in its adapter alone.
+// platformNames are names of the platform's wire format that only its adapter may use.
 var platformNames = []string{"Snowspoke-Server-Seal", "Snowspoke-Hop-Count", "Snowspoke-Not-Run", "Snowspoke-Expect-Instance", "targetVersion", "SNOWSPOKE_BOOT"}
 
-func TestNamesOfThePlatformStayInItsAdapter(t *testing.T) {
+// Only the platform's adapter contains names of the platform's wire format.
+func TestPlatformNamesOnlyInAdapter(t *testing.T) {
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,5 @@
-// Package memnet is a network in memory for tests: whole daemons and stand-ins
-// talk over it in the virtual time of testing/synctest, and links between hosts
-// can be cut.
+// Package memnet implements an in-memory network for tests. Daemons and stand-ins use it
+// in the virtual time of testing/synctest, and hosts can be partitioned.
 package memnet
 
 import (
@@ -21,14 +20,14 @@
 	errInUse   = errors.New("memnet: address in use")
 )
 
-// Net is a set of hosts, each with an IP number.
+// Net is a network of hosts, each with an IP address.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	conns     map[*conn]bool
-	cut       map[[2]string]bool
-	healed    chan struct{}
-	port      int
+	cut       map[[2]string]bool // by sorted pair of hosts
+	healed    chan struct{}      // closed by Heal
+	port      int                // last ephemeral port
 }
 
 // New returns an empty network.
@@ -36,17 +35,17 @@
 	return &Net{listeners: map[string]*listener{}, conns: map[*conn]bool{}, cut: map[[2]string]bool{}, healed: make(chan struct{}), port: 1024}
 }
 
-// Host is one host's view of the network; it implements network.Network.
+// Host is the view of the network from one host. It implements network.Network.
 type Host struct {
 	net *Net
 	ip  string
 }
 
-// Host returns the host with an IP number.
+// Host returns the host with the given IP address.
 func (n *Net) Host(ip string) *Host { return &Host{net: n, ip: ip} }
 
-// Listen implements network.Network. Port 0 picks a free one; the IP number of
-// the address is replaced by the host's.
+// Listen implements network.Network. It replaces the IP address by the host's. Port 0
+// selects a free port.
 func (h *Host) Listen(address string) (net.Listener, error) {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -66,8 +65,8 @@
 	return l, nil
 }
 
-// DialContext implements network.Network. Across a cut it waits until the cut
-// heals or the context ends, as packets that are dropped do.
+// DialContext implements network.Network. If the hosts are cut off from each other it
+// waits until Heal or until ctx ends, as with dropped packets.
 func (h *Host) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -122,8 +121,7 @@
 	return a, nil
 }
 
-// Cut breaks the connections between two hosts and drops what they send to each
-// other from now on.
+// Cut closes the connections between two hosts and blocks new ones until Heal.
 func (n *Net) Cut(a, b string) {
 	n.mu.Lock()
 	p := pair(a, b)
@@ -140,7 +138,7 @@
 	}
 }
 
-// Heal ends all cuts.
+// Heal removes all cuts.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -149,24 +147,24 @@
 	n.healed = make(chan struct{})
 }
 
-// conn is one end of a connection. What is written waits in a bounded queue, as
-// in the buffers of sockets.
+// conn is one end of a connection. Writes go through a bounded queue, like the send
+// buffer of a socket.
 type conn struct {
 	net.Conn
 	net           *Net
 	pair          [2]string
 	local, remote addr
 
-	out      chan []byte
-	closed   chan struct{}
-	once     sync.Once
-	deadline atomic.Int64 // of writes, Unix nanoseconds, 0 for none
+	out           chan []byte
+	closed        chan struct{}
+	once          sync.Once
+	writeDeadline atomic.Int64 // Unix nanoseconds, 0 for none
 }
 
-// Sizes of the queue of a connection.
+// Limits of the write queue of a connection.
 const (
-	queueChunks = 16
-	lingerFor   = time.Second // for what is queued when a connection is closed
+	queueChunks   = 16
+	lingerTimeout = time.Second // for queued data after Close
 )
 
 func newConn(n *Net, pipe net.Conn, p [2]string, local, remote addr) *conn {
@@ -175,7 +173,8 @@
 	return c
 }
 
-// pump moves the queue into the pipe; after Close it lingers for what is left.
+// pump writes the queue to the pipe. After Close it writes the queued data until the
+// write deadline.
 func (c *conn) pump() {
 	defer c.Conn.Close()
 	for {
@@ -203,7 +202,7 @@
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
 	var timeout <-chan time.Time
-	if d := c.deadline.Load(); d != 0 {
+	if d := c.writeDeadline.Load(); d != 0 {
 		t := time.NewTimer(time.Until(time.Unix(0, d)))
 		defer t.Stop()
 		timeout = t.C
@@ -226,10 +225,10 @@
 // SetWriteDeadline implements net.Conn.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	if t.IsZero() {
-		c.deadline.Store(0)
+		c.writeDeadline.Store(0)
 		return nil
 	}
-	c.deadline.Store(t.UnixNano())
+	c.writeDeadline.Store(t.UnixNano())
 	return nil
 }
 
@@ -245,7 +244,7 @@
 	delete(c.net.conns, c)
 	c.net.mu.Unlock()
 	c.once.Do(func() {
-		_ = c.Conn.SetWriteDeadline(time.Now().Add(lingerFor))
+		_ = c.Conn.SetWriteDeadline(time.Now().Add(lingerTimeout))
 		_ = c.Conn.SetReadDeadline(time.Now())
 		close(c.closed)
 	})
--- a/internal/memnet/server.go
+++ b/internal/memnet/server.go
@@ -8,7 +8,7 @@
 	"github.com/snowspoke/snowspoke/network"
 )
 
-// Server is an HTTP server that can be killed and started again on its address.
+// Server is an HTTP server that can be restarted on the same address.
 type Server struct {
 	mu      sync.Mutex
 	Net     network.Network
@@ -17,7 +17,8 @@
 	http    *http.Server
 }
 
-// Start listens on the address, or on a free port of loopback the first time.
+// Start listens on the address of the previous start, or the first time on a free port
+// of loopback.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,10 +36,10 @@
 	return nil
 }
 
-// Address returns host:port.
+// Address returns the address as host:port.
 func (s *Server) Address() string { return s.address }
 
-// Close cuts all connections and stops listening.
+// Close closes the listener and all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/memstore/http.go
+++ b/internal/memstore/http.go
@@ -14,8 +14,7 @@
 	"github.com/snowspoke/snowspoke/store/httpstore"
 )
 
-// Platform is a fake of the platform's object interface and VM list. Its faults
-// are those of Store.
+// Platform is a fake of the platform's object API and VM list. Faults are set on Store.
 type Platform struct {
 	memnet.Server
 	Store *Store
@@ -48,7 +47,7 @@
 	p.vms = vms
 }
 
-// Set writes an object whatever its version and returns the new one.
+// Set writes an object unconditionally and returns its new version.
 func (p *Platform) Set(kind, name string, spec any) store.Position {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -57,7 +56,8 @@
 	return p.Store.Set(kind, name, data)
 }
 
-// answer sends v, or the status of err. A lost answer cuts the connection.
+// answer sends v, or the status that matches err. For store.ErrAmbiguous it closes the
+// connection without an answer.
 func answer(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -1,7 +1,6 @@
-// Package memstore is a platform store in memory with the faults that users
-// report: outages, answers lost after the write took effect, and writes that
-// take effect late. Tests use it directly; Platform serves it over HTTP, together
-// with a VM list.
+// Package memstore implements an in-memory platform store for tests, with faults: outages,
+// lost writes, answers lost after the write took effect, and writes that take effect
+// late. Platform serves it over HTTP, together with a VM list.
 package memstore
 
 import (
@@ -15,12 +14,13 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Faults are probabilities and switches; the zero value has none.
+// Faults configures the faults of a store; the zero value has none. Probabilities are
+// between 0 and 1.
 type Faults struct {
-	Outage     bool
-	LoseAnswer float64       // a write takes effect, its answer is lost
-	LoseWrite  float64       // a write is lost, the caller cannot tell
-	Late       float64       // a write takes effect after its caller gave up
+	Outage     bool          // all calls fail
+	LoseAnswer float64       // probability that a write takes effect but its answer is lost
+	LoseWrite  float64       // probability that a write and its answer are lost
+	Late       float64       // probability that a write takes effect after its answer is lost
 	Delay      time.Duration // of each call
 }
 
@@ -31,7 +31,7 @@
 	objects map[store.ID]store.Object
 	era     uint64
 	version uint64
-	changed chan struct{}
+	changed chan struct{} // closed and replaced after each change
 	calls   int64
 	writes  int64
 }
@@ -41,7 +41,7 @@
 	return &Store{objects: map[store.ID]store.Object{}, changed: make(chan struct{})}
 }
 
-// SetFaults replaces the faults; watches end when an outage begins.
+// SetFaults replaces the faults. Running watches end when an outage begins.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,19 +49,20 @@
 	s.wake()
 }
 
-// Calls returns how many calls and how many writes were made.
+// Calls returns the number of all calls and of writes.
 func (s *Store) Calls() (calls, writes int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls, s.writes
 }
 
+// wake notifies watches. s.mu must be held.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// begin counts a call and waits out its delay.
+// begin counts a call, waits for the configured delay and returns the faults of the call.
 func (s *Store) begin(write bool) (Faults, error) {
 	s.mu.Lock()
 	s.calls++
@@ -140,6 +141,7 @@
 	return v, err
 }
 
+// apply writes o if its current revision is that of ifVersion.
 func (s *Store) apply(o store.Object, ifVersion store.Position) (store.Position, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,30 +155,30 @@
 	}
 	written := s.set(o).Version
 	if ifVersion != 0 && written.Era() != ifVersion.Era() {
-		return 0, store.ErrConflict // it met another object with the same revision
+		return 0, store.ErrConflict // the object has the same revision in another era
 	}
 	return written, nil
 }
 
-// Copy is the state of a store at one moment.
+// Copy is a snapshot of a store.
 type Copy struct {
 	version uint64
 	objects map[store.ID]store.Object
 }
 
-// Copy returns the present state.
+// Copy returns a snapshot of the store.
 func (s *Store) Copy() *Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &Copy{version: s.version, objects: maps.Clone(s.objects)}
 }
 
-// Restore has the store come back from a copy: what was written since is gone, and its
-// revisions are given out again in a new era.
+// Restore replaces the state by that of a copy. Later writes are lost, and their
+// revisions are assigned again in a new era.
 func (s *Store) Restore(c *Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.era = max(s.era, 1) + 1 // a store that was never restored tells no era here
+	s.era = max(s.era, 1) + 1 // a store that was never restored has era 0 here
 	s.version, s.objects = c.version, map[store.ID]store.Object{}
 	for id, o := range c.objects {
 		o.Version = store.At(s.era, o.Version.Revision())
@@ -185,6 +187,7 @@
 	s.wake()
 }
 
+// set assigns the next version to o and stores it. s.mu must be held.
 func (s *Store) set(o store.Object) store.Object {
 	s.version++
 	o.Version = store.At(s.era, s.version)
@@ -193,14 +196,14 @@
 	return o
 }
 
-// Set writes an object whatever its version and returns the new one.
+// Set writes an object unconditionally and returns its new version.
 func (s *Store) Set(kind, name string, spec []byte) store.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.set(store.Object{Kind: kind, Name: name, Spec: spec}).Version
 }
 
-// Remove deletes an object whatever its version.
+// Remove deletes an object unconditionally.
 func (s *Store) Remove(kind, name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,7 +220,7 @@
 		wanted[k] = true
 	}
 	for {
-		out, outage, changed := s.above(wanted, since)
+		out, outage, changed := s.newerThan(wanted, since)
 		for _, o := range out {
 			since = o.Version
 			fn(o)
@@ -233,7 +236,9 @@
 	}
 }
 
-func (s *Store) above(kinds map[string]bool, since store.Position) ([]store.Object, bool, <-chan struct{}) {
+// newerThan returns the objects with a version above since in ascending order, whether an
+// outage is active, and a channel that is closed at the next change.
+func (s *Store) newerThan(kinds map[string]bool, since store.Position) ([]store.Object, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []store.Object
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,7 +13,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Fleet is a set of engines that forward tokens to each other.
+// Fleet is a set of stand-in engines with links between them.
 type Fleet struct {
 	Ledger *Ledger
 
@@ -27,7 +27,7 @@
 	return &Fleet{Ledger: NewLedger(), engines: map[string]*Engine{}, links: map[[2]string]time.Duration{}}
 }
 
-// SetLink sets the time that a token takes between two engines.
+// SetLink sets the transfer time of a token between two engines.
 func (f *Fleet) SetLink(from, to string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,14 +40,14 @@
 	return f.links[[2]string{from, to}]
 }
 
-// Engine returns an engine by name, or nil.
+// Engine returns the engine with a name, or nil.
 func (f *Fleet) Engine(name string) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.engines[name]
 }
 
-// at returns the engine at an address, or nil.
+// at returns the engine with an address, or nil.
 func (f *Fleet) at(address string) *Engine {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,34 +59,34 @@
 	return nil
 }
 
-// Engine is a fake model engine with a service time for each token.
+// Engine is a stand-in for a model engine, with a service time for each token.
 type Engine struct {
 	memnet.Server
 	Name string
 	// Faults.
-	DieAfter      atomic.Int64 // tokens after which the engine dies, 0 for never
-	Frozen        atomic.Bool  // accepts everything, answers nothing
-	RefuseAll     atomic.Bool
-	Shuffle       atomic.Bool // reorders and repeats token events
-	IgnoreFencing atomic.Bool
-	LoadAge       atomic.Int64 // nanoseconds by which load reports are late
+	DieAfter      atomic.Int64 // number of tokens after which the engine dies, 0 for never
+	Frozen        atomic.Bool  // accepts connections but does not answer
+	RefuseAll     atomic.Bool  // refuses all requests as not run
+	Shuffle       atomic.Bool  // reorders and repeats token events
+	IgnoreFencing atomic.Bool  // accepts orders with old fencing numbers
+	LoadAge       atomic.Int64 // age of load reports in nanoseconds
 
 	fleet *Fleet
 	rate  float64       // tokens per second
-	delay time.Duration // of one token, beside queueing
+	delay time.Duration // per token, without queueing
 	dead  atomic.Bool
 
-	state    sync.Mutex
-	nextFree time.Time
+	state    sync.Mutex // guards the fields below
+	nextFree time.Time  // end of the service of all accepted tokens
 	streams  map[string]*stream
-	fenced   map[string]int // highest cancelled attempt
+	fenced   map[string]int // highest cancelled attempt, by request
 	kv       map[string]int // tokens in the KV cache, by request
 	status   backend.Status
 	inFlight int
 	arrivals []time.Time
 }
 
-// Add starts an engine that holds the given parts.
+// Add starts an engine with the given holdings.
 func (f *Fleet) Add(n network.Network, name string, rate float64, delay time.Duration, holdings ...backend.Holding) (*Engine, error) {
 	e := &Engine{
 		Server: memnet.Server{Net: n}, Name: name, fleet: f, rate: rate, delay: delay, streams: map[string]*stream{},
@@ -100,13 +100,13 @@
 	return e, e.Start()
 }
 
-// Kill ends the engine as a crash does.
+// Kill stops the engine as a crash does: it closes all connections.
 func (e *Engine) Kill() {
 	e.dead.Store(true)
 	e.Close()
 }
 
-// Restart starts a killed engine again, with nothing of its former state.
+// Restart starts a killed engine without its former streams and KV cache.
 func (e *Engine) Restart() error {
 	e.state.Lock()
 	e.streams, e.kv, e.inFlight = map[string]*stream{}, map[string]int{}, 0
@@ -118,7 +118,7 @@
 	return e.Start()
 }
 
-// Leave makes the engine report that it is leaving.
+// Leave sets whether the engine reports that it is leaving.
 func (e *Engine) Leave(on bool) {
 	e.state.Lock()
 	defer e.state.Unlock()
@@ -126,34 +126,35 @@
 	e.status.Seq++
 }
 
-// InFlight returns the requests that run through the engine.
+// InFlight returns the number of requests that use the engine in any hop.
 func (e *Engine) InFlight() int {
 	e.state.Lock()
 	defer e.state.Unlock()
 	return e.inFlight
 }
 
-// Arrivals returns when requests came to the engine, as any hop of their routes.
+// Arrivals returns the times at which requests started to use the engine in any hop.
 func (e *Engine) Arrivals() []time.Time {
 	e.state.Lock()
 	defer e.state.Unlock()
 	return slices.Clone(e.arrivals)
 }
 
-func (e *Engine) arrive() {
+func (e *Engine) recordArrival() {
 	e.state.Lock()
 	defer e.state.Unlock()
 	e.arrivals = append(e.arrivals, time.Now())
 }
 
-func (e *Engine) enter(d int) {
+// addInFlight adds d to the number of requests in flight.
+func (e *Engine) addInFlight(d int) {
 	e.state.Lock()
 	defer e.state.Unlock()
 	e.inFlight += d
 }
 
-// step runs one token through the engine's layers, from time at on, and returns
-// when it is done; false means that the engine is dead.
+// step runs one token through the engine's layers, starting at time at. It returns the
+// time at which the token is done, or false if the engine is dead.
 func (e *Engine) step(p pass, layers topology.LayerRange, at time.Time) (time.Time, bool) {
 	if n := e.DieAfter.Load(); n > 0 && e.DieAfter.Add(-1) == 0 {
 		e.Kill()
@@ -164,7 +165,7 @@
 	if e.dead.Load() {
 		return at, false
 	}
-	e.fleet.Ledger.ran(p, layers)
+	e.fleet.Ledger.addPass(p, layers)
 	e.state.Lock()
 	defer e.state.Unlock()
 	e.kv[p.request] = p.index + 1
@@ -175,14 +176,15 @@
 	return e.nextFree.Add(e.delay), true
 }
 
-// prefill counts the layer-tokens of known tokens that are not in the KV cache.
+// prefill fills the KV cache up to a number of tokens, and records the missing ones as
+// recomputed.
 func (e *Engine) prefill(request string, tokens int, layers topology.LayerRange) {
 	e.state.Lock()
 	missing := tokens - e.kv[request]
 	e.kv[request] = max(tokens, e.kv[request])
 	e.state.Unlock()
 	if missing > 0 {
-		e.fleet.Ledger.again(missing * (layers.Hi - layers.Lo))
+		e.fleet.Ledger.addRecomputed(missing * (layers.Hi - layers.Lo))
 	}
 }
 
@@ -197,7 +199,7 @@
 	return false
 }
 
-// stream is one attempt on its head engine; events are kept for resuming.
+// stream is an attempt at its head engine. Its events are kept for resuming.
 type stream struct {
 	mu        sync.Mutex
 	attempt   int
@@ -230,24 +232,25 @@
 	return s.cancelled
 }
 
-// from returns the events at and after position n and a channel for more.
+// from returns the events from position n, whether the stream has ended, and a channel
+// that is closed at the next change.
 func (s *stream) from(n int) ([]backend.Event, bool, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.events[min(n, len(s.events)):], s.final, s.changed
 }
 
-// loadEvery is how many tokens pass between two load reports of a stream.
-const loadEvery = 8
+// loadReportInterval is the number of tokens from one load report of a stream to the next.
+const loadReportInterval = 8
 
-// produce runs all tokens of an attempt through its route.
+// produce runs all tokens of an attempt through its route and adds their events to s.
 func (e *Engine) produce(g *httpbackend.GenerateBody, s *stream) {
 	hops := make([]*Engine, len(g.Route))
 	for i, h := range g.Route {
 		hops[i] = e.fleet.Engine(h.BackendServer)
-		hops[i].arrive()
-		hops[i].enter(1)
-		defer hops[i].enter(-1)
+		hops[i].recordArrival()
+		hops[i].addInFlight(1)
+		defer hops[i].addInFlight(-1)
 		hops[i].prefill(g.RequestID, len(g.Prior), h.Layers)
 	}
 	for index := len(g.Prior); index < g.MaxTokens; index++ {
@@ -266,7 +269,7 @@
 			Type: backend.EventToken, RequestID: g.RequestID, Attempt: g.Attempt, Index: index,
 			Token: int32(index), Text: Word(promptOf(g), index),
 		}
-		if (index-len(g.Prior))%loadEvery == 0 {
+		if (index-len(g.Prior))%loadReportInterval == 0 {
 			ev.Loads = loads
 		}
 		s.add(false, ev)
@@ -276,6 +279,8 @@
 	})
 }
 
+// runToken runs one token through the route. It returns the loads of the hops and the
+// time at which the token is done, or the name of the engine that failed.
 func (e *Engine) runToken(g *httpbackend.GenerateBody, hops []*Engine, index int) (failed string, loads []backend.HopLoad, at time.Time) {
 	at = time.Now()
 	for i, h := range g.Route {
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -23,18 +23,20 @@
 			time.Sleep(time.Millisecond)
 		}
 		if r.Context().Err() != nil {
-			return // the caller hung up while the engine was frozen
+			return // the caller disconnected while the engine was frozen
 		}
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func refuse(w http.ResponseWriter, status int, why string) {
+// refuse answers with a status and marks the request as not run.
+func refuse(w http.ResponseWriter, status int, reason string) {
 	w.Header().Set(httpbackend.HeaderRan, httpbackend.RanNo)
-	http.Error(w, why, status)
+	http.Error(w, reason, status)
 }
 
-// decode reads a body, or refuses it.
+// decode parses a JSON body into v. If that fails it refuses the request and returns
+// false.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	err := json.NewDecoder(r.Body).Decode(v)
 	if err != nil {
@@ -48,9 +50,9 @@
 	if !decode(w, r, &g) {
 		return
 	}
-	if why, hop := e.refusal(&g); why != "" {
+	if reason, hop := e.refusal(&g); reason != "" {
 		w.Header().Set(httpbackend.HeaderHop, hop)
-		refuse(w, http.StatusServiceUnavailable, why)
+		refuse(w, http.StatusServiceUnavailable, reason)
 		return
 	}
 	s := newStream(g.Attempt)
@@ -67,7 +69,8 @@
 	e.send(w, r, s, 0)
 }
 
-// fencedAttempt returns the highest cancelled attempt, -1 for none.
+// fencedAttempt returns the highest cancelled attempt of a request, or -1. e.state must
+// be held.
 func (e *Engine) fencedAttempt(request string) int {
 	if n, ok := e.fenced[request]; ok {
 		return n
@@ -75,9 +78,9 @@
 	return -1
 }
 
-// refusal returns why a request is refused, and the hop that is the cause when
-// it is another one.
-func (e *Engine) refusal(g *httpbackend.GenerateBody) (why, hop string) {
+// refusal returns the reason to refuse a request, or "", and the hop that is the cause
+// if it is another engine.
+func (e *Engine) refusal(g *httpbackend.GenerateBody) (reason, hop string) {
 	if e.RefuseAll.Load() {
 		return "busy", ""
 	}
@@ -113,7 +116,7 @@
 	e.send(w, r, s, skip)
 }
 
-// send writes the events from position n on until the last one.
+// send streams the events from position n until the stream ends.
 func (e *Engine) send(w http.ResponseWriter, r *http.Request, s *stream, n int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.WriteHeader(http.StatusOK)
@@ -121,7 +124,7 @@
 	for {
 		evs, final, changed := s.from(n)
 		n += len(evs)
-		for _, ev := range e.disturb(evs) {
+		for _, ev := range e.shuffleEvents(evs) {
 			data, _ := json.Marshal(ev)
 			_, _ = w.Write(append(append([]byte("data: "), data...), '\n', '\n'))
 		}
@@ -140,8 +143,9 @@
 	}
 }
 
-// disturb repeats and reorders events and adds a foreign and a stale one.
-func (e *Engine) disturb(evs []backend.Event) []backend.Event {
+// shuffleEvents repeats and reorders events and adds a foreign and a stale one, if
+// Shuffle is set.
+func (e *Engine) shuffleEvents(evs []backend.Event) []backend.Event {
 	if !e.Shuffle.Load() || len(evs) == 0 || evs[0].Type != backend.EventToken {
 		return evs
 	}
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -1,6 +1,6 @@
-// Package standin holds small fakes of the back ends that the system meets:
-// model engines and plain services. They talk over real sockets and have
-// switches for the faults that users report. The platform's fake is in memstore.
+// Package standin implements fakes of model engines and plain services, for tests and
+// trials. They serve HTTP and have switches for faults. The fake of the platform is in
+// package memstore.
 package standin
 
 import (
@@ -12,21 +12,21 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// pass is one token of one attempt.
+// pass identifies a token of an attempt.
 type pass struct {
 	request string
 	attempt int
 	index   int
 }
 
-// Ledger records which layers ran for which token, so that exactly-once can be
-// asserted from outside the system.
+// Ledger records the layers that ran for each token and the executions of each request,
+// so that tests can check for repeated execution.
 type Ledger struct {
 	mu         sync.Mutex
-	layers     map[pass][]topology.LayerRange
-	executions map[string]int // starts of a request on an engine or service
-	calls      map[string]int // of plain services, by body
-	recomputed int            // layer-tokens of delivered tokens that were computed again
+	layers     map[pass][]topology.LayerRange // in the order of execution
+	executions map[string]int                 // starts of a request on engines and services
+	calls      map[string]int                 // executed calls of plain services, by body
+	recomputed int                            // layer-tokens of delivered tokens that were recomputed
 }
 
 // NewLedger returns an empty ledger.
@@ -34,13 +34,14 @@
 	return &Ledger{layers: map[pass][]topology.LayerRange{}, executions: map[string]int{}, calls: map[string]int{}}
 }
 
-func (l *Ledger) ran(p pass, r topology.LayerRange) {
+// addPass records that a token ran through a range of layers.
+func (l *Ledger) addPass(p pass, r topology.LayerRange) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.layers[p] = append(l.layers[p], r)
 }
 
-// begin counts the start of a request, and of a call with a body.
+// begin counts the start of a request and of a call with a body.
 func (l *Ledger) begin(request, body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,35 +49,35 @@
 	l.calls[body]++
 }
 
-func (l *Ledger) again(layerTokens int) {
+func (l *Ledger) addRecomputed(layerTokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.recomputed += layerTokens
 }
 
-// Calls returns how often a plain service ran a call with a body.
+// Calls returns the number of executions of calls of plain services with a body.
 func (l *Ledger) Calls(body string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.calls[body]
 }
 
-// Executions returns how often a request began to run anywhere.
+// Executions returns the number of starts of a request on engines and services.
 func (l *Ledger) Executions(request string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.executions[request]
 }
 
-// Recomputed returns the layer-tokens of delivered tokens that were computed again.
+// Recomputed returns the number of layer-tokens of delivered tokens that were recomputed.
 func (l *Ledger) Recomputed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.recomputed
 }
 
-// Check returns an error unless every recorded token went through its layers
-// at most once and in order, without a gap.
+// Check returns an error if the layers of a recorded token did not run in order, without
+// gaps and at most once.
 func (l *Ledger) Check() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,13 +93,13 @@
 	return nil
 }
 
-// Word returns the text of a token, which depends on the prompt and the index
-// alone, so that a foreign, lost or repeated token shows in the answer.
+// Word returns the text of a token. It depends only on the prompt and the index, so that
+// foreign, lost and repeated tokens change the answer.
 func Word(prompt string, index int) string {
 	return fmt.Sprintf("%x.%d ", xxhash.Sum64String(prompt), index)
 }
 
-// Answer returns the whole answer of n tokens to a prompt.
+// Answer returns the complete answer of n tokens to a prompt.
 func Answer(prompt string, n int) string {
 	var b []byte
 	for i := range n {
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,26 +13,27 @@
 	"github.com/snowspoke/snowspoke/network"
 )
 
-// Service is a fake of a plain service. It answers with the body it got.
+// Service is a stand-in for a plain service. It answers with the method, the path and
+// the body of the request.
 type Service struct {
 	memnet.Server
 	Ledger    *Ledger
-	RefuseAll atomic.Bool  // refuses without running
-	CutAfter  atomic.Int64 // cuts the next answers after the call ran
-	Delay     atomic.Int64 // nanoseconds that a call takes
+	RefuseAll atomic.Bool  // refuses all calls as not run
+	CutAfter  atomic.Int64 // number of next calls that run but whose connection is closed without an answer
+	Delay     atomic.Int64 // duration of a call in nanoseconds
 
 	mu       sync.Mutex
 	arrivals []time.Time
 }
 
-// Arrivals returns when calls came.
+// Arrivals returns the times at which calls arrived.
 func (s *Service) Arrivals() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.arrivals)
 }
 
-// NewService starts a service.
+// NewService starts a service that records its calls in l.
 func NewService(n network.Network, l *Ledger) (*Service, error) {
 	s := &Service{Server: memnet.Server{Net: n}, Ledger: l}
 	s.Handler = http.HandlerFunc(s.serve)
--- a/internal/testcert/testcert.go
+++ b/internal/testcert/testcert.go
@@ -16,13 +16,13 @@
 	"github.com/snowspoke/snowspoke/tlsconf"
 )
 
-// Authority issues certificates.
+// Authority is a certificate authority with a self-signed certificate.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority.
+// NewAuthority creates an authority with a new key.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -37,15 +37,15 @@
 	return &Authority{cert, key}, err
 }
 
-// Pool returns a pool that holds the authority alone.
+// Pool returns a pool with only the authority's certificate.
 func (a *Authority) Pool() *x509.CertPool {
 	p := x509.NewCertPool()
 	p.AddCert(a.cert)
 	return p
 }
 
-// Issue writes a certificate for an IP number, its key and the authority's
-// certificate into dir.
+// Issue writes a certificate for an IP address, its key and the authority's
+// certificate into dir, and returns the paths of the files.
 func (a *Authority) Issue(dir, ip string, serial int64) (tlsconf.Files, error) {
 	f := tlsconf.Files{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem"), CA: filepath.Join(dir, "ca.pem")}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/virtual/race.go
+++ b/internal/virtual/race.go
@@ -2,5 +2,5 @@
 
 package virtual
 
-// raceDetector says that the program was built with the race detector.
+// raceDetector reports whether the program was built with the race detector.
 const raceDetector = true
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -10,12 +10,11 @@
 
 // Test runs fn in a bubble of testing/synctest.
 //
-// Under the race detector only one thread runs Go code meanwhile. Go 1.26 runs
-// the timers of a bubble under one race context, both where the bubble's clock
-// advances and where a goroutine polls the channel of a timer that is due. Two
-// threads that do so at once corrupt the detector: it ends the process with
-// SIGSEGV or a failed check of its own. Races are still found, as the detector
-// goes by happens-before and not by what ran at the same time.
+// Under the race detector GOMAXPROCS is 1 while a bubble runs. Go 1.26 runs the timers
+// of a bubble in one race context, both when the bubble's clock advances and when a
+// goroutine polls the channel of a timer that is due. Two threads that do so
+// concurrently corrupt the detector, which then crashes the process. Races are still
+// found, as the detector works by happens-before and not by concurrent execution.
 func Test(t *testing.T, fn func(t *testing.T)) {
 	t.Helper()
 	if raceDetector {
@@ -25,35 +24,36 @@
 	synctest.Test(t, fn)
 }
 
-// bubbles keeps the process on one thread while any bubble runs: tests may run
-// theirs in parallel.
-var bubbles oneThread
+// bubbles counts the running bubbles, as tests may run them in parallel.
+var bubbles singleThread
 
-type oneThread struct {
-	mu      sync.Mutex
-	running int
-	before  int // GOMAXPROCS to go back to
+// singleThread sets GOMAXPROCS to 1 while at least one user is running.
+type singleThread struct {
+	mu       sync.Mutex
+	running  int
+	previous int // GOMAXPROCS to restore
 }
 
-func (o *oneThread) enter() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.running == 0 {
-		o.before = runtime.GOMAXPROCS(1)
+func (s *singleThread) enter() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.running == 0 {
+		s.previous = runtime.GOMAXPROCS(1)
 	}
-	o.running++
+	s.running++
 }
 
-func (o *oneThread) leave() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.running--
-	if o.running == 0 {
-		runtime.GOMAXPROCS(o.before)
+func (s *singleThread) leave() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.running--
+	if s.running == 0 {
+		runtime.GOMAXPROCS(s.previous)
 	}
 }
 
-// Run runs fn in virtual time, which the standard library offers to tests alone.
+// Run runs fn of a benchmark in virtual time. It wraps fn in a test, as testing/synctest
+// needs a *testing.T.
 func Run(b *testing.B, fn func()) {
 	b.Helper()
 	ok := testing.RunTests(func(string, string) (bool, error) { return true, nil }, []testing.InternalTest{{
--- a/internal/virtual/virtual_test.go
+++ b/internal/virtual/virtual_test.go
@@ -12,28 +12,27 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// Many timers are due at one moment, and what they start polls further timers
-// that are due while the rest still run. With testing/synctest alone and more
-// than one thread this ends the race detector.
-func TestTimersThatAreDueTogether(t *testing.T) {
-	virtual.Test(t, dueTogether)
+// Many timers are due at the same time, and their functions poll further due timers.
+// With plain testing/synctest and several threads this crashes the race detector.
+func TestSimultaneousTimers(t *testing.T) {
+	virtual.Test(t, runSimultaneousTimers)
 }
 
-// The process stays on one thread until the last of several bubbles has ended.
-func TestBubblesInParallel(t *testing.T) {
+// GOMAXPROCS is restored after the last of several parallel bubbles has ended.
+func TestParallelBubbles(t *testing.T) {
 	before := runtime.GOMAXPROCS(0)
 	t.Run("bubbles", func(t *testing.T) {
 		for range 3 {
 			t.Run("", func(t *testing.T) {
 				t.Parallel()
-				virtual.Test(t, dueTogether)
+				virtual.Test(t, runSimultaneousTimers)
 			})
 		}
 	})
 	require.Equal(t, before, runtime.GOMAXPROCS(0))
 }
 
-func dueTogether(*testing.T) {
+func runSimultaneousTimers(*testing.T) {
 	const timers, rounds = 100, 20
 	for range rounds {
 		var wg sync.WaitGroup
@@ -50,7 +49,7 @@
 	synctest.Wait()
 }
 
-// poll takes the tick of a timer that is due without ever blocking on it.
+// poll receives from a due timer without blocking.
 func poll() {
 	timer := time.NewTimer(0)
 	for range 10 {
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,4 @@
-// Package wait pauses until a time has passed or a context ends.
+// Package wait provides a sleep that ends with a context.
 package wait
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d and reports whether it passed before ctx ended.
+// For waits for d or until ctx ends, and reports whether d passed first.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
