--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -35,7 +35,7 @@
 
 // regressionSeeds are seeds that failed before, with the cause. They are always run.
 var regressionSeeds = map[uint64]string{
-	973166922785630206:  "a daemon was not ready 10 s after its start, probably as another process took its port",
+	973166922785630206:  "a daemon was not ready 10 s after its start; its log is missing, the next seed shows the likely cause",
 	9252377730292573721: "a daemon was not ready: another process took its port before it listened",
 }
 
