--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -77,7 +77,7 @@
 	// against backend servers; nil for none.
 	Stalls *stall.Monitor
 	// Quarantine is shared with the other daemons; nil for a private one.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Registry
 	// Limits holds the limits that backend servers have named, Sends the calls made to
 	// each, and Permits grants permits. All are nil for a daemon that does not share
 	// limits.
@@ -101,7 +101,7 @@
 	probes     *resultCache[struct{}]
 	silences   *silences
 	live       *liveStreams
-	quarantine *quarantine.Book
+	quarantine *quarantine.Registry
 	stalls     *stall.Monitor
 	deadlines  *deadlines
 	splits     *splits
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -71,7 +71,7 @@
 	placer         *placer.Placer
 	metrics        *metrics.Metrics
 	stalls         *stall.Monitor
-	quarantine     *quarantine.Book
+	quarantine     *quarantine.Registry
 	quarantineSync *quarantineSyncer
 	conns          *callerConns
 	callers        *http.Server
--- a/gateway/quarantine_sync.go
+++ b/gateway/quarantine_sync.go
@@ -53,7 +53,7 @@
 // follow the store as the first of their failure domain write the record. Every daemon
 // that starts receives it before it forwards a request, from its source or from the store.
 type quarantineSyncer struct {
-	registry *quarantine.Book
+	registry *quarantine.Registry
 	store    quarantineStore
 	role     func() (rank int, writes bool)
 	logger   log.Logger
@@ -66,7 +66,7 @@
 
 // newQuarantineSyncer returns a quarantineSyncer. role reports whether this daemon writes the
 // record, and the number of failure domains that sort before its own.
-func newQuarantineSyncer(registry *quarantine.Book, s quarantineStore, role func() (rank int, writes bool), logger log.Logger) *quarantineSyncer {
+func newQuarantineSyncer(registry *quarantine.Registry, s quarantineStore, role func() (rank int, writes bool), logger log.Logger) *quarantineSyncer {
 	return &quarantineSyncer{registry: registry, store: s, role: role, logger: logger, woken: make(chan struct{}, 1)}
 }
 
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -112,10 +112,10 @@
 	Ends  int // number of backend servers that ended while it was there
 }
 
-// Book holds the evidence against requests that were at backend servers when these ended.
+// Registry holds the evidence against requests that were at backend servers when these ended.
 // Daemons exchange their entries; merging is independent of the order, so that all tables
 // converge. It is safe for concurrent use.
-type Book struct {
+type Registry struct {
 	policy Policy
 
 	mu      sync.Mutex
@@ -131,13 +131,13 @@
 }
 
 // NewBook returns an empty table.
-func NewBook(p Policy) *Book {
-	return &Book{policy: p, entries: map[Fingerprint]*list.Element{}, order: list.New(), changed: make(chan struct{})}
+func NewBook(p Policy) *Registry {
+	return &Registry{policy: p, entries: map[Fingerprint]*list.Element{}, order: list.New(), changed: make(chan struct{})}
 }
 
 // Ended records that a backend server ended while a request was there, and returns the
 // resulting decision on the request.
-func (b *Book) Ended(print Fingerprint, s Server, w Weight, now time.Time) Verdict {
+func (b *Registry) Ended(print Fingerprint, s Server, w Weight, now time.Time) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.merge(Entry{Print: print, Ends: []End{{Server: s, Weight: w, At: now}}}, now)
@@ -146,7 +146,7 @@
 
 // Served records that a backend server served a request without ending, which clears the
 // earlier ends. It reports whether the entry has changed.
-func (b *Book) Served(print Fingerprint, now time.Time) bool {
+func (b *Registry) Served(print Fingerprint, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e := b.find(print); e == nil || len(e.Ends) == 0 {
@@ -156,7 +156,7 @@
 }
 
 // Look returns whether a request may be sent.
-func (b *Book) Look(print Fingerprint, now time.Time) Verdict {
+func (b *Registry) Look(print Fingerprint, now time.Time) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.evaluate(print, now)
@@ -164,7 +164,7 @@
 
 // Admit returns whether a request from a caller may be sent, and records the start of a
 // trial.
-func (b *Book) Admit(print Fingerprint, now time.Time) Verdict {
+func (b *Registry) Admit(print Fingerprint, now time.Time) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	v := b.evaluate(print, now)
@@ -174,7 +174,7 @@
 	return v
 }
 
-func (b *Book) evaluate(print Fingerprint, now time.Time) Verdict {
+func (b *Registry) evaluate(print Fingerprint, now time.Time) Verdict {
 	e := b.find(print)
 	if e == nil {
 		return Verdict{}
@@ -195,7 +195,7 @@
 }
 
 // Join merges entries of another daemon.
-func (b *Book) Join(entries []Entry, now time.Time) {
+func (b *Registry) Join(entries []Entry, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, e := range entries {
@@ -209,7 +209,7 @@
 
 // merge merges an entry and reports whether anything has changed. The result does not depend
 // on the order of calls.
-func (b *Book) merge(e Entry, now time.Time) bool {
+func (b *Registry) merge(e Entry, now time.Time) bool {
 	k := b.find(e.Print)
 	if k == nil {
 		if len(e.Ends) == 0 {
@@ -240,7 +240,7 @@
 
 // Since returns up to most entries changed after a version, oldest change first, and the
 // version to pass to the next call.
-func (b *Book) Since(version uint64, most int) (entries []Entry, next uint64) {
+func (b *Registry) Since(version uint64, most int) (entries []Entry, next uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := b.order.Back()
@@ -263,27 +263,27 @@
 }
 
 // Changed returns a channel that is closed at the next change.
-func (b *Book) Changed() <-chan struct{} {
+func (b *Registry) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
 // Size returns the number of entries.
-func (b *Book) Size() int {
+func (b *Registry) Size() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.entries)
 }
 
-func (b *Book) find(print Fingerprint) *tableEntry {
+func (b *Registry) find(print Fingerprint) *tableEntry {
 	if el := b.entries[print]; el != nil {
 		return el.Value.(*tableEntry)
 	}
 	return nil
 }
 
-func (b *Book) add(print Fingerprint, now time.Time) *tableEntry {
+func (b *Registry) add(print Fingerprint, now time.Time) *tableEntry {
 	if len(b.entries) >= b.policy.Most {
 		b.evict(now)
 	}
@@ -294,7 +294,7 @@
 
 // touch assigns a new version to an entry, moves it to the back of the order and wakes
 // those that wait for changes.
-func (b *Book) touch(k *tableEntry) {
+func (b *Registry) touch(k *tableEntry) {
 	b.version++
 	k.version = b.version
 	b.order.MoveToBack(b.entries[k.Print])
@@ -308,17 +308,17 @@
 
 // evict removes expired entries, then, until enough are free, the least recently changed
 // ones below the quarantine score, then any.
-func (b *Book) evict(now time.Time) {
+func (b *Registry) evict(now time.Time) {
 	target := max(1, b.policy.Most/evictFraction)
 	b.remove(b.policy.Most, func(k *tableEntry) bool { return b.expired(k, now) })
 	b.remove(target-b.free(), func(k *tableEntry) bool { return k.Score() < b.policy.HoldFrom })
 	b.remove(target-b.free(), func(*tableEntry) bool { return true })
 }
 
-func (b *Book) free() int { return b.policy.Most - len(b.entries) }
+func (b *Registry) free() int { return b.policy.Most - len(b.entries) }
 
 // remove removes up to n matching entries, the least recently changed first.
-func (b *Book) remove(n int, match func(*tableEntry) bool) {
+func (b *Registry) remove(n int, match func(*tableEntry) bool) {
 	for el := b.order.Front(); el != nil && n > 0; {
 		k, next := el.Value.(*tableEntry), el.Next()
 		if match(k) {
@@ -331,7 +331,7 @@
 }
 
 // expired reports whether an entry no longer has any effect.
-func (b *Book) expired(k *tableEntry, now time.Time) bool {
+func (b *Registry) expired(k *tableEntry, now time.Time) bool {
 	if len(k.Ends) == 0 {
 		return now.Sub(k.ServedAt) >= b.policy.KeepServed
 	}
@@ -339,14 +339,14 @@
 }
 
 // Forget removes expired entries. It is called periodically.
-func (b *Book) Forget(now time.Time) {
+func (b *Registry) Forget(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.remove(len(b.entries), func(k *tableEntry) bool { return b.expired(k, now) })
 }
 
 // HeldBack returns the quarantined requests, highest score first.
-func (b *Book) HeldBack(now time.Time) []Entry {
+func (b *Registry) HeldBack(now time.Time) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Entry
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -109,7 +109,7 @@
 // exchange.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tables := []*Book{NewBook(DefaultPolicy), NewBook(DefaultPolicy), NewBook(DefaultPolicy)}
+		tables := []*Registry{NewBook(DefaultPolicy), NewBook(DefaultPolicy), NewBook(DefaultPolicy)}
 		prints := rapid.Custom(func(t *rapid.T) Fingerprint { return Fingerprint(rapid.IntRange(1, 3).Draw(t, "print")) })
 		now := start
 		for range rapid.IntRange(0, 20).Draw(t, "steps") {
@@ -141,6 +141,6 @@
 			require.Equal(t, want, tables[1].Look(print, now))
 			require.Equal(t, want, tables[2].Look(print, now))
 		}
-		require.False(t, slices.ContainsFunc(tables, func(b *Book) bool { return b.Size() > 3 }))
+		require.False(t, slices.ContainsFunc(tables, func(b *Registry) bool { return b.Size() > 3 }))
 	})
 }
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -103,7 +103,7 @@
 type crashReporter struct{ sent uint64 }
 
 // next returns the next changes that were not sent yet.
-func (r *crashReporter) next(b *quarantine.Book) []packedCrash {
+func (r *crashReporter) next(b *quarantine.Registry) []packedCrash {
 	if b == nil {
 		return nil
 	}
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -17,7 +17,7 @@
 // crashFleet runs daemons with a quarantine each, as chains of followers in their failure
 // domains.
 type crashFleet struct {
-	registries []*quarantine.Book
+	registries []*quarantine.Registry
 	nodes      []*Node
 	stop       []func()
 }
--- a/relay/node.go
+++ b/relay/node.go
@@ -37,7 +37,7 @@
 	// Asker queries backend servers that may be slow or saturated, nil for none.
 	Asker Asker
 	// Quarantine is kept in sync with those of the other daemons, nil for none.
-	Quarantine *quarantine.Book
+	Quarantine *quarantine.Registry
 	// Stalls monitors stalls of this process, which do not count as timeouts of other
 	// daemons; nil for none.
 	Stalls *stall.Monitor
