--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -159,7 +159,7 @@
 	l := newFleetLab(1, daemons)
 	l.arrivals = map[string][]time.Time{}
 	for _, f := range l.forward {
-		f.quarantine = quarantine.NewBook(p)
+		f.quarantine = quarantine.NewRegistry(p)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -131,7 +131,7 @@
 		o.RetryWindow = defaultRetryWindow
 	}
 	if p.Quarantine == nil {
-		p.Quarantine = quarantine.NewBook(quarantine.DefaultPolicy)
+		p.Quarantine = quarantine.NewRegistry(quarantine.DefaultPolicy)
 	}
 	if p.Limits == nil {
 		p.Limits, p.Sends = quota.NewLimits(), quota.NewSends()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -125,7 +125,7 @@
 	self := relay.Member{Name: set.Name, Domain: set.FailureDomain, Address: g.listeners.links.Addr().String()}
 	g.members = newMembers(self, set.FirstStart, g.store, g.log)
 	stalls.OnWake(g.members.wake)
-	book := quarantine.NewBook(quarantine.DefaultPolicy)
+	book := quarantine.NewRegistry(quarantine.DefaultPolicy)
 	g.quarantine = book
 	g.quarantineSync = newQuarantineSyncer(book, g.store, g.quarantineRole, g.log)
 	limits, sends := quota.NewLimits(), quota.NewSends()
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -10,7 +10,7 @@
 
 func TestRecordRestoresQuarantine(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000_000)
-	b := NewBook(DefaultPolicy)
+	b := NewRegistry(DefaultPolicy)
 	b.Ended(7, 1, Likely, now.Add(-3*time.Second))
 	b.Ended(7, 2, Likely, now.Add(-2*time.Second))
 	b.Ended(8, 1, Likely, now)
@@ -21,7 +21,7 @@
 	entries, err := DecodeRecord(data, now)
 	require.NoError(t, err)
 	require.True(t, SameHeld(held, entries))
-	again := NewBook(DefaultPolicy)
+	again := NewRegistry(DefaultPolicy)
 	again.Join(entries, now)
 	require.True(t, again.Look(7, now).Held)
 	require.False(t, again.Look(7, now.Add(DefaultPolicy.Keep)).Held, "the entry expires")
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	entries, err := DecodeRecord(data, now)
 	require.NoError(t, err)
-	b := NewBook(DefaultPolicy)
+	b := NewRegistry(DefaultPolicy)
 	b.Join(entries, now)
 	require.True(t, b.Look(7, now).Held)
 	require.False(t, b.Look(7, now.Add(DefaultPolicy.Keep)).Held)
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -130,8 +130,8 @@
 	version uint64
 }
 
-// NewBook returns an empty table.
-func NewBook(p Policy) *Registry {
+// NewRegistry returns an empty table.
+func NewRegistry(p Policy) *Registry {
 	return &Registry{policy: p, entries: map[Fingerprint]*list.Element{}, order: list.New(), changed: make(chan struct{})}
 }
 
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -16,7 +16,7 @@
 // Two ended backend servers that very likely ran a request quarantine it until a trial;
 // three quarantine it without trials.
 func TestRequestIsQuarantinedAfterTwoEnds(t *testing.T) {
-	b := NewBook(DefaultPolicy)
+	b := NewRegistry(DefaultPolicy)
 	require.Equal(t, Verdict{}, b.Admit(1, start))
 	require.False(t, b.Ended(1, 10, Likely, start).Held, "another request may have ended it")
 	require.False(t, b.Ended(1, 10, Likely, after(time.Second)).Held, "each backend server counts once")
@@ -41,7 +41,7 @@
 
 // A request without evidence that it ran is quarantined after four ends.
 func TestPossibleEndsHaveHalfWeight(t *testing.T) {
-	b := NewBook(DefaultPolicy)
+	b := NewRegistry(DefaultPolicy)
 	for s := range Server(3) {
 		require.False(t, b.Ended(1, s, Possible, start).Held)
 	}
@@ -51,7 +51,7 @@
 // A request that was served is cleared of earlier ends, also when an older report of them
 // arrives again, but not of later ends.
 func TestServedRequestIsCleared(t *testing.T) {
-	b, other := NewBook(DefaultPolicy), NewBook(DefaultPolicy)
+	b, other := NewRegistry(DefaultPolicy), NewRegistry(DefaultPolicy)
 	require.False(t, b.Served(1, start), "no end was known")
 	b.Ended(1, 10, Likely, start)
 	b.Ended(1, 11, Likely, start)
@@ -70,7 +70,7 @@
 
 // A caller of Since receives each changed entry once, and eventually all of them.
 func TestChangesAreReturnedOnce(t *testing.T) {
-	b := NewBook(DefaultPolicy)
+	b := NewRegistry(DefaultPolicy)
 	changed := b.Changed()
 	for p := range Fingerprint(5) {
 		b.Ended(p, 1, Likely, start)
@@ -92,7 +92,7 @@
 func TestFullTableKeepsQuarantinedRequests(t *testing.T) {
 	p := DefaultPolicy
 	p.Most = 64
-	b := NewBook(p)
+	b := NewRegistry(p)
 	b.Ended(1, 1, Likely, start)
 	b.Ended(1, 2, Likely, start)
 	for n := range Fingerprint(10_000) {
@@ -109,7 +109,7 @@
 // exchange.
 func TestTablesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tables := []*Registry{NewBook(DefaultPolicy), NewBook(DefaultPolicy), NewBook(DefaultPolicy)}
+		tables := []*Registry{NewRegistry(DefaultPolicy), NewRegistry(DefaultPolicy), NewRegistry(DefaultPolicy)}
 		prints := rapid.Custom(func(t *rapid.T) Fingerprint { return Fingerprint(rapid.IntRange(1, 3).Draw(t, "print")) })
 		now := start
 		for range rapid.IntRange(0, 20).Draw(t, "steps") {
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -32,7 +32,7 @@
 	}
 	s := &fakeStore{version: 1}
 	for i, domain := range domains {
-		inv, registry := newFakeInventory(s), quarantine.NewBook(quarantine.DefaultPolicy)
+		inv, registry := newFakeInventory(s), quarantine.NewRegistry(quarantine.DefaultPolicy)
 		node := New(Options{Name: daemonName(i), Domain: domain, FanOut: 1, Quarantine: registry}, inv, inv, all, log.NewNopLogger())
 		f.registries, f.nodes, f.stop = append(f.registries, registry), append(f.nodes, node), append(f.stop, start(t, node, servers[i]))
 	}
@@ -88,7 +88,7 @@
 func TestCrashEncodingRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(5000, 0)
-		registry, other := quarantine.NewBook(quarantine.DefaultPolicy), quarantine.NewBook(quarantine.DefaultPolicy)
+		registry, other := quarantine.NewRegistry(quarantine.DefaultPolicy), quarantine.NewRegistry(quarantine.DefaultPolicy)
 		for range rapid.IntRange(0, 9).Draw(t, "ends") {
 			print := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "print"))
 			server := quarantine.Server(rapid.Uint32().Draw(t, "server"))
@@ -121,7 +121,7 @@
 
 // An end under 130 streams is sent once, in at most 30 bytes an entry.
 func TestCrashFramesAreBounded(t *testing.T) {
-	registry := quarantine.NewBook(quarantine.DefaultPolicy)
+	registry := quarantine.NewRegistry(quarantine.DefaultPolicy)
 	for range 130 {
 		registry.Ended(quarantine.Fingerprint(rand.Uint64()), quarantine.Server(rand.Uint32()), quarantine.Likely, time.Now())
 	}
