--- a/forward/crash.go
+++ b/forward/crash.go
@@ -170,7 +170,7 @@
 	return v.Held
 }
 
-func (r *run) logQuarantine(outcome string, v quarantine.Verdict) {
+func (r *run) logQuarantine(outcome string, v quarantine.Decision) {
 	r.f.log.Add("quarantine", "request", r.req.ID, "fingerprint", r.fingerprint, "outcome", outcome, "ends", v.Ends, "score", v.Score,
 		"until", v.Until.UTC().Format(time.RFC3339))
 }
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -103,8 +103,8 @@
 	return changed
 }
 
-// Verdict is the decision on whether a request may be sent.
-type Verdict struct {
+// Decision is the decision on whether a request may be sent.
+type Decision struct {
 	Held  bool      // the request is quarantined
 	Until time.Time // time of the next trial, if it is quarantined
 	Trial bool      // the request may be sent as a trial
@@ -137,7 +137,7 @@
 
 // Ended records that a backend server ended while a request was there, and returns the
 // resulting decision on the request.
-func (b *Registry) Ended(print Fingerprint, s Server, w Weight, now time.Time) Verdict {
+func (b *Registry) Ended(print Fingerprint, s Server, w Weight, now time.Time) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.merge(Entry{Print: print, Ends: []End{{Server: s, Weight: w, At: now}}}, now)
@@ -156,7 +156,7 @@
 }
 
 // Look returns whether a request may be sent.
-func (b *Registry) Look(print Fingerprint, now time.Time) Verdict {
+func (b *Registry) Look(print Fingerprint, now time.Time) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.evaluate(print, now)
@@ -164,7 +164,7 @@
 
 // Admit returns whether a request from a caller may be sent, and records the start of a
 // trial.
-func (b *Registry) Admit(print Fingerprint, now time.Time) Verdict {
+func (b *Registry) Admit(print Fingerprint, now time.Time) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	v := b.evaluate(print, now)
@@ -174,13 +174,13 @@
 	return v
 }
 
-func (b *Registry) evaluate(print Fingerprint, now time.Time) Verdict {
+func (b *Registry) evaluate(print Fingerprint, now time.Time) Decision {
 	e := b.find(print)
 	if e == nil {
-		return Verdict{}
+		return Decision{}
 	}
 	last := e.lastEndAt()
-	v := Verdict{Score: e.Score(), Ends: len(e.Ends)}
+	v := Decision{Score: e.Score(), Ends: len(e.Ends)}
 	switch {
 	case v.Score < b.policy.HoldFrom || now.Sub(last) >= b.policy.Keep:
 		return v
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -17,7 +17,7 @@
 // three quarantine it without trials.
 func TestRequestIsQuarantinedAfterTwoEnds(t *testing.T) {
 	b := NewRegistry(DefaultPolicy)
-	require.Equal(t, Verdict{}, b.Admit(1, start))
+	require.Equal(t, Decision{}, b.Admit(1, start))
 	require.False(t, b.Ended(1, 10, Likely, start).Held, "another request may have ended it")
 	require.False(t, b.Ended(1, 10, Likely, after(time.Second)).Held, "each backend server counts once")
 	require.False(t, b.Admit(1, after(time.Second)).Trial)
@@ -36,7 +36,7 @@
 	require.True(t, v.Held)
 	require.Equal(t, 3, v.Ends)
 	require.True(t, b.Admit(1, v.Until.Add(-time.Second)).Held)
-	require.Equal(t, Verdict{Score: 6, Ends: 3}, b.Admit(1, v.Until), "the entry has expired")
+	require.Equal(t, Decision{Score: 6, Ends: 3}, b.Admit(1, v.Until), "the entry has expired")
 }
 
 // A request without evidence that it ran is quarantined after four ends.
