--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -39,9 +39,9 @@
 	now := time.Now()
 	out := []HeldBack{}
 	for _, e := range g.quarantine.HeldBack(now) {
-		v := g.quarantine.Look(e.Print, now)
+		v := g.quarantine.Look(e.Fingerprint, now)
 		last := e.Ends[len(e.Ends)-1].At
-		out = append(out, HeldBack{Fingerprint: e.Print.String(), Ends: v.Ends, Score: v.Score, LastEnd: last.UTC(), Until: v.Until.UTC()})
+		out = append(out, HeldBack{Fingerprint: e.Fingerprint.String(), Ends: v.Ends, Score: v.Score, LastEnd: last.UTC(), Until: v.Until.UTC()})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -37,7 +37,7 @@
 func EncodeRecord(entries []Entry) ([]byte, error) {
 	out := make([]recordEntry, 0, len(entries))
 	for _, e := range entries {
-		r := recordEntry{Print: uint64(e.Print)}
+		r := recordEntry{Print: uint64(e.Fingerprint)}
 		if !e.TriedAt.IsZero() {
 			r.TriedAt = e.TriedAt.UnixMilli()
 		}
@@ -65,14 +65,14 @@
 	}
 	out := make([]Entry, 0, len(in))
 	for _, r := range in {
-		e := Entry{Print: Fingerprint(r.Print)}
+		e := Entry{Fingerprint: Fingerprint(r.Print)}
 		if r.TriedAt != 0 {
 			e.TriedAt = clampToNow(r.TriedAt, now)
 		}
 		for _, end := range r.Ends {
 			w := Weight(end.Weight)
 			if w != Possible && w != Likely || len(e.Ends) >= maxEnds {
-				return nil, fmt.Errorf("%w: ends of %s", ErrRecord, e.Print)
+				return nil, fmt.Errorf("%w: ends of %s", ErrRecord, e.Fingerprint)
 			}
 			e.Ends = append(e.Ends, End{Server: Server(end.Server), Weight: w, At: clampToNow(end.At, now)})
 		}
@@ -104,7 +104,7 @@
 func heldKeys(entries []Entry) []heldKey {
 	out := make([]heldKey, 0, len(entries))
 	for i := range entries {
-		out = append(out, heldKey{entries[i].Print, entries[i].Score()})
+		out = append(out, heldKey{entries[i].Fingerprint, entries[i].Score()})
 	}
 	slices.SortFunc(out, func(x, y heldKey) int {
 		if x.print < y.print {
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -33,7 +33,7 @@
 // hour.
 func TestRecordWithFutureTimesExpires(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000_000)
-	ahead := []Entry{{Print: 7, TriedAt: now.Add(time.Hour), Ends: []End{{Server: 1, Weight: Likely, At: now.Add(time.Hour)}, {Server: 2, Weight: Likely, At: now.Add(time.Hour)}}}}
+	ahead := []Entry{{Fingerprint: 7, TriedAt: now.Add(time.Hour), Ends: []End{{Server: 1, Weight: Likely, At: now.Add(time.Hour)}, {Server: 2, Weight: Likely, At: now.Add(time.Hour)}}}}
 	data, err := EncodeRecord(ahead)
 	require.NoError(t, err)
 	entries, err := DecodeRecord(data, now)
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -60,7 +60,7 @@
 
 // Entry is the evidence against one request.
 type Entry struct {
-	Print   Fingerprint
+	Fingerprint   Fingerprint
 	Ends    []End     // since it was last served, sorted by time
 	TriedAt time.Time // of the last trial, the zero time for none
 	// ServedAt is when a backend server last served it without ending, the zero time for
@@ -140,7 +140,7 @@
 func (b *Registry) Ended(print Fingerprint, s Server, w Weight, now time.Time) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.merge(Entry{Print: print, Ends: []End{{Server: s, Weight: w, At: now}}}, now)
+	b.merge(Entry{Fingerprint: print, Ends: []End{{Server: s, Weight: w, At: now}}}, now)
 	return b.evaluate(print, now)
 }
 
@@ -152,7 +152,7 @@
 	if e := b.find(print); e == nil || len(e.Ends) == 0 {
 		return false
 	}
-	return b.merge(Entry{Print: print, ServedAt: now}, now)
+	return b.merge(Entry{Fingerprint: print, ServedAt: now}, now)
 }
 
 // Look returns whether a request may be sent.
@@ -169,7 +169,7 @@
 	defer b.mu.Unlock()
 	v := b.evaluate(print, now)
 	if v.Trial {
-		b.merge(Entry{Print: print, TriedAt: now}, now)
+		b.merge(Entry{Fingerprint: print, TriedAt: now}, now)
 	}
 	return v
 }
@@ -210,12 +210,12 @@
 // merge merges an entry and reports whether anything has changed. The result does not depend
 // on the order of calls.
 func (b *Registry) merge(e Entry, now time.Time) bool {
-	k := b.find(e.Print)
+	k := b.find(e.Fingerprint)
 	if k == nil {
 		if len(e.Ends) == 0 {
 			return false
 		}
-		k = b.add(e.Print, now)
+		k = b.add(e.Fingerprint, now)
 	}
 	changed := false
 	if e.ServedAt.Sub(k.ServedAt) > maxTimeSkew {
@@ -287,7 +287,7 @@
 	if len(b.entries) >= b.policy.Most {
 		b.evict(now)
 	}
-	k := &tableEntry{Entry: Entry{Print: print}}
+	k := &tableEntry{Entry: Entry{Fingerprint: print}}
 	b.entries[print] = b.order.PushBack(k)
 	return k
 }
@@ -297,7 +297,7 @@
 func (b *Registry) touch(k *tableEntry) {
 	b.version++
 	k.version = b.version
-	b.order.MoveToBack(b.entries[k.Print])
+	b.order.MoveToBack(b.entries[k.Fingerprint])
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -323,7 +323,7 @@
 		k, next := el.Value.(*tableEntry), el.Next()
 		if match(k) {
 			b.order.Remove(el)
-			delete(b.entries, k.Print)
+			delete(b.entries, k.Fingerprint)
 			n--
 		}
 		el = next
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -80,7 +80,7 @@
 	require.Len(t, first, 3)
 	b.Ended(0, 2, Likely, start)
 	second, at := b.Since(at, 3)
-	require.Equal(t, []Fingerprint{3, 4, 0}, []Fingerprint{second[0].Print, second[1].Print, second[2].Print})
+	require.Equal(t, []Fingerprint{3, 4, 0}, []Fingerprint{second[0].Fingerprint, second[1].Fingerprint, second[2].Fingerprint})
 	none, _ := b.Since(at, 3)
 	require.Empty(t, none)
 	b.Join(second, after(time.Millisecond))
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -56,7 +56,7 @@
 func packCrashes(entries []quarantine.Entry, now time.Time) []packedCrash {
 	out := make([]packedCrash, 0, len(entries))
 	for _, e := range entries {
-		p := packedCrash{Print: uint64(e.Print), Tried: packTime(e.TriedAt, now), Served: packTime(e.ServedAt, now)}
+		p := packedCrash{Print: uint64(e.Fingerprint), Tried: packTime(e.TriedAt, now), Served: packTime(e.ServedAt, now)}
 		for _, end := range e.Ends {
 			p.Ends = append(p.Ends, packedEnd{Server: uint32(end.Server), Weight: uint8(end.Weight), Age: ageOf(end.At, now)})
 		}
@@ -71,7 +71,7 @@
 		if !p.valid() {
 			continue
 		}
-		e := quarantine.Entry{Print: quarantine.Fingerprint(p.Print), TriedAt: unpackTime(p.Tried, now), ServedAt: unpackTime(p.Served, now)}
+		e := quarantine.Entry{Fingerprint: quarantine.Fingerprint(p.Print), TriedAt: unpackTime(p.Tried, now), ServedAt: unpackTime(p.Served, now)}
 		for _, end := range p.Ends {
 			at := now.Add(-time.Duration(end.Age) * time.Millisecond)
 			e.Ends = append(e.Ends, quarantine.End{Server: quarantine.Server(end.Server), Weight: quarantine.Weight(end.Weight), At: at})
