--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -38,7 +38,7 @@
 func (g *Gateway) listQuarantined(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	out := []HeldBack{}
-	for _, e := range g.quarantine.HeldBack(now) {
+	for _, e := range g.quarantine.Quarantined(now) {
 		v := g.quarantine.Look(e.Fingerprint, now)
 		last := e.Ends[len(e.Ends)-1].At
 		out = append(out, HeldBack{Fingerprint: e.Fingerprint.String(), Ends: v.Ends, Score: v.Score, LastEnd: last.UTC(), Until: v.Until.UTC()})
--- a/gateway/quarantine_sync.go
+++ b/gateway/quarantine_sync.go
@@ -201,6 +201,6 @@
 
 // quarantined returns the entries to store, quarantine.RecordMost at most.
 func (q *quarantineSyncer) quarantined() []quarantine.Entry {
-	quarantined := q.registry.HeldBack(time.Now())
+	quarantined := q.registry.Quarantined(time.Now())
 	return quarantined[:min(len(quarantined), quarantine.RecordMost)]
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -14,7 +14,7 @@
 	b.Ended(7, 1, Likely, now.Add(-3*time.Second))
 	b.Ended(7, 2, Likely, now.Add(-2*time.Second))
 	b.Ended(8, 1, Likely, now)
-	held := b.HeldBack(now)
+	held := b.Quarantined(now)
 	require.Len(t, held, 1, "one end does not quarantine a request")
 	data, err := EncodeRecord(held)
 	require.NoError(t, err)
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -345,8 +345,8 @@
 	b.remove(len(b.entries), func(k *tableEntry) bool { return b.expired(k, now) })
 }
 
-// HeldBack returns the quarantined requests, highest score first.
-func (b *Registry) HeldBack(now time.Time) []Entry {
+// Quarantined returns the quarantined requests, highest score first.
+func (b *Registry) Quarantined(now time.Time) []Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []Entry
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -100,7 +100,7 @@
 		require.LessOrEqual(t, b.Size(), p.Most)
 	}
 	require.True(t, b.Look(1, start).Held)
-	require.Len(t, b.HeldBack(start), 1)
+	require.Len(t, b.Quarantined(start), 1)
 	b.Forget(after(p.Keep))
 	require.Zero(t, b.Size())
 }
