--- a/gateway/quarantine_sync.go
+++ b/gateway/quarantine_sync.go
@@ -202,5 +202,5 @@
 // quarantined returns the entries to store, quarantine.RecordMost at most.
 func (q *quarantineSyncer) quarantined() []quarantine.Entry {
 	quarantined := q.registry.Quarantined(time.Now())
-	return quarantined[:min(len(quarantined), quarantine.RecordMost)]
+	return quarantined[:min(len(quarantined), quarantine.MaxRecordEntries)]
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,9 +9,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RecordMost bounds the requests of a record, and thereby its size, at about 100 bytes
+// MaxRecordEntries bounds the requests of a record, and thereby its size, at about 100 bytes
 // each. Quarantined requests are few in practice.
-const RecordMost = 128
+const MaxRecordEntries = 128
 
 // ErrRecord is returned for a record that cannot be decoded.
 var ErrRecord = errors.New("quarantine: record cannot be read")
@@ -60,7 +60,7 @@
 	if err := cbor.Unmarshal(data, &in); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
-	if len(in) > RecordMost {
+	if len(in) > MaxRecordEntries {
 		return nil, fmt.Errorf("%w: %d requests", ErrRecord, len(in))
 	}
 	out := make([]Entry, 0, len(in))
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestInvalidRecordsAreRejected(t *testing.T) {
-	many, err := cbor.Marshal(make([]recordEntry, RecordMost+1))
+	many, err := cbor.Marshal(make([]recordEntry, MaxRecordEntries+1))
 	require.NoError(t, err)
 	weight, err := cbor.Marshal([]recordEntry{{Print: 1, Ends: []recordEnd{{Weight: 9}}}})
 	require.NoError(t, err)
