--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -52,7 +52,7 @@
 	catalog       *catalog.Catalog
 	store         *httpstore.Client
 	node          *peer.Node
-	leaseManager  *lease.Keeper
+	leaseManager  *lease.Manager
 	control       *control.Controller
 	demand        atomic.Pointer[map[string]float64] // of the fleet, in tokens per second by model
 	table         *fleet.Table
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -67,7 +67,7 @@
 	relay          *relay.Node
 	permits        *permit.Node
 	forward        *forward.Forwarder
-	leases         *lease.Keeper
+	leases         *lease.Manager
 	placer         *placer.Placer
 	metrics        *metrics.Metrics
 	stalls         *stall.Monitor
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -17,8 +17,8 @@
 
 const ttl = 3 * time.Second
 
-func keepers(store store.Store, n int) []*Keeper {
-	var out []*Keeper
+func keepers(store store.Store, n int) []*Manager {
+	var out []*Manager
 	for i := range n {
 		out = append(out, NewKeeper("Lease", "placement", fmt.Sprint("d", i), ttl, store, log.NewNopLogger()))
 	}
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -22,10 +22,10 @@
 	Put(ctx context.Context, kind, name string, spec []byte, ifVersion store.Position) (store.Position, error)
 }
 
-// Keeper acquires a lease and renews it. Its times include those in which the VM was
+// Manager acquires a lease and renews it. Its times include those in which the VM was
 // suspended, so that a resumed holder does not hold a lease that has expired. It is safe
 // for concurrent use.
-type Keeper struct {
+type Manager struct {
 	name   string
 	store  Store
 	logger log.Logger
@@ -36,26 +36,26 @@
 }
 
 // NewKeeper returns the manager of the named lease; Run must be called.
-func NewKeeper(kind, name, self string, ttl time.Duration, store Store, logger log.Logger) *Keeper {
-	return &Keeper{kind: kind, name: name, store: store, logger: logger, candidate: New(self, ttl)}
+func NewKeeper(kind, name, self string, ttl time.Duration, store Store, logger log.Logger) *Manager {
+	return &Manager{kind: kind, name: name, store: store, logger: logger, candidate: New(self, ttl)}
 }
 
 // Held returns the fencing number if this daemon holds the lease now.
-func (k *Keeper) Held() (uint64, bool) {
+func (k *Manager) Held() (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.candidate.Held(boottime.Now())
 }
 
 // Holder returns the lease as last seen.
-func (k *Keeper) Holder() Spec {
+func (k *Manager) Holder() Spec {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.candidate.Holder()
 }
 
 // Run acquires and renews the lease until ctx ends, then releases it.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	period := k.candidate.ttl / 10
 	t := time.NewTicker(period)
 	defer t.Stop()
@@ -83,14 +83,14 @@
 // to the store.
 const retryFraction = 3
 
-func (k *Keeper) next() Action {
+func (k *Manager) next() Action {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.candidate.Next(boottime.Now())
 }
 
 // step performs the next action and reports whether the store answered.
-func (k *Keeper) step(ctx context.Context) (answered bool) {
+func (k *Manager) step(ctx context.Context) (answered bool) {
 	switch a := k.next(); a {
 	case Read:
 		return k.read(ctx)
@@ -100,7 +100,7 @@
 	return true
 }
 
-func (k *Keeper) read(ctx context.Context) (answered bool) {
+func (k *Manager) read(ctx context.Context) (answered bool) {
 	o, err := k.store.Get(ctx, k.kind, k.name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
@@ -113,7 +113,7 @@
 
 // write makes one attempt. After a lost answer it reads the lease back and compares the
 // nonce to find out whether the write was applied.
-func (k *Keeper) write(ctx context.Context, a Action) (answered bool) {
+func (k *Manager) write(ctx context.Context, a Action) (answered bool) {
 	k.mu.Lock()
 	spec, ifVersion := k.candidate.Propose(a, rand.Uint64())
 	era := k.candidate.version.Era()
@@ -153,7 +153,7 @@
 
 // release lets other daemons take over at once. It writes an expired lease with the same
 // fencing number. Without it, as after a crash, the others wait for one period.
-func (k *Keeper) release() {
+func (k *Manager) release() {
 	if _, ok := k.Held(); !ok {
 		return
 	}
