--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -271,7 +271,7 @@
 		for i := range 2 {
 			s := &disconnectableStore{Store: r.store}
 			stores = append(stores, s)
-			manager := lease.NewKeeper(string(topology.KindLease), "placement", fmt.Sprint("d", i), ttl, s, log.NewNopLogger())
+			manager := lease.NewManager(string(topology.KindLease), "placement", fmt.Sprint("d", i), ttl, s, log.NewNopLogger())
 			c := r.controller(manager)
 			c.Store, c.opts.Period, c.opts.LeaseTTL = s, 2*time.Second, ttl
 			go manager.Run(ctx)
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -17,7 +17,7 @@
 
 func (d *Daemon) buildControl(engine backend.Engine) {
 	p := d.cfg.Place
-	d.leaseManager = lease.NewKeeper(string(topology.KindLease), leasePlacement, d.cfg.Daemon.Name, p.LeaseTTL, d.store, d.logger)
+	d.leaseManager = lease.NewManager(string(topology.KindLease), leasePlacement, d.cfg.Daemon.Name, p.LeaseTTL, d.store, d.logger)
 	d.control = control.New(control.Options{
 		Period: p.Period, LeaseTTL: p.LeaseTTL, OrderTimeout: p.OrderTimeout, OrderExpiry: p.OrderExpiry, Budget: p.BudgetBytes,
 	}, control.Parts{
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -145,7 +145,7 @@
 		Client: relay.NewDialer(nil, stalls), Scheme: "http", Stalls: stalls, Logger: g.log,
 	})
 	g.links = &http.Server{Handler: g.linksHandler()}
-	g.leases = lease.NewKeeper(kindLease, placementLease, set.Name, leasePeriod, leaseStore{g.store}, g.log)
+	g.leases = lease.NewManager(kindLease, placementLease, set.Name, leasePeriod, leaseStore{g.store}, g.log)
 	g.placer = placer.New(g.leases, g.inv, permittedBackends{g}, g.forward, observer{m}, g.log)
 	g.conns = newCallerConns()
 	g.ingress = platform.NewIngress(g.forward)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -20,7 +20,7 @@
 func keepers(store store.Store, n int) []*Manager {
 	var out []*Manager
 	for i := range n {
-		out = append(out, NewKeeper("Lease", "placement", fmt.Sprint("d", i), ttl, store, log.NewNopLogger()))
+		out = append(out, NewManager("Lease", "placement", fmt.Sprint("d", i), ttl, store, log.NewNopLogger()))
 	}
 	return out
 }
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -35,8 +35,8 @@
 	candidate *Candidate
 }
 
-// NewKeeper returns the manager of the named lease; Run must be called.
-func NewKeeper(kind, name, self string, ttl time.Duration, store Store, logger log.Logger) *Manager {
+// NewManager returns the manager of the named lease; Run must be called.
+func NewManager(kind, name, self string, ttl time.Duration, store Store, logger log.Logger) *Manager {
 	return &Manager{kind: kind, name: name, store: store, logger: logger, candidate: New(self, ttl)}
 }
 
