--- a/forward/limits.go
+++ b/forward/limits.go
@@ -14,18 +14,18 @@
 	if !w.Named && !(w.Call == CallRequest && w.Ran) {
 		return
 	}
-	update := quota.Word{Server: w.Server, Named: w.Named, Rate: w.Rate, SentAt: w.SentAt, At: boottime.Now()}
+	update := quota.LimitReport{Server: w.Server, Named: w.Named, Rate: w.Rate, SentAt: w.SentAt, At: boottime.Now()}
 	f.applyLimit(update, "by", w.Call, "request", w.RequestID)
 }
 
 // HearLimitFrom updates a backend server's limit from another daemon.
-func (f *Forwarder) HearLimitFrom(w quota.Word, daemon string) {
+func (f *Forwarder) HearLimitFrom(w quota.LimitReport, daemon string) {
 	if f.applyLimit(w, "told_by", daemon) == quota.Unchanged && !w.Named {
 		f.limits.Retell(w.Server)
 	}
 }
 
-func (f *Forwarder) applyLimit(w quota.Word, source ...any) quota.Change {
+func (f *Forwarder) applyLimit(w quota.LimitReport, source ...any) quota.Change {
 	change, before, limit := f.limits.Hear(w)
 	if change == quota.Unchanged {
 		return change
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -131,7 +131,7 @@
 func (l *limitedLab) propagate(ctx context.Context) {
 	versions := make([]uint64, len(l.limits))
 	for wait.For(ctx, limitPropagation) {
-		var updates []quota.Word
+		var updates []quota.LimitReport
 		for n, limits := range l.limits {
 			words, version := limits.Since(versions[n])
 			versions[n] = version
--- a/permit/node.go
+++ b/permit/node.go
@@ -68,7 +68,7 @@
 	Sends  *quota.Sends
 	// HearLimit receives limit reports of other daemons. It is nil where daemons do not
 	// exchange limits since each knows all of them from another source.
-	HearLimit func(w quota.Word, from string)
+	HearLimit func(w quota.LimitReport, from string)
 	// Client opens links with URLs of Scheme, "http" or "https", and with Header.
 	Client *http.Client
 	Scheme string
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -44,7 +44,7 @@
 		node := New(Options{
 			Name: daemonName(i), Members: func() []Member { return l.all }, Client: http.DefaultClient, Scheme: "http",
 			Limits: limits, Sends: sends, Pool: quota.NewPool(daemonName(i), limits, sends), Logger: log.NewNopLogger(),
-			HearLimit: func(w quota.Word, _ string) { limits.Hear(w) },
+			HearLimit: func(w quota.LimitReport, _ string) { limits.Hear(w) },
 		})
 		servers[i].Config.Handler = node
 		servers[i].Start()
@@ -88,7 +88,7 @@
 
 func (l *realFleet) name(daemon int, rate float64) {
 	now := boottime.Now()
-	l.limits[daemon].Hear(quota.Word{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
+	l.limits[daemon].Hear(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
 }
 
 // take requests permits at some daemons repeatedly for a time, and returns how many were
@@ -138,7 +138,7 @@
 	require.GreaterOrEqual(t, got, int64(0.5*rate*4), "five parts of six, less the time until they have a common allocator")
 
 	now := boottime.Now()
-	l.limits[informed].Hear(quota.Word{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
+	l.limits[informed].Hear(quota.LimitReport{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
 	require.Eventually(t, allKnow(0, running), 500*time.Millisecond, time.Millisecond)
 }
 
@@ -163,11 +163,11 @@
 		now := boottime.Now()
 		sent := time.Duration(rapid.IntRange(0, 5000).Draw(t, "sent")) * time.Millisecond
 		received := time.Duration(rapid.IntRange(0, int(sent.Milliseconds())).Draw(t, "came")) * time.Millisecond
-		w := quota.Word{
+		w := quota.LimitReport{
 			Server: rapid.String().Draw(t, "server"), Named: rapid.Bool().Draw(t, "named"),
 			Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), SentAt: now.Add(-sent), At: now.Add(-received),
 		}
-		data, err := cbor.Marshal(&frame{Reports: packReports([]quota.Word{w}, now)})
+		data, err := cbor.Marshal(&frame{Reports: packReports([]quota.LimitReport{w}, now)})
 		require.NoError(t, err)
 		var f frame
 		require.NoError(t, cbor.Unmarshal(data, &f))
--- a/permit/wire.go
+++ b/permit/wire.go
@@ -23,7 +23,7 @@
 
 // packReports converts reports for a link. Successive readings of the boot-time clock may
 // step back by a microsecond, so ages are at least zero.
-func packReports(reports []quota.Word, now time.Time) []packedReport {
+func packReports(reports []quota.LimitReport, now time.Time) []packedReport {
 	out := make([]packedReport, len(reports))
 	for i, w := range reports {
 		age := max(0, now.Sub(w.At))
@@ -32,8 +32,8 @@
 	return out
 }
 
-func (p *packedReport) unpack(now time.Time) quota.Word {
-	w := quota.Word{Server: p.Server, Named: p.Named, Rate: p.Rate, SentAt: now.Add(-p.SentAge), At: now.Add(-p.Age)}
+func (p *packedReport) unpack(now time.Time) quota.LimitReport {
+	w := quota.LimitReport{Server: p.Server, Named: p.Named, Rate: p.Rate, SentAt: now.Add(-p.SentAge), At: now.Add(-p.Age)}
 	if !w.Named {
 		w.SentAt = w.SentAt.Add(-reportSlack)
 	}
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Word is what one answer of a backend server reports about its limit on requests, which
+// LimitReport is what one answer of a backend server reports about its limit on requests, which
 // applies to all daemons together. Times are of the clock of package boottime.
-type Word struct {
+type LimitReport struct {
 	Server string  // incarnation
 	Named  bool    // the answer states a limit
 	Rate   float64 // the limit in requests a second, if stated
@@ -64,7 +64,7 @@
 	limit   Limit
 	named   bool      // the limit is in force
 	sentAt  time.Time // of the request whose answer stated it last
-	endedBy Word      // the zero Word if it has never ended
+	endedBy LimitReport      // the zero Word if it has never ended
 	version uint64
 }
 
@@ -74,7 +74,7 @@
 }
 
 // Hear applies a report and returns its effect, with the limit before and after.
-func (b *Limits) Hear(w Word) (c Change, before, now Limit) {
+func (b *Limits) Hear(w LimitReport) (c Change, before, now Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.states[w.Server]
@@ -148,7 +148,7 @@
 		h.limit.Rate, h.limit.At = rate, now
 	case !named:
 		c = Ended
-		h.limit, h.endedBy = Limit{}, Word{Server: server, SentAt: now, At: now}
+		h.limit, h.endedBy = Limit{}, LimitReport{Server: server, SentAt: now, At: now}
 	}
 	h.named = named
 	b.recordChange(h, c)
@@ -169,7 +169,7 @@
 }
 
 // setNamed applies a report that states a limit.
-func (h *limitState) setNamed(w Word) Change {
+func (h *limitState) setNamed(w LimitReport) Change {
 	if w.At.Before(h.limit.At) || !w.At.After(h.endedBy.SentAt) {
 		return Unchanged // older than the known state
 	}
@@ -188,7 +188,7 @@
 }
 
 // setUnnamed applies a report that states no limit.
-func (h *limitState) setUnnamed(w Word) Change {
+func (h *limitState) setUnnamed(w LimitReport) Change {
 	if !h.named || !w.SentAt.After(h.limit.At) {
 		return Unchanged
 	}
@@ -237,7 +237,7 @@
 
 // Since returns the reports that changed something after a version, oldest change first,
 // and the version to pass to the next call.
-func (b *Limits) Since(version uint64) (words []Word, next uint64) {
+func (b *Limits) Since(version uint64) (words []LimitReport, next uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if version == b.version {
@@ -252,7 +252,7 @@
 	slices.SortFunc(news, func(x, y *limitState) int { return cmp.Compare(x.version, y.version) })
 	for _, h := range news {
 		if h.named {
-			words = append(words, Word{Server: h.limit.Server, Named: true, Rate: h.limit.Rate, SentAt: h.sentAt, At: h.limit.At})
+			words = append(words, LimitReport{Server: h.limit.Server, Named: true, Rate: h.limit.Rate, SentAt: h.sentAt, At: h.limit.At})
 		} else {
 			words = append(words, h.endedBy)
 		}
