--- a/forward/limits.go
+++ b/forward/limits.go
@@ -26,7 +26,7 @@
 }
 
 func (f *Forwarder) applyLimit(w quota.LimitReport, source ...any) quota.Change {
-	change, before, limit := f.limits.Hear(w)
+	change, before, limit := f.limits.Apply(w)
 	if change == quota.Unchanged {
 		return change
 	}
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -139,7 +139,7 @@
 		}
 		for _, limits := range l.limits {
 			for _, w := range updates {
-				limits.Hear(w)
+				limits.Apply(w)
 			}
 		}
 	}
--- a/permit/fleet_test.go
+++ b/permit/fleet_test.go
@@ -44,7 +44,7 @@
 		node := New(Options{
 			Name: daemonName(i), Members: func() []Member { return f.all }, Client: network.Client(here, 1), Scheme: "http",
 			Limits: limits, Sends: sends, Pool: quota.NewPool(daemonName(i), limits, sends), Logger: log.NewNopLogger(),
-			HearLimit: func(w quota.LimitReport, _ string) { limits.Hear(w) },
+			HearLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
 		})
 		f.nodes, f.limits = append(f.nodes, node), append(f.limits, limits)
 		server := &memnet.Server{Net: hostNet{here, f.all[i].Address}, Handler: node}
@@ -125,7 +125,7 @@
 				time.Sleep(2*preferredCheckInterval + time.Second) // all have found the first one
 				began := time.Now()
 				now := boottime.Now()
-				f.limits[c.daemons/2].Hear(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now, At: now})
+				f.limits[c.daemons/2].Apply(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now, At: now})
 				for f.countKnown() < c.daemons && time.Since(began) < time.Second {
 					time.Sleep(time.Millisecond)
 				}
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -44,7 +44,7 @@
 		node := New(Options{
 			Name: daemonName(i), Members: func() []Member { return l.all }, Client: http.DefaultClient, Scheme: "http",
 			Limits: limits, Sends: sends, Pool: quota.NewPool(daemonName(i), limits, sends), Logger: log.NewNopLogger(),
-			HearLimit: func(w quota.LimitReport, _ string) { limits.Hear(w) },
+			HearLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
 		})
 		servers[i].Config.Handler = node
 		servers[i].Start()
@@ -88,7 +88,7 @@
 
 func (l *realFleet) name(daemon int, rate float64) {
 	now := boottime.Now()
-	l.limits[daemon].Hear(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
+	l.limits[daemon].Apply(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
 }
 
 // take requests permits at some daemons repeatedly for a time, and returns how many were
@@ -138,7 +138,7 @@
 	require.GreaterOrEqual(t, got, int64(0.5*rate*4), "five parts of six, less the time until they have a common allocator")
 
 	now := boottime.Now()
-	l.limits[informed].Hear(quota.LimitReport{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
+	l.limits[informed].Apply(quota.LimitReport{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
 	require.Eventually(t, allKnow(0, running), 500*time.Millisecond, time.Millisecond)
 }
 
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -73,8 +73,8 @@
 	return &Limits{states: map[string]*limitState{}, changed: make(chan struct{})}
 }
 
-// Hear applies a report and returns its effect, with the limit before and after.
-func (b *Limits) Hear(w LimitReport) (c Change, before, now Limit) {
+// Apply applies a report and returns its effect, with the limit before and after.
+func (b *Limits) Apply(w LimitReport) (c Change, before, now Limit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.states[w.Server]
