--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -38,9 +38,9 @@
 // simulated is the suspension added by tests, in nanoseconds.
 var simulated atomic.Int64
 
-// Pretend simulates a suspension of the VM that has just ended, for tests. It affects the
+// SimulateSuspension simulates a suspension of the VM that has just ended, for tests. It affects the
 // whole process, so no other test may run at the same time.
-func Pretend(d time.Duration) { simulated.Add(int64(d)) }
+func SimulateSuspension(d time.Duration) { simulated.Add(int64(d)) }
 
 var atStart = suspended()
 
--- a/boottime/boottime_test.go
+++ b/boottime/boottime_test.go
@@ -9,7 +9,7 @@
 
 func TestClockAdvancesWhileSuspended(t *testing.T) {
 	before, steady, already := Now(), time.Now(), Suspended()
-	Pretend(5 * time.Second)
+	SimulateSuspension(5 * time.Second)
 	require.GreaterOrEqual(t, Since(before), 5*time.Second)
 	require.Less(t, time.Since(steady), 5*time.Second)
 	require.LessOrEqual(t, Until(before.Add(5*time.Second)), time.Duration(0))
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -26,7 +26,7 @@
 	d := env.daemon("daemon-1", func(s *site.Settings) { s.Store = p.Address() }).ready(t, 1)
 	require.Equal(t, http.StatusOK, d.call(t, call{method: "GET", path: "/plain/"}).Status)
 	p.Set(standin.Silence)
-	boottime.Pretend(6 * time.Second)
+	boottime.SimulateSuspension(6 * time.Second)
 	a := d.call(t, call{method: "GET", path: "/plain/", id: "woken"})
 	require.Equal(t, http.StatusServiceUnavailable, a.Status)
 	require.Equal(t, string(apierror.ConfigUnavailable)+"\n", a.Body)
@@ -52,7 +52,7 @@
 	answers := make(chan answer, 1)
 	go func() { answers <- d.call(t, call{method: "POST", path: "/stream/"}) }()
 	require.Eventually(t, func() bool { return len(heads[0].Runs()) == 1 }, 2*time.Second, 5*time.Millisecond)
-	boottime.Pretend(6 * time.Second) // its caller waits for 5 s
+	boottime.SimulateSuspension(6 * time.Second) // its caller waits for 5 s
 	_, held := d.leases.Held()
 	require.False(t, held, "others may hold the lease by now")
 	a := <-answers
@@ -70,6 +70,6 @@
 	second := env.daemon("daemon-2", nil).ready(t, 1)
 	require.Equal(t, 2, second.members.Daemons())
 	require.Equal(t, 1, first.members.Daemons(), "its next list comes later")
-	boottime.Pretend(6 * time.Second)
+	boottime.SimulateSuspension(6 * time.Second)
 	require.Eventually(t, func() bool { return first.members.Daemons() == 2 }, time.Second, 10*time.Millisecond)
 }
