--- a/forward/crash.go
+++ b/forward/crash.go
@@ -66,7 +66,7 @@
 // this process did not run. An end during that time is noticed late, and the backend
 // server would seem to have survived the request.
 func (r *run) sinceHead(at time.Time) time.Duration {
-	return at.Sub(r.progress.headAt) - r.f.stalls.Held(r.progress.headAt, at)
+	return at.Sub(r.progress.headAt) - r.f.stalls.StallTime(r.progress.headAt, at)
 }
 
 // weight returns how strongly the end of a backend server at a stage counts against the
--- a/forward/recover.go
+++ b/forward/recover.go
@@ -78,7 +78,7 @@
 // silentFor returns the silence of the stream, less the time for which this process did
 // not run; s.mu must be held.
 func (s *stream) silentFor(now time.Time) time.Duration {
-	return now.Sub(s.silentSince) - s.r.f.stalls.Held(s.silentSince, now)
+	return now.Sub(s.silentSince) - s.r.f.stalls.StallTime(s.silentSince, now)
 }
 
 // noteProbe records whether all hops of the stream's path were probed since its last
--- a/permit/follow.go
+++ b/permit/follow.go
@@ -189,7 +189,7 @@
 		a.mu.Lock()
 		since := boottime.Later(a.polledAt, known)
 		a.mu.Unlock()
-		if now.Sub(since)-n.opts.Stalls.Held(since, now) > pollTimeout {
+		if now.Sub(since)-n.opts.Stalls.StallTime(since, now) > pollTimeout {
 			leave(errNotPolled)
 			return
 		}
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -134,9 +134,9 @@
 	return late
 }
 
-// Held returns for how long the process was kept from running between since and now. It
+// StallTime returns for how long the process was kept from running between since and now. It
 // excludes suspensions of the VM, which the steady clock does not count.
-func (m *Monitor) Held(since, now time.Time) time.Duration {
+func (m *Monitor) StallTime(since, now time.Time) time.Duration {
 	if m == nil {
 		return 0
 	}
@@ -155,7 +155,7 @@
 // Stalled reports whether the process was kept from running, or its VM was suspended, at
 // some time between since and now.
 func (m *Monitor) Stalled(since, now time.Time) bool {
-	if m.Held(since, now) > 0 {
+	if m.StallTime(since, now) > 0 {
 		return true
 	}
 	if m == nil {
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -26,23 +26,23 @@
 		began := time.Now()
 		time.Sleep(heartbeatInterval)
 		m.tick(time.Now())
-		require.Zero(t, m.Held(began, time.Now()), "a heartbeat in time")
+		require.Zero(t, m.StallTime(began, time.Now()), "a heartbeat in time")
 		time.Sleep(heartbeatInterval + minStall/2)
 		m.tick(time.Now())
-		require.Zero(t, m.Held(began, time.Now()), "a short delay is no stall")
+		require.Zero(t, m.StallTime(began, time.Now()), "a short delay is no stall")
 		stalled := time.Now()
 		time.Sleep(heartbeatInterval + 200*time.Millisecond)
-		require.Equal(t, 200*time.Millisecond, m.Held(began, time.Now()), "it shows before the heartbeat")
+		require.Equal(t, 200*time.Millisecond, m.StallTime(began, time.Now()), "it shows before the heartbeat")
 		m.tick(time.Now())
-		require.Equal(t, 200*time.Millisecond, m.Held(began, time.Now()))
-		require.Equal(t, 100*time.Millisecond, m.Held(stalled.Add(125*time.Millisecond), time.Now()), "only the part after since")
-		require.Zero(t, m.Held(time.Now(), time.Now()))
+		require.Equal(t, 200*time.Millisecond, m.StallTime(began, time.Now()))
+		require.Equal(t, 100*time.Millisecond, m.StallTime(stalled.Add(125*time.Millisecond), time.Now()), "only the part after since")
+		require.Zero(t, m.StallTime(time.Now(), time.Now()))
 		for range 2 * maxStalls {
 			time.Sleep(heartbeatInterval + 20*time.Millisecond)
 			m.tick(time.Now())
 		}
-		require.Equal(t, maxStalls*20*time.Millisecond, m.Held(began, time.Now()), "the last maxStalls are stored")
-		require.Zero(t, (*Monitor)(nil).Held(began, time.Now()))
+		require.Equal(t, maxStalls*20*time.Millisecond, m.StallTime(began, time.Now()), "the last maxStalls are stored")
+		require.Zero(t, (*Monitor)(nil).StallTime(began, time.Now()))
 	})
 }
 
@@ -132,12 +132,12 @@
 		}()
 		began := time.Now()
 		time.Sleep(time.Second)
-		require.Zero(t, m.Held(began, time.Now()))
+		require.Zero(t, m.StallTime(began, time.Now()))
 		require.Zero(t, stalls)
 		cancel()
 		<-done
 		time.Sleep(time.Second)
-		require.Zero(t, m.Held(began, time.Now()), "it detects nothing after it has ended")
+		require.Zero(t, m.StallTime(began, time.Now()), "it detects nothing after it has ended")
 	})
 }
 
--- a/stall/timer.go
+++ b/stall/timer.go
@@ -39,7 +39,7 @@
 func (t *Timer) due(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held := t.monitor.Held(t.since, now)
+	held := t.monitor.StallTime(t.since, now)
 	left := t.d - (now.Sub(t.since) - held)
 	if left <= 0 {
 		return true
