--- a/forward/backend.go
+++ b/forward/backend.go
@@ -17,9 +17,9 @@
 // ErrOrderRefused is returned when a backend server refuses an order.
 var ErrOrderRefused = errors.New("forward: order refused")
 
-// ErrReborn is returned when an answer comes from a later incarnation of a backend server
+// ErrRestarted is returned when an answer comes from a later incarnation of a backend server
 // than the one addressed.
-var ErrReborn = errors.New("forward: backend server has started again")
+var ErrRestarted = errors.New("forward: backend server has started again")
 
 // errUnknownServer is returned for a backend server that is not, or no longer, in the
 // inventory.
