--- a/forward/backend.go
+++ b/forward/backend.go
@@ -93,9 +93,9 @@
 	CallOrder   CallKind = "order" // including those that move a stream
 )
 
-// LimitWord is what one answer of a backend server states about its limit on the requests
+// LimitReport is what one answer of a backend server states about its limit on the requests
 // of all daemons together.
-type LimitWord struct {
+type LimitReport struct {
 	Server    string // ID
 	Call      CallKind
 	RequestID string // empty unless Call is CallRequest
