--- a/forward/backend.go
+++ b/forward/backend.go
@@ -38,8 +38,8 @@
 	IdleMost  int    // maximum number of idle connections kept to the backend server
 }
 
-// IdleMost bounds the idle connections of one daemon to one backend server.
-const IdleMost = 64
+// MaxIdle bounds the idle connections of one daemon to one backend server.
+const MaxIdle = 64
 
 // idleShare returns how many idle connections a daemon may keep to one backend server: an
 // even share of the maxConns connections that it accepts, 0 for unlimited, less one for
@@ -47,9 +47,9 @@
 // hold for all daemons together.
 func idleShare(maxConns, slots, daemons int) int {
 	if maxConns <= 0 {
-		return IdleMost
+		return MaxIdle
 	}
-	return min(IdleMost, max(1, (maxConns-slots)/max(1, daemons)))
+	return min(MaxIdle, max(1, (maxConns-slots)/max(1, daemons)))
 }
 
 // Answer is the head of a backend server's answer. Body must be closed; it returns io.EOF
--- a/forward/idle_test.go
+++ b/forward/idle_test.go
@@ -12,7 +12,7 @@
 // accepts, except for the one that each daemon may keep.
 func TestIdleShare(t *testing.T) {
 	for _, c := range []struct{ takes, slots, daemons, most int }{
-		{1138, 192, 8, IdleMost}, {1138, 192, 73, 12}, {1138, 192, 300, 3}, {110, 6, 8, 13}, {110, 6, 300, 1}, {100, 192, 8, 1}, {0, 192, 300, IdleMost}, {1138, 192, 0, IdleMost},
+		{1138, 192, 8, MaxIdle}, {1138, 192, 73, 12}, {1138, 192, 300, 3}, {110, 6, 8, 13}, {110, 6, 300, 1}, {100, 192, 8, 1}, {0, 192, 300, MaxIdle}, {1138, 192, 0, MaxIdle},
 	} {
 		require.Equal(t, c.most, idleShare(c.takes, c.slots, c.daemons), "%+v", c)
 	}
