--- a/forward/idle_test.go
+++ b/forward/idle_test.go
@@ -23,5 +23,5 @@
 	f := plainForwarder(3, &scriptedBackends{})
 	r := &run{f: f, req: plainRequest(site.Safe), maxConns: 20}
 	to := &target{path: site.Path{{Server: f.inv.View().Servers["b0"]}}}
-	require.Equal(t, 16, r.outgoing(to, 0).IdleMost)
+	require.Equal(t, 16, r.outgoing(to, 0).MaxIdle)
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -189,7 +189,7 @@
 	o := &Outgoing{
 		Request: r.req, Server: t.head(), Left: left, LastEvent: r.lastEvent,
 		Priority: r.priority(), Fresh: !r.req.Route.Repeatable(), Permitted: t.permitted,
-		IdleMost: idleShare(r.maxConns, t.head().Slots, r.f.fleet.Daemons()),
+		MaxIdle: idleShare(r.maxConns, t.head().Slots, r.f.fleet.Daemons()),
 	}
 	if r.engine != nil {
 		o.Path = t.path
