--- a/forward/backend.go
+++ b/forward/backend.go
@@ -60,7 +60,7 @@
 	Body    io.ReadCloser
 	NotRun  bool   // the backend server reports that the request did not run
 	AtFault string // address of the backend server that caused a refusal, "" if unknown
-	Sealed  bool   // carries the backend server's signature
+	Signed  bool   // carries the backend server's signature
 	Length  int64  // of the body, -1 if unknown
 }
 
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -303,7 +303,7 @@
 		<-ctx.Done()
 		return nil, execution.ErrLost
 	}
-	a := &Answer{Status: http.StatusOK, Sealed: true, Header: http.Header{}, Length: -1}
+	a := &Answer{Status: http.StatusOK, Signed: true, Header: http.Header{}, Length: -1}
 	at := l.deadHop(o.Path)
 	if at != "" {
 		l.mu.Lock()
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -57,7 +57,7 @@
 	if b.runs() {
 		s.ran++
 	}
-	a := &Answer{Status: http.StatusOK, Sealed: true, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("card"))}
+	a := &Answer{Status: http.StatusOK, Signed: true, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("card"))}
 	switch b {
 	case unreachable:
 		return nil, execution.ErrNotSent
@@ -70,7 +70,7 @@
 	case ambiguous:
 		a.Status = http.StatusServiceUnavailable
 	case unsigned:
-		a.Sealed = false
+		a.Signed = false
 	}
 	return a, nil
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -257,7 +257,7 @@
 	if a.Status < http.StatusInternalServerError {
 		r.f.markServed(t.path)
 	}
-	if !a.Sealed {
+	if !a.Signed {
 		return execution.MayHaveRun, errUnsealed
 	}
 	if r.headSent.Load() {
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -89,7 +89,7 @@
 		return v, rerr
 	}
 	defer a.Body.Close()
-	if a.Status != http.StatusOK || !a.Sealed {
+	if a.Status != http.StatusOK || !a.Signed {
 		return r.relayComplete(ctx, t, a)
 	}
 	s.begin(max(minNextSilence, silenceFactor*time.Duration(t.choice.StepMS*2*float64(time.Millisecond))))
