--- a/forward/limits.go
+++ b/forward/limits.go
@@ -7,10 +7,10 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// HearLimit updates a backend server's limit from one of its answers. Any answer may name
+// ApplyLimit updates a backend server's limit from one of its answers. Any answer may name
 // a limit; only the answer to a request that ran may end one, since refusals, reports and
 // answers to orders may omit it.
-func (f *Forwarder) HearLimit(w LimitReport) {
+func (f *Forwarder) ApplyLimit(w LimitReport) {
 	if !w.Named && !(w.Call == CallRequest && w.Ran) {
 		return
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -135,7 +135,7 @@
 		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, KeysFreshFor: keyFreshnessBound(set),
 	}, forward.Parts{Inventory: g.inv, Fleet: g.members, Backends: g.backends, Log: g.log, Observer: observer{m}, Quarantine: book, Stalls: stalls,
 		Limits: limits, Sends: sends, Permits: permits{g}})
-	g.backends.OnLimit(g.forward.HearLimit)
+	g.backends.OnLimit(g.forward.ApplyLimit)
 	g.relay = relay.New(relay.Options{
 		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, Asker: g.forward, Quarantine: book, Stalls: stalls, BeforeStore: g.quarantineSync.load,
 		Restored: func() bool { return g.store.Era() > store.FirstEra },
