--- a/forward/limits.go
+++ b/forward/limits.go
@@ -18,8 +18,8 @@
 	f.applyLimit(update, "by", w.Call, "request", w.RequestID)
 }
 
-// HearLimitFrom updates a backend server's limit from another daemon.
-func (f *Forwarder) HearLimitFrom(w quota.LimitReport, daemon string) {
+// ApplyLimitFrom updates a backend server's limit from another daemon.
+func (f *Forwarder) ApplyLimitFrom(w quota.LimitReport, daemon string) {
 	if f.applyLimit(w, "told_by", daemon) == quota.Unchanged && !w.Named {
 		f.limits.Retell(w.Server)
 	}
