--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -141,7 +141,7 @@
 		Restored: func() bool { return g.store.Era() > store.FirstEra },
 	}, g.inv, g.forward.Loads(), g.members, g.log)
 	g.permits = permit.New(permit.Options{
-		Name: set.Name, Members: g.members.permitMembers, Limits: limits, Pool: pool, Sends: sends, HearLimit: g.forward.ApplyLimitFrom,
+		Name: set.Name, Members: g.members.permitMembers, Limits: limits, Pool: pool, Sends: sends, ApplyLimit: g.forward.ApplyLimitFrom,
 		Client: relay.NewDialer(nil, stalls), Scheme: "http", Stalls: stalls, Logger: g.log,
 	})
 	g.links = &http.Server{Handler: g.linksHandler()}
--- a/permit/fleet_test.go
+++ b/permit/fleet_test.go
@@ -44,7 +44,7 @@
 		node := New(Options{
 			Name: daemonName(i), Members: func() []Member { return f.all }, Client: network.Client(here, 1), Scheme: "http",
 			Limits: limits, Sends: sends, Pool: quota.NewPool(daemonName(i), limits, sends), Logger: log.NewNopLogger(),
-			HearLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
+			ApplyLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
 		})
 		f.nodes, f.limits = append(f.nodes, node), append(f.limits, limits)
 		server := &memnet.Server{Net: hostNet{here, f.all[i].Address}, Handler: node}
--- a/permit/follow.go
+++ b/permit/follow.go
@@ -55,7 +55,7 @@
 	defer n.stopServing()
 	go n.runFleetUpdates(ctx)
 	for ctx.Err() == nil {
-		if n.opts.HearLimit == nil {
+		if n.opts.ApplyLimit == nil {
 			n.awaitLimit(ctx)
 		}
 		n.followAllocator(ctx)
--- a/permit/node.go
+++ b/permit/node.go
@@ -66,9 +66,9 @@
 	Limits *quota.Limits
 	Pool   *quota.Pool
 	Sends  *quota.Sends
-	// HearLimit receives limit reports of other daemons. It is nil where daemons do not
+	// ApplyLimit receives limit reports of other daemons. It is nil where daemons do not
 	// exchange limits since each knows all of them from another source.
-	HearLimit func(w quota.LimitReport, from string)
+	ApplyLimit func(w quota.LimitReport, from string)
 	// Client opens links with URLs of Scheme, "http" or "https", and with Header.
 	Client *http.Client
 	Scheme string
@@ -121,20 +121,20 @@
 
 // receiveReports handles limit reports of another daemon and drops invalid ones.
 func (n *Node) receiveReports(from string, reports []packedReport) {
-	if n.opts.HearLimit == nil {
+	if n.opts.ApplyLimit == nil {
 		return
 	}
 	now := boottime.Now()
 	for i := range reports {
 		if reports[i].valid() {
-			n.opts.HearLimit(reports[i].unpack(now), from)
+			n.opts.ApplyLimit(reports[i].unpack(now), from)
 		}
 	}
 }
 
 // sendReports sends changes of limits to the other end of a link until the link ends.
 func (n *Node) sendReports(ctx context.Context, c *websocket.Conn) {
-	if n.opts.HearLimit == nil {
+	if n.opts.ApplyLimit == nil {
 		return
 	}
 	sent := uint64(0)
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -44,7 +44,7 @@
 		node := New(Options{
 			Name: daemonName(i), Members: func() []Member { return l.all }, Client: http.DefaultClient, Scheme: "http",
 			Limits: limits, Sends: sends, Pool: quota.NewPool(daemonName(i), limits, sends), Logger: log.NewNopLogger(),
-			HearLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
+			ApplyLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
 		})
 		servers[i].Config.Handler = node
 		servers[i].Start()
