--- a/forward/crash.go
+++ b/forward/crash.go
@@ -107,7 +107,7 @@
 	switch {
 	case v.Held:
 		r.logQuarantine("held back", v)
-		r.f.observer.HeldBack()
+		r.f.observer.Quarantined()
 		wait := v.Until.Sub(now) + rand.N(quarantineSpread)
 		return apierror.New(apierror.Quarantined, "%d backend servers ended as they ran it", v.Ends).WithRetryAfter(wait)
 	case v.Trial:
@@ -165,7 +165,7 @@
 	v := r.f.quarantine.Look(r.fingerprint, time.Now())
 	if v.Held {
 		r.logQuarantine("not sent again", v)
-		r.f.observer.HeldBack()
+		r.f.observer.Quarantined()
 	}
 	return v.Held
 }
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -45,8 +45,8 @@
 	LoadsRefused(n int)
 	// EndedUnder reports that a backend server ended while it may have run a request.
 	EndedUnder()
-	// HeldBack reports that a quarantined request was not sent.
-	HeldBack()
+	// Quarantined reports that a quarantined request was not sent.
+	Quarantined()
 	// Limits reports the number of known limits of backend servers when it changes.
 	Limits(known int)
 	// LimitReached reports that a request was refused because of limits.
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -271,8 +271,8 @@
 // EndedUnder implements Observer.
 func (l *lab) EndedUnder() {}
 
-// HeldBack implements Observer.
-func (l *lab) HeldBack() {
+// Quarantined implements Observer.
+func (l *lab) Quarantined() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.quarantined++
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -112,7 +112,7 @@
 func (noObserver) LoadsAge(time.Duration)          {}
 func (noObserver) LoadsRefused(int)                {}
 func (noObserver) EndedUnder()                     {}
-func (noObserver) HeldBack()                       {}
+func (noObserver) Quarantined()                       {}
 func (noObserver) Limits(int)                      {}
 func (noObserver) LimitReached()                   {}
 func (noObserver) Recovered(string, time.Duration) {}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -350,8 +350,8 @@
 // EndedUnder implements forward.Observer.
 func (o observer) EndedUnder() { o.m.EndedUnder() }
 
-// HeldBack implements forward.Observer.
-func (o observer) HeldBack() { o.m.HeldBack() }
+// Quarantined implements forward.Observer.
+func (o observer) Quarantined() { o.m.HeldBack() }
 
 // Limits implements forward.Observer.
 func (o observer) Limits(known int) { o.m.Limits(known) }
