--- a/forward/crash.go
+++ b/forward/crash.go
@@ -156,7 +156,7 @@
 	v := r.f.quarantine.Ended(r.fingerprint, quarantineServer(s), stage.weight(r.isStream()), time.Now())
 	r.f.log.Add("ended", "server", s.ID, "address", s.Address, "request", r.req.ID, "fingerprint", r.fingerprint, "stage", string(stage),
 		"ends", v.Ends, "score", v.Score, "held", v.Held)
-	r.f.observer.EndedUnder()
+	r.f.observer.ServerEnded()
 	return v.Held
 }
 
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -43,8 +43,8 @@
 	LoadsAge(age time.Duration)
 	// LoadsRefused reports loads that were dropped as impossible.
 	LoadsRefused(n int)
-	// EndedUnder reports that a backend server ended while it may have run a request.
-	EndedUnder()
+	// ServerEnded reports that a backend server ended while it may have run a request.
+	ServerEnded()
 	// Quarantined reports that a quarantined request was not sent.
 	Quarantined()
 	// Limits reports the number of known limits of backend servers when it changes.
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -268,8 +268,8 @@
 // LoadsRefused implements Observer.
 func (l *lab) LoadsRefused(int) {}
 
-// EndedUnder implements Observer.
-func (l *lab) EndedUnder() {}
+// ServerEnded implements Observer.
+func (l *lab) ServerEnded() {}
 
 // Quarantined implements Observer.
 func (l *lab) Quarantined() {
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -111,7 +111,7 @@
 func (noObserver) FirstEvent(time.Duration)        {}
 func (noObserver) LoadsAge(time.Duration)          {}
 func (noObserver) LoadsRefused(int)                {}
-func (noObserver) EndedUnder()                     {}
+func (noObserver) ServerEnded()                     {}
 func (noObserver) Quarantined()                       {}
 func (noObserver) Limits(int)                      {}
 func (noObserver) LimitReached()                   {}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -347,8 +347,8 @@
 // LoadsRefused implements forward.Observer.
 func (o observer) LoadsRefused(n int) { o.m.LoadsRefused(n) }
 
-// EndedUnder implements forward.Observer.
-func (o observer) EndedUnder() { o.m.EndedUnder() }
+// ServerEnded implements forward.Observer.
+func (o observer) ServerEnded() { o.m.EndedUnder() }
 
 // Quarantined implements forward.Observer.
 func (o observer) Quarantined() { o.m.HeldBack() }
