--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -61,9 +61,9 @@
 	RetryWindow   time.Duration
 	// Restarted says that a previous process may have spent retries within the window.
 	Restarted bool
-	// KeysFreshFor is the maximum age of the configuration at which its keys are
+	// MaxKeyAge is the maximum age of the configuration at which its keys are
 	// accepted, 0 for no maximum.
-	KeysFreshFor time.Duration
+	MaxKeyAge time.Duration
 }
 
 // Parts holds the dependencies of a Forwarder.
@@ -144,7 +144,7 @@
 		reports: newResultCache[Report](reportAge), probes: newResultCache[struct{}](probeAge), silences: newSilences(), live: newLiveStreams(), splits: newSplits(),
 	}
 	f.backends = metered{p.Backends, f}
-	f.maxKeyAge.Store(int64(o.KeysFreshFor))
+	f.maxKeyAge.Store(int64(o.MaxKeyAge))
 	f.loads.onAge = f.noteLoadsAge
 	f.loads.onRefused = f.noteRefusedLoads
 	f.loads.onConditions = f.noteConditions
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -132,7 +132,7 @@
 	pool := quota.NewPool(set.Name, limits, sends)
 	g.forward = forward.New(forward.Options{
 		FailureDomain: set.FailureDomain, RetryRatio: set.RetryRatio, RetrySlack: set.RetrySlack,
-		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, KeysFreshFor: keyFreshnessBound(set),
+		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, MaxKeyAge: keyFreshnessBound(set),
 	}, forward.Parts{Inventory: g.inv, Fleet: g.members, Backends: g.backends, Log: g.log, Observer: observer{m}, Quarantine: book, Stalls: stalls,
 		Limits: limits, Sends: sends, Permits: permits{g}})
 	g.backends.OnLimit(g.forward.ApplyLimit)
