--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -66,8 +66,8 @@
 	MaxKeyAge time.Duration
 }
 
-// Parts holds the dependencies of a Forwarder.
-type Parts struct {
+// Dependencies holds the dependencies of a Forwarder.
+type Dependencies struct {
 	Inventory Inventory
 	Fleet     Fleet
 	Backends  Backends
@@ -126,7 +126,7 @@
 var cooldowns = health.CooldownConfig{Refused: 250 * time.Millisecond, Failed: 4 * time.Second, FailedMost: 8 * time.Second}
 
 // New returns a Forwarder.
-func New(o Options, p Parts) *Forwarder {
+func New(o Options, p Dependencies) *Forwarder {
 	if o.RetryWindow <= 0 {
 		o.RetryWindow = defaultRetryWindow
 	}
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -129,7 +129,7 @@
 
 func (l *lab) forwarder(domain string, fleet Fleet) *Forwarder {
 	return New(Options{FailureDomain: domain, RetryRatio: 0.2, RetrySlack: 200, RetryWindow: 10 * time.Second},
-		Parts{Inventory: labInventory{l}, Fleet: fleet, Backends: l, Log: NewLog(io.Discard), Observer: l})
+		Dependencies{Inventory: labInventory{l}, Fleet: fleet, Backends: l, Log: NewLog(io.Discard), Observer: l})
 }
 
 // labInventory returns the current servers. It implements Inventory.
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -96,7 +96,7 @@
 		names = append(names, daemonName(n))
 		l.forward = append(l.forward, New(
 			Options{FailureDomain: string(rune('a' + n%3)), RetryRatio: 0.2, RetrySlack: 200, RetryWindow: 10 * time.Second},
-			Parts{
+			Dependencies{
 				Inventory: labInventory{l.lab}, Fleet: labFleet(daemons), Backends: limitedBackends{l, n}, Log: NewLog(discard{}), Observer: l.lab,
 				Limits: limits, Sends: sends, Permits: limitedPermits{l, n},
 			}))
@@ -298,7 +298,7 @@
 		pool := quota.NewPool(localDaemonName, limits, sends)
 		pool.SetFleet([]string{localDaemonName}, boottime.Now())
 		l := newLab(1)
-		f := New(Options{}, Parts{
+		f := New(Options{}, Dependencies{
 			Inventory: labInventory{l}, Fleet: labFleet(1), Backends: l, Log: NewLog(discard{}), Observer: l,
 			Limits: limits, Sends: sends, Permits: localPermits{pool, localDaemonName},
 		})
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -139,7 +139,7 @@
 	}
 	inv := fixed{inventory.NewView(site.NewConfig(1, site.Limits{}, nil, services, nil), known)}
 	return New(Options{RetryRatio: 1, RetrySlack: 100, RetryWindow: time.Second},
-		Parts{Inventory: inv, Fleet: inv, Backends: backends, Log: NewLog(io.Discard), Observer: noObserver{}})
+		Dependencies{Inventory: inv, Fleet: inv, Backends: backends, Log: NewLog(io.Discard), Observer: noObserver{}})
 }
 
 // For any behaviour of backend servers and any limits, a request that may not be repeated
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -133,7 +133,7 @@
 	g.forward = forward.New(forward.Options{
 		FailureDomain: set.FailureDomain, RetryRatio: set.RetryRatio, RetrySlack: set.RetrySlack,
 		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, MaxKeyAge: keyFreshnessBound(set),
-	}, forward.Parts{Inventory: g.inv, Fleet: g.members, Backends: g.backends, Log: g.log, Observer: observer{m}, Quarantine: book, Stalls: stalls,
+	}, forward.Dependencies{Inventory: g.inv, Fleet: g.members, Backends: g.backends, Log: g.log, Observer: observer{m}, Quarantine: book, Stalls: stalls,
 		Limits: limits, Sends: sends, Permits: permits{g}})
 	g.backends.OnLimit(g.forward.ApplyLimit)
 	g.relay = relay.New(relay.Options{
