--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -348,7 +348,7 @@
 func (o observer) LoadsRefused(n int) { o.m.LoadsRefused(n) }
 
 // ServerEnded implements forward.Observer.
-func (o observer) ServerEnded() { o.m.EndedUnder() }
+func (o observer) ServerEnded() { o.m.ServerEnded() }
 
 // Quarantined implements forward.Observer.
 func (o observer) Quarantined() { o.m.HeldBack() }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -95,9 +95,9 @@
 // time that the store is restored from an older copy.
 func (m *Metrics) StoreEra(era uint64) { m.scope.Gauge("store_era").Update(float64(era)) }
 
-// EndedUnder counts backend servers that ended while they may have been running
+// ServerEnded counts backend servers that ended while they may have been running
 // a request, once for each request.
-func (m *Metrics) EndedUnder() { m.scope.Counter("ended_under_requests_total").Inc(1) }
+func (m *Metrics) ServerEnded() { m.scope.Counter("ended_under_requests_total").Inc(1) }
 
 // HeldBack counts requests that were quarantined because backend servers had
 // ended while running them.
