--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -351,7 +351,7 @@
 func (o observer) ServerEnded() { o.m.ServerEnded() }
 
 // Quarantined implements forward.Observer.
-func (o observer) Quarantined() { o.m.HeldBack() }
+func (o observer) Quarantined() { o.m.Quarantined() }
 
 // Limits implements forward.Observer.
 func (o observer) Limits(known int) { o.m.Limits(known) }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -99,9 +99,9 @@
 // a request, once for each request.
 func (m *Metrics) ServerEnded() { m.scope.Counter("ended_under_requests_total").Inc(1) }
 
-// HeldBack counts requests that were quarantined because backend servers had
+// Quarantined counts requests that were quarantined because backend servers had
 // ended while running them.
-func (m *Metrics) HeldBack() { m.scope.Counter("held_back_total").Inc(1) }
+func (m *Metrics) Quarantined() { m.scope.Counter("held_back_total").Inc(1) }
 
 // Limits records the number of known limits of backend servers.
 func (m *Metrics) Limits(known int) { m.scope.Gauge("limits_known").Update(float64(known)) }
