--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -144,8 +144,8 @@
 	return newer
 }
 
-// Learn sets the capacity, in tokens per second, that an engine measured.
-func (t *Table) Learn(server string, capacity float64) {
+// SetCapacity sets the capacity, in tokens per second, that an engine measured.
+func (t *Table) SetCapacity(server string, capacity float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if s := t.servers[server]; s != nil && t.setMeasured(s, capacity) {
--- a/monitor/hops.go
+++ b/monitor/hops.go
@@ -17,7 +17,7 @@
 		s.Report(l.InFlight, now.Add(-seconds(l.AgeSeconds)))
 	}
 	if l.Capacity > 0 {
-		m.Table.Learn(l.BackendServer, l.Capacity)
+		m.Table.SetCapacity(l.BackendServer, l.Capacity)
 	}
 	m.mu.Lock()
 	gapFor(m.hopGaps, l.BackendServer).Observe(seconds(l.TokenSeconds))
