--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -182,7 +182,7 @@
 	for kind := range changedKinds {
 		c.rebuild(&s, kind)
 		if kind != topology.KindWorkspace && kind != topology.KindService {
-			s.Routing = s.Revision
+			s.RoutingRevision = s.Revision
 		}
 	}
 	if changedKinds[topology.KindWorkspace] {
--- a/routing/planner.go
+++ b/routing/planner.go
@@ -114,8 +114,8 @@
 		return p.buildFirst(e, snap, c, m, adapter)
 	}
 	version := p.table.Version()
-	fresh := b.revision == snap.Routing && b.version == version
-	tooSoon := b.revision == snap.Routing && p.now().Sub(b.built) < minRebuildInterval
+	fresh := b.revision == snap.RoutingRevision && b.version == version
+	tooSoon := b.revision == snap.RoutingRevision && p.now().Sub(b.built) < minRebuildInterval
 	if fresh || tooSoon || !e.building.TryLock() {
 		return b
 	}
@@ -162,7 +162,7 @@
 }
 
 func (p *Planner) build(snap *topology.Snapshot, view *fleet.View, c topology.Class, m *topology.Model, adapter string) *Binding {
-	b := &Binding{revision: snap.Routing, version: view.Version, built: p.now()}
+	b := &Binding{revision: snap.RoutingRevision, version: view.Version, built: p.now()}
 	in := Input{Layers: m.Layers}
 	var infos []*fleet.Info
 	for i := range view.Servers {
--- a/topology/snapshot.go
+++ b/topology/snapshot.go
@@ -13,7 +13,7 @@
 // not be changed after the snapshot is published.
 type Snapshot struct {
 	Revision       uint64 // highest object version applied
-	Routing        uint64 // Revision at the last change that routes depend on
+	RoutingRevision        uint64 // Revision at the last change that routes depend on
 	BackendServers map[string]*BackendServer
 	Models         map[string]*Model
 	Stages         map[string][]*Stage // by model, ordered by first layer and name
