--- a/prediction/prediction.go
+++ b/prediction/prediction.go
@@ -39,8 +39,8 @@
 	Sends int
 }
 
-// Well returns the fraction of requests whose prediction was accurate.
-func (p *Period) Well() float64 {
+// Accuracy returns the fraction of requests whose prediction was accurate.
+func (p *Period) Accuracy() float64 {
 	n := 0
 	for _, r := range p.Ratios {
 		if r >= minAccurateRatio && r <= maxAccurateRatio {
@@ -162,7 +162,7 @@
 	fmt.Fprintln(t, "from\trequests\tsends\tmeasured/predicted p10\tp50\tp90\twell\tfirst p50 ms\tp90\tpause p50 ms\tp90\t")
 	for _, p := range periods {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%d\t%d\t%d\t%d\t\n", p.Start.Format("15:04:05"), p.Requests, p.Sends,
-			Quantile(p.Ratios, 0.1), Quantile(p.Ratios, 0.5), Quantile(p.Ratios, 0.9), p.Well(),
+			Quantile(p.Ratios, 0.1), Quantile(p.Ratios, 0.5), Quantile(p.Ratios, 0.9), p.Accuracy(),
 			Quantile(p.First, 0.5).Milliseconds(), Quantile(p.First, 0.9).Milliseconds(),
 			Quantile(p.Pause, 0.5).Milliseconds(), Quantile(p.Pause, 0.9).Milliseconds())
 	}
--- a/prediction/prediction_test.go
+++ b/prediction/prediction_test.go
@@ -31,10 +31,10 @@
 	require.Equal(t, 2, first.Requests)
 	require.Equal(t, 3, first.Sends)
 	require.Equal(t, []float64{1.2, 3}, first.Ratios, "ratios use the prediction of the first send")
-	require.InDelta(t, 0.5, first.Well(), 0)
+	require.InDelta(t, 0.5, first.Accuracy(), 0)
 	require.Equal(t, 1200*time.Millisecond, Quantile(first.Pause, 0.9))
 	require.Equal(t, 1, second.Requests, "refused and unfinished requests are not counted")
-	require.InDelta(t, 1.0, second.Well(), 0)
+	require.InDelta(t, 1.0, second.Accuracy(), 0)
 	require.Equal(t, 5*time.Second, second.Start.Sub(first.Start))
 }
 
