--- a/control/controller.go
+++ b/control/controller.go
@@ -48,7 +48,7 @@
 	Log     *decision.Log
 	Logger  log.Logger
 	Clock   func() time.Time
-	Ordered func(placement.Order) // called after each order is sent; may be nil
+	OnOrder func(placement.Order) // called after each order is sent; may be nil
 }
 
 // Controller decides on placement and sends orders while it holds the lease.
@@ -213,7 +213,7 @@
 	c.Log.Add(decision.Record{
 		Time: c.Clock(), Kind: decision.Placement, Subject: o.BackendServer, Chosen: o.Key(), Reason: reason,
 	})
-	if c.Ordered != nil {
-		c.Ordered(o)
+	if c.OnOrder != nil {
+		c.OnOrder(o)
 	}
 }
