--- a/control/controller.go
+++ b/control/controller.go
@@ -37,8 +37,8 @@
 	OrderExpiry  time.Duration // after which an order without effect is decided again
 }
 
-// Parts are the dependencies of a Controller.
-type Parts struct {
+// Dependencies are the dependencies of a Controller.
+type Dependencies struct {
 	Lease   Lease
 	Store   store.Store
 	Engine  backend.Engine
@@ -54,7 +54,7 @@
 // Controller decides on placement and sends orders while it holds the lease.
 type Controller struct {
 	opts Options
-	Parts
+	Dependencies
 	fencing   uint64    // of the lease when last checked; 0 when not held
 	heldSince time.Time // when the lease was acquired
 	pending   map[string]*pending
@@ -73,8 +73,8 @@
 }
 
 // New returns a controller; call Run to start it.
-func New(o Options, p Parts) *Controller {
-	return &Controller{opts: o, Parts: p, pending: map[string]*pending{}}
+func New(o Options, p Dependencies) *Controller {
+	return &Controller{opts: o, Dependencies: p, pending: map[string]*pending{}}
 }
 
 // Run makes a round of decisions every period until ctx ends.
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -99,7 +99,7 @@
 }
 
 func (r *fixture) controller(l Lease) *Controller {
-	return New(Options{Period: time.Second, LeaseTTL: 3 * time.Second, OrderTimeout: time.Second, OrderExpiry: 30 * time.Second}, Parts{
+	return New(Options{Period: time.Second, LeaseTTL: 3 * time.Second, OrderTimeout: time.Second, OrderExpiry: 30 * time.Second}, Dependencies{
 		Lease: l, Store: r.store, Engine: r.engine, Config: r.config.Load, Table: r.table,
 		Demand: func() map[string]float64 { return nil }, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(), Clock: time.Now,
 	})
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -20,7 +20,7 @@
 	d.leaseManager = lease.NewManager(string(topology.KindLease), leasePlacement, d.cfg.Daemon.Name, p.LeaseTTL, d.store, d.logger)
 	d.control = control.New(control.Options{
 		Period: p.Period, LeaseTTL: p.LeaseTTL, OrderTimeout: p.OrderTimeout, OrderExpiry: p.OrderExpiry, Budget: p.BudgetBytes,
-	}, control.Parts{
+	}, control.Dependencies{
 		Lease: d.leaseManager, Store: d.store, Engine: engine, Config: d.catalog.Snapshot, Table: d.table,
 		Demand: d.FleetDemand, Log: d.decisions, Logger: d.logger, Clock: time.Now,
 	})
