--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -156,7 +156,7 @@
 	d.monitor = monitor.New(monitor.Options{
 		StatusPoll: d.cfg.Health.StatusPoll, GapFloor: d.cfg.Health.GapFloor,
 		GapCeiling: d.cfg.Health.GapCeiling, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig(),
-	}, monitor.Parts{
+	}, monitor.Dependencies{
 		Engine: engines, Table: d.table, Log: d.decisions, Logger: d.logger,
 		Owner: peerAdapter{d}, Publisher: peerAdapter{d}, Cache: d.prefixes, Wake: d.gate.Wake, Clock: time.Now,
 	})
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -172,7 +172,7 @@
 	m := monitor.New(monitor.Options{
 		StatusPoll: 500 * time.Millisecond, GapFloor: 250 * time.Millisecond, GapCeiling: 2 * time.Second,
 		Health: health.DefaultConfig(), Link: health.DefaultLinkConfig(),
-	}, monitor.Parts{Engine: l, Table: table, Log: decisions, Logger: log.NewNopLogger(), Owner: monitor.OwnsAll{}, Wake: gate.Wake, Clock: time.Now})
+	}, monitor.Dependencies{Engine: l, Table: table, Log: decisions, Logger: log.NewNopLogger(), Owner: monitor.OwnsAll{}, Wake: gate.Wake, Clock: time.Now})
 	go m.Run(ctx)
 	sealer, _ := dispatch.NewSealer(make([]byte, dispatch.KeyBytes))
 	var policy dispatch.Policy
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -43,8 +43,8 @@
 	PublishStatus(st backend.Status)
 }
 
-// Parts are the dependencies of a Monitor.
-type Parts struct {
+// Dependencies are the dependencies of a Monitor.
+type Dependencies struct {
 	Engine    backend.Engine
 	Table     *fleet.Table
 	Log       *decision.Log
@@ -60,7 +60,7 @@
 // concurrent use.
 type Monitor struct {
 	opts Options
-	Parts
+	Dependencies
 
 	mu          sync.Mutex
 	detector    *health.Detector
@@ -83,9 +83,9 @@
 const tickInterval = 100 * time.Millisecond
 
 // New returns a monitor; call Run to start it.
-func New(o Options, p Parts) *Monitor {
+func New(o Options, p Dependencies) *Monitor {
 	m := &Monitor{
-		opts: o, Parts: p, links: map[linkKey]*health.Link{}, hopGaps: map[string]*health.Gap{},
+		opts: o, Dependencies: p, links: map[linkKey]*health.Link{}, hopGaps: map[string]*health.Gap{},
 		linkGaps: map[linkKey]*health.Gap{}, groupConfig: health.GroupLinkConfig(),
 	}
 	m.detector = health.NewDetector(o.Health, m.lastCapacity)
--- a/monitor/monitor_test.go
+++ b/monitor/monitor_test.go
@@ -56,7 +56,7 @@
 		table := fleet.NewTable()
 		table.SetConfig(map[string]*topology.BackendServer{"b": {Name: "b"}})
 		prefixes := routing.NewPrefixes()
-		m := New(Options{StatusPoll: time.Second, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Parts{
+		m := New(Options{StatusPoll: time.Second, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Dependencies{
 			Engine: &lossyCacheEngine{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
 			Owner: OwnsAll{}, Cache: prefixes, Wake: func() {}, Clock: time.Now,
 		})
@@ -78,7 +78,7 @@
 func TestSlowPort(t *testing.T) {
 	table := fleet.NewTable()
 	table.SetConfig(map[string]*topology.BackendServer{"a": {Name: "a"}, "b": {Name: "b"}, "c": {Name: "c"}})
-	m := New(Options{StatusPoll: time.Second, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Parts{
+	m := New(Options{StatusPoll: time.Second, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Dependencies{
 		Engine: frozenEngine{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
 		Owner: OwnsAll{}, Wake: func() {}, Clock: time.Now,
 	})
@@ -109,7 +109,7 @@
 			st.BackendServer = name
 			table.ApplyStatus(st, time.Now())
 		}
-		m := New(Options{StatusPoll: 500 * time.Millisecond, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Parts{
+		m := New(Options{StatusPoll: 500 * time.Millisecond, Health: health.DefaultConfig(), Link: health.DefaultLinkConfig()}, Dependencies{
 			Engine: frozenEngine{}, Table: table, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(),
 			Owner: OwnsAll{}, Wake: func() {}, Clock: time.Now,
 		})
