--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -101,14 +101,14 @@
 	l := &lab{
 		engine: labEngine(), slow: 1, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*labServer{}, streams: map[string]*labStream{},
 	}
-	var cards []pipeline.Card
+	var cards []pipeline.ServerState
 	for domain, kinds := range map[string]map[string]int{
 		"a": {"middle": 2, "small": 4, "least": 7}, "b": {"large": 1, "middle": 1, "small": 5, "least": 7}, "c": {"middle": 1, "small": 8, "least": 3},
 	} {
 		for kind, n := range kinds {
 			for i := range n {
 				id := fmt.Sprintf("%s-%s-%d", domain, kind, i)
-				cards = append(cards, pipeline.Card{Server: &site.BackendServer{
+				cards = append(cards, pipeline.ServerState{Server: &site.BackendServer{
 					ID: id, Service: labService, Address: id, FailureDomain: domain, Slots: l.engine.Slots, Kind: kind,
 				}})
 			}
@@ -165,9 +165,9 @@
 
 // capacity returns the number of typical requests that the layout holds at once.
 func (l *lab) capacity() int {
-	var cards []pipeline.Card
+	var cards []pipeline.ServerState
 	for _, s := range l.view.Servers {
-		cards = append(cards, pipeline.Card{Server: s, Ordered: s.Held})
+		cards = append(cards, pipeline.ServerState{Server: s, Ordered: s.Held})
 	}
 	return pipeline.BoundOf(l.engine, cards).Requests
 }
--- a/pipeline/layout.go
+++ b/pipeline/layout.go
@@ -13,10 +13,10 @@
 // order of the layers that they hold. With atOnce, layers are dropped without waiting
 // for requests; it must be false while a draining server still lets requests through
 // the group.
-func rebuildPipelines(e *site.Engine, servers []Card, n int, atOnce bool) []Order {
+func rebuildPipelines(e *site.Engine, servers []ServerState, n int, atOnce bool) []Order {
 	var orders []Order
 	for _, chain := range partition(e, servers, n) {
-		slices.SortStableFunc(chain, func(a, b Card) int { return cmp.Compare(firstLayer(a), firstLayer(b)) })
+		slices.SortStableFunc(chain, func(a, b ServerState) int { return cmp.Compare(firstLayer(a), firstLayer(b)) })
 		c := layerCounts(e, chain)
 		if c == nil {
 			continue
@@ -34,15 +34,15 @@
 }
 
 // firstLayer is the sort key of a server by its layers; empty servers come last.
-func firstLayer(c Card) int {
+func firstLayer(c ServerState) int {
 	if !placed(c) {
 		return math.MaxInt
 	}
 	return c.Ordered.From
 }
 
-func groupByDomain(servers []Card) [][]Card {
-	byDomain := map[string][]Card{}
+func groupByDomain(servers []ServerState) [][]ServerState {
+	byDomain := map[string][]ServerState{}
 	var names []string
 	for _, c := range servers {
 		d := c.Server.FailureDomain
@@ -52,7 +52,7 @@
 		byDomain[d] = append(byDomain[d], c)
 	}
 	slices.Sort(names)
-	out := make([][]Card, 0, len(names))
+	out := make([][]ServerState, 0, len(names))
 	for _, n := range names {
 		out = append(out, byDomain[n])
 	}
@@ -61,7 +61,7 @@
 
 // pipelineCount returns how many complete pipelines the servers can hold: one if all
 // layers fit, more if each leaves minPipelineHeadroom for requests.
-func pipelineCount(e *site.Engine, servers []Card) int {
+func pipelineCount(e *site.Engine, servers []ServerState) int {
 	memory, layers := 0.0, 0
 	for _, c := range servers {
 		memory += e.Kinds[c.Server.Kind].MemoryMB
@@ -76,12 +76,12 @@
 }
 
 // partition divides the servers among n pipelines of about the same memory.
-func partition(e *site.Engine, servers []Card, n int) [][]Card {
+func partition(e *site.Engine, servers []ServerState, n int) [][]ServerState {
 	servers = slices.Clone(servers)
-	slices.SortStableFunc(servers, func(a, b Card) int {
+	slices.SortStableFunc(servers, func(a, b ServerState) int {
 		return cmp.Compare(e.Kinds[b.Server.Kind].MemoryMB, e.Kinds[a.Server.Kind].MemoryMB)
 	})
-	chains := make([][]Card, n)
+	chains := make([][]ServerState, n)
 	memory := make([]float64, n)
 	for _, c := range servers {
 		least := 0
@@ -98,7 +98,7 @@
 
 // placePipeline assigns the layers of a pipeline to its empty servers, as layerCounts
 // divides them. Servers that get none receive no order.
-func placePipeline(e *site.Engine, chain []Card) []Order {
+func placePipeline(e *site.Engine, chain []ServerState) []Order {
 	counts := layerCounts(e, chain)
 	if counts == nil {
 		return nil
@@ -133,7 +133,7 @@
 // not fit. Capacity for more requests moves layers to slower servers, so it compares
 // layouts from the highest possible capacity downwards, and returns the one with the
 // highest token throughput at its full capacity.
-func layerCounts(e *site.Engine, chain []Card) []int {
+func layerCounts(e *site.Engine, chain []ServerState) []int {
 	best, capacity := divideLayers(e, chain, e.Layers)
 	if best == nil {
 		return nil
@@ -150,7 +150,7 @@
 
 // throughput predicts the token steps per millisecond of a pipeline that runs n
 // requests.
-func throughput(e *site.Engine, chain []Card, counts []int, n float64) float64 {
+func throughput(e *site.Engine, chain []ServerState, counts []int, n float64) float64 {
 	ms := 0.0
 	for i, c := range chain {
 		ms += HopStepMS(e, c.Server.Kind, counts[i], n, Usual(e).Mean())
@@ -161,7 +161,7 @@
 // divideLayers divides layers among servers, nil if they do not fit. capacity is the
 // number of typical requests that the fullest server can hold; it is the highest for
 // which all layers fit, up to the slots of the first hop.
-func divideLayers(e *site.Engine, chain []Card, layers int) (counts []int, capacity float64) {
+func divideLayers(e *site.Engine, chain []ServerState, layers int) (counts []int, capacity float64) {
 	low, high := 0.0, float64(max(1, e.Slots))
 	if total(fit(e, chain, low)) < layers {
 		return nil, 0
@@ -182,7 +182,7 @@
 
 // fit returns how many layers each server can hold besides the memory of n typical
 // requests.
-func fit(e *site.Engine, chain []Card, n float64) []int {
+func fit(e *site.Engine, chain []ServerState, n float64) []int {
 	perLayer := e.LayerMB + n*Usual(e).Mean()*e.KVTokenBytes/float64(e.Layers)/1e6
 	out := make([]int, len(chain))
 	for i, c := range chain {
@@ -202,7 +202,7 @@
 // trim removes surplus layers, from the slowest servers first and among those from
 // the one with the fewest layers. A server without layers can substitute for any
 // other, and a pipeline of fewer servers fails less often.
-func trim(e *site.Engine, chain []Card, counts []int, layers int) []int {
+func trim(e *site.Engine, chain []ServerState, counts []int, layers int) []int {
 	for over := total(counts) - layers; over > 0; over-- {
 		worst := -1
 		for i := range chain {
@@ -219,7 +219,7 @@
 }
 
 // trimsBefore reports whether server a loses a layer before server b.
-func trimsBefore(e *site.Engine, a, b Card, na, nb int) bool {
+func trimsBefore(e *site.Engine, a, b ServerState, na, nb int) bool {
 	pa, pb := e.Kinds[a.Server.Kind].Pace, e.Kinds[b.Server.Kind].Pace
 	if pa != pb {
 		return pa > pb
@@ -236,7 +236,7 @@
 
 // BoundOf returns the bound of the layers that servers hold, or will hold once
 // pending orders are carried out.
-func BoundOf(e *site.Engine, servers []Card) Bound {
+func BoundOf(e *site.Engine, servers []ServerState) Bound {
 	capacities := capacityByLayer(e, servers)
 	if len(capacities) == 0 {
 		return Bound{}
@@ -252,7 +252,7 @@
 }
 
 // capacityByLayer returns, for each layer, the requests that its servers can hold.
-func capacityByLayer(e *site.Engine, servers []Card) []float64 {
+func capacityByLayer(e *site.Engine, servers []ServerState) []float64 {
 	capacities := make([]float64, e.Layers)
 	for _, c := range servers {
 		capacity := capacityOf(e, c, c.Ordered.Len())
@@ -265,7 +265,7 @@
 
 // capacityOf returns the typical requests that a server can hold besides n layers,
 // plus one so that a server without free memory still counts.
-func capacityOf(e *site.Engine, c Card, n int) float64 {
+func capacityOf(e *site.Engine, c ServerState, n int) float64 {
 	if n == 0 {
 		return 0
 	}
@@ -276,8 +276,8 @@
 // lowestCapacityWindow returns the range of layers with the lowest capacity for an
 // empty server to take. Its length leaves the server memory for requests in all slots
 // where possible.
-func lowestCapacityWindow(e *site.Engine, c Card, capacities []float64) site.Range {
-	n := fit(e, []Card{c}, float64(max(1, e.Slots)))[0]
+func lowestCapacityWindow(e *site.Engine, c ServerState, capacities []float64) site.Range {
+	n := fit(e, []ServerState{c}, float64(max(1, e.Slots)))[0]
 	if n == 0 {
 		n = max(1, e.MaxLayers(c.Server.Kind)/2)
 	}
--- a/pipeline/layout_test.go
+++ b/pipeline/layout_test.go
@@ -11,8 +11,8 @@
 
 // emptyServers returns empty servers of one failure domain. Its arguments are kinds,
 // each followed by a count.
-func emptyServers(kinds ...any) []Card {
-	var out []Card
+func emptyServers(kinds ...any) []ServerState {
+	var out []ServerState
 	for i := 0; i < len(kinds); i += 2 {
 		for range kinds[i+1].(int) {
 			out = append(out, newServer(fmt.Sprintf("card-%02d", len(out)), "a", kinds[i].(string)))
--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -8,8 +8,8 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Card is a backend server with its state as placement uses it.
-type Card struct {
+// ServerState is a backend server with its state as placement uses it.
+type ServerState struct {
 	Server  *site.BackendServer
 	Ordered site.Range // layers that it holds, or will hold once the pending order is carried out
 	Busy    bool       // an order is pending, or one was sent without an answer
@@ -64,11 +64,11 @@
 // With patient, a group is not rebuilt even if its servers cannot cover a layer. A
 // rebuild loads the weights of all of them again, and a crashed server may return
 // within seconds.
-func Place(e *site.Engine, servers []Card, patient bool) Plan {
+func Place(e *site.Engine, servers []ServerState, patient bool) Plan {
 	draining := drainingRanges(servers)
 	servers = usableServers(e, servers)
 	var p Plan
-	var rest []Card
+	var rest []ServerState
 	for _, d := range groupByDomain(servers) {
 		if n := pipelineCount(e, d); n > 0 {
 			p.add(placeGroup(e, d, draining[d[0].Server.FailureDomain], n, patient))
@@ -91,7 +91,7 @@
 
 // drainingRanges returns the layers of draining servers by failure domain. Requests
 // still pass through them.
-func drainingRanges(servers []Card) map[string][]site.Range {
+func drainingRanges(servers []ServerState) map[string][]site.Range {
 	out := map[string][]site.Range{}
 	for _, c := range servers {
 		if d := c.Server.FailureDomain; c.Server.Draining && placed(c) {
@@ -101,19 +101,19 @@
 	return out
 }
 
-func usableServers(e *site.Engine, servers []Card) []Card {
-	var out []Card
+func usableServers(e *site.Engine, servers []ServerState) []ServerState {
+	var out []ServerState
 	for _, c := range servers {
 		if !c.Server.Draining && e.MaxLayers(c.Server.Kind) > 0 {
 			out = append(out, c)
 		}
 	}
-	slices.SortFunc(out, func(a, b Card) int { return cmp.Compare(a.Server.ID, b.Server.ID) })
+	slices.SortFunc(out, func(a, b ServerState) int { return cmp.Compare(a.Server.ID, b.Server.ID) })
 	return out
 }
 
 // placeGroup places n pipelines on the servers of a group.
-func placeGroup(e *site.Engine, servers []Card, draining []site.Range, n int, patient bool) Plan {
+func placeGroup(e *site.Engine, servers []ServerState, draining []site.Range, n int, patient bool) Plan {
 	if !slices.ContainsFunc(servers, placed) {
 		var orders []Order
 		for _, chain := range partition(e, servers, n) {
@@ -137,14 +137,14 @@
 	return Plan{Orders: g.orders, Broken: incomplete}
 }
 
-func placed(c Card) bool { return c.Ordered.Len() > 0 }
+func placed(c ServerState) bool { return c.Ordered.Len() > 0 }
 
-func busy(c Card) bool { return c.Busy }
+func busy(c ServerState) bool { return c.Busy }
 
 // group is the state of placing one group.
 type group struct {
 	e        *site.Engine
-	servers  []Card
+	servers  []ServerState
 	draining []site.Range // layers of draining servers; requests pass through them
 	copies   int          // pipelines, the number of servers that should hold each layer
 	atOnce   bool         // new orders drop layers at once
@@ -203,7 +203,7 @@
 
 // assignFreeServers assigns uncovered ranges to servers for which free is true.
 // holders is the number of servers that hold each layer.
-func (g *group) assignFreeServers(free func(c Card, holders []int) bool) {
+func (g *group) assignFreeServers(free func(c ServerState, holders []int) bool) {
 	defer g.graceful()
 	for _, uncovered := range g.uncoveredRanges() {
 		g.atOnce = g.blocked(uncovered)
@@ -221,8 +221,8 @@
 
 // sizeFor returns how many layers a server takes for an uncovered range: as many as
 // leave memory for requests in all slots, and more only if the range is larger.
-func (g *group) sizeFor(c Card, uncovered site.Range) int {
-	full := fit(g.e, []Card{c}, float64(max(1, g.e.Slots)))[0]
+func (g *group) sizeFor(c ServerState, uncovered site.Range) int {
+	full := fit(g.e, []ServerState{c}, float64(max(1, g.e.Slots)))[0]
 	return max(1, full, min(uncovered.Len(), g.layersWithHeadroom(c)))
 }
 
@@ -240,14 +240,14 @@
 
 // layersWithHeadroom returns how many layers a server can take with memory for
 // fillCapacity requests, at least one.
-func (g *group) layersWithHeadroom(c Card) int {
-	n := fit(g.e, []Card{c}, fillCapacity)[0]
+func (g *group) layersWithHeadroom(c ServerState) int {
+	n := fit(g.e, []ServerState{c}, fillCapacity)[0]
 	return max(1, min(n, g.e.MaxLayers(c.Server.Kind)))
 }
 
 // freeServer returns the free server that fits an uncovered range best: the smallest
 // that covers it, else the largest; -1 for none.
-func (g *group) freeServer(uncovered site.Range, free func(Card, []int) bool) int {
+func (g *group) freeServer(uncovered site.Range, free func(ServerState, []int) bool) int {
 	best := -1
 	holders := g.holders()
 	for i := range g.servers {
@@ -270,10 +270,10 @@
 }
 
 // empty reports whether a server holds no layers.
-func empty(c Card, _ []int) bool { return !placed(c) }
+func empty(c ServerState, _ []int) bool { return !placed(c) }
 
 // redundant reports whether enough other servers hold all layers of a server.
-func (g *group) redundant(c Card, holders []int) bool {
+func (g *group) redundant(c ServerState, holders []int) bool {
 	if !placed(c) {
 		return false
 	}
@@ -301,7 +301,7 @@
 
 // placeRemaining assigns servers that cannot hold a pipeline by themselves to the
 // layers that the fewest servers of the site hold.
-func placeRemaining(e *site.Engine, rest, all []Card, orders []Order) []Order {
+func placeRemaining(e *site.Engine, rest, all []ServerState, orders []Order) []Order {
 	g := &group{e: e, servers: slices.Clone(all), copies: minHolders}
 	for _, o := range orders {
 		for i := range g.servers {
@@ -310,8 +310,8 @@
 			}
 		}
 	}
-	inRest := func(c Card) bool {
-		return slices.ContainsFunc(rest, func(r Card) bool { return r.Server.ID == c.Server.ID })
+	inRest := func(c ServerState) bool {
+		return slices.ContainsFunc(rest, func(r ServerState) bool { return r.Server.ID == c.Server.ID })
 	}
 	for i := range g.servers {
 		if !inRest(g.servers[i]) {
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -31,15 +31,15 @@
 }
 
 // newServer returns an empty server.
-func newServer(id, domain, kind string) Card {
+func newServer(id, domain, kind string) ServerState {
 	s := &site.BackendServer{ID: id, Address: id, FailureDomain: domain, Kind: kind, Slots: 192}
-	return Card{Server: s}
+	return ServerState{Server: s}
 }
 
 // siteServers returns the servers of three failure domains, each of which can hold
 // the model once.
-func siteServers() []Card {
-	var out []Card
+func siteServers() []ServerState {
+	var out []ServerState
 	add := func(domain, kind string, n int) {
 		for range n {
 			out = append(out, newServer(fmt.Sprintf("%s-%02d", domain, len(out)), domain, kind))
@@ -60,7 +60,7 @@
 
 // placeUntilStable carries out orders and repeats the placement until it gives none.
 // It returns the number of orders.
-func placeUntilStable(t require.TestingT, e *site.Engine, servers []Card) (loads int) {
+func placeUntilStable(t require.TestingT, e *site.Engine, servers []ServerState) (loads int) {
 	for range 20 {
 		orders := Place(e, servers, false).Orders
 		if len(orders) == 0 {
@@ -74,11 +74,11 @@
 			require.GreaterOrEqual(t, o.Layers.From, 0)
 			require.LessOrEqual(t, o.Layers.To, e.Layers)
 			require.Positive(t, o.Layers.Len())
-			i := slices.IndexFunc(servers, func(c Card) bool { return c.Server.ID == o.Server.ID })
+			i := slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.ID == o.Server.ID })
 			require.NotEqual(t, servers[i].Ordered, o.Layers, "order without a change")
 			s := *servers[i].Server
 			s.Held = o.Layers
-			servers[i] = Card{Server: &s, Ordered: o.Layers}
+			servers[i] = ServerState{Server: &s, Ordered: o.Layers}
 			loads++
 		}
 	}
@@ -86,7 +86,7 @@
 	return loads
 }
 
-func holdersOf(e *site.Engine, servers []Card, domain string) []int {
+func holdersOf(e *site.Engine, servers []ServerState, domain string) []int {
 	out := make([]int, e.Layers)
 	for _, c := range servers {
 		if domain != "" && c.Server.FailureDomain != domain {
@@ -134,20 +134,20 @@
 		domain := servers[lost].Server.FailureDomain
 		servers = slices.Delete(servers, lost, lost+1)
 		placeUntilStable(t, e, servers)
-		left := slices.DeleteFunc(servers, func(c Card) bool { return c.Server.FailureDomain != domain })
+		left := slices.DeleteFunc(servers, func(c ServerState) bool { return c.Server.FailureDomain != domain })
 		require.GreaterOrEqual(t, BoundOf(e, left).Requests, 60, "server %d", lost)
 	}
 }
 
 // withoutLargeServer returns the servers of the site without a large one, and without
 // the redundant servers of its failure domain, which could take its layers.
-func withoutLargeServer(t *testing.T, e *site.Engine) (servers []Card, domain string) {
+func withoutLargeServer(t *testing.T, e *site.Engine) (servers []ServerState, domain string) {
 	servers = siteServers()
 	placeUntilStable(t, e, servers)
-	lost := slices.IndexFunc(servers, func(c Card) bool { return c.Server.Kind == "large" })
+	lost := slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.Kind == "large" })
 	domain = servers[lost].Server.FailureDomain
 	holders := holdersOf(e, servers, domain)
-	isRedundant := func(c Card) bool {
+	isRedundant := func(c ServerState) bool {
 		return c.Server.FailureDomain == domain && slices.Min(holders[c.Ordered.From:c.Ordered.To]) > 1
 	}
 	servers = slices.Delete(servers, lost, lost+1)
@@ -163,7 +163,7 @@
 	dropping := 0
 	for _, o := range orders {
 		require.Equal(t, domain, o.Server.FailureDomain)
-		if held := servers[slices.IndexFunc(servers, func(c Card) bool { return c.Server.ID == o.Server.ID })].Ordered; held.Overlap(o.Layers) < held.Len() {
+		if held := servers[slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.ID == o.Server.ID })].Ordered; held.Overlap(o.Layers) < held.Len() {
 			dropping++
 			require.True(t, o.AtOnce, "%s drops some of %v for %v", o.Server.ID, held, o.Layers)
 		}
@@ -177,12 +177,12 @@
 	e := testEngine()
 	servers := siteServers()[:13]
 	placeUntilStable(t, e, servers)
-	last := slices.MaxFunc(servers, func(a, b Card) int { return a.Ordered.To - b.Ordered.To })
-	at := slices.IndexFunc(servers, func(c Card) bool { return c.Ordered.To == last.Ordered.From })
-	servers = slices.DeleteFunc(servers, func(c Card) bool { return c.Server.ID == last.Server.ID })
+	last := slices.MaxFunc(servers, func(a, b ServerState) int { return a.Ordered.To - b.Ordered.To })
+	at := slices.IndexFunc(servers, func(c ServerState) bool { return c.Ordered.To == last.Ordered.From })
+	servers = slices.DeleteFunc(servers, func(c ServerState) bool { return c.Server.ID == last.Server.ID })
 	constrained := *servers[at].Server
 	constrained.Held.To = e.Layers
-	servers[at] = Card{Server: &constrained, Ordered: constrained.Held}
+	servers[at] = ServerState{Server: &constrained, Ordered: constrained.Held}
 	require.Less(t, BoundOf(e, servers).Requests, 10)
 	for _, o := range Place(e, servers, false).Orders {
 		require.False(t, o.AtOnce, "requests pass through the constrained server")
@@ -201,7 +201,7 @@
 	fresh.Fresh = true
 	servers = append(servers, fresh)
 	require.Empty(t, Place(e, servers, true).Orders)
-	old := slices.IndexFunc(servers, func(c Card) bool { return c.Server.FailureDomain == "a" && c.Server.Kind == "small" })
+	old := slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.FailureDomain == "a" && c.Server.Kind == "small" })
 	draining := *servers[old].Server
 	draining.Draining = true
 	servers[old].Server = &draining
@@ -242,7 +242,7 @@
 func TestGroupIsNotRebuiltWhileServerMayReturn(t *testing.T) {
 	e := testEngine()
 	servers, domain := withoutLargeServer(t, e)
-	left := slices.DeleteFunc(slices.Clone(servers), func(c Card) bool { return c.Server.FailureDomain != domain })
+	left := slices.DeleteFunc(slices.Clone(servers), func(c ServerState) bool { return c.Server.FailureDomain != domain })
 	plan, rebuilt := Place(e, servers, true), Place(e, servers, false).Orders
 	require.True(t, plan.Broken)
 	require.Less(t, len(plan.Orders), len(rebuilt))
@@ -256,7 +256,7 @@
 	draining := newServer("leaving", domain, "large")
 	server := *draining.Server
 	server.Draining, server.Held = true, site.Range{To: 24}
-	orders := Place(e, append(servers, Card{Server: &server, Ordered: server.Held}), false).Orders
+	orders := Place(e, append(servers, ServerState{Server: &server, Ordered: server.Held}), false).Orders
 	require.NotEmpty(t, orders)
 	for _, o := range orders {
 		require.False(t, o.AtOnce, "%s drops layers for %v", o.Server.ID, o.Layers)
@@ -289,7 +289,7 @@
 	kinds := []string{"large", "middle", "small", "least"}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "cards")
-		servers := make([]Card, n)
+		servers := make([]ServerState, n)
 		memory := 0
 		for i := range servers {
 			servers[i] = newServer(fmt.Sprintf("c-%02d", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), rapid.SampledFrom(kinds).Draw(t, "kind"))
@@ -310,7 +310,7 @@
 	})
 }
 
-func candidates(servers []Card) []Candidate {
+func candidates(servers []ServerState) []Candidate {
 	out := make([]Candidate, 0, len(servers))
 	for _, c := range servers {
 		out = append(out, Candidate{Server: c.Server})
@@ -377,7 +377,7 @@
 
 func TestRequestsSpreadWithIdenticalLoads(t *testing.T) {
 	e := testEngine()
-	var servers []Card
+	var servers []ServerState
 	for i := range 2 {
 		servers = append(servers, siteServers()...)
 		for j := range siteServers() {
@@ -465,12 +465,12 @@
 func BenchmarkPlace(b *testing.B) {
 	for _, copies := range []int{1, 77} {
 		e := testEngine()
-		var servers []Card
+		var servers []ServerState
 		for n := range copies {
 			for _, c := range siteServers() {
 				s := *c.Server
 				s.ID, s.Address = fmt.Sprint(s.ID, "-", n), fmt.Sprint(s.Address, "-", n)
-				servers = append(servers, Card{Server: &s})
+				servers = append(servers, ServerState{Server: &s})
 			}
 		}
 		placeUntilStable(b, e, servers)
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -51,9 +51,9 @@
 
 // totalCapacity returns how many typical requests the candidates can hold at once.
 func totalCapacity(e *site.Engine, candidates []Candidate) float64 {
-	servers := make([]Card, len(candidates))
+	servers := make([]ServerState, len(candidates))
 	for i, c := range candidates {
-		servers[i] = Card{Server: c.Server, Ordered: c.Server.Held}
+		servers[i] = ServerState{Server: c.Server, Ordered: c.Server.Held}
 	}
 	return float64(BoundOf(e, servers).Requests)
 }
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -19,7 +19,7 @@
 // many servers as siteServers returns in all.
 func fleetServers(t testing.TB, e *site.Engine) []Candidate {
 	t.Helper()
-	var servers []Card
+	var servers []ServerState
 	for _, domain := range fleetDomains {
 		for i, c := range siteServers() {
 			servers = append(servers, newServer(fmt.Sprintf("%s-%02d", domain, i), domain, c.Server.Kind))
--- a/pipeline/window.go
+++ b/pipeline/window.go
@@ -114,7 +114,7 @@
 	capacities := capacityByLayer(g.e, g.servers)
 	capacity = slices.Min(capacities)
 	layer := slices.Index(capacities, capacity)
-	server = slices.IndexFunc(g.servers, func(c Card) bool { return c.Ordered.Has(layer) })
+	server = slices.IndexFunc(g.servers, func(c ServerState) bool { return c.Ordered.Has(layer) })
 	return server, capacity
 }
 
@@ -178,7 +178,7 @@
 		out.servers = append(slices.Clone(w.servers), server)
 		out.layers.To = max(out.layers.To, g.servers[server].Ordered.To)
 	}
-	chain := make([]Card, len(out.servers))
+	chain := make([]ServerState, len(out.servers))
 	for i, at := range out.servers {
 		chain[i] = g.servers[at]
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -212,7 +212,7 @@
 }
 
 // updateBound logs and reports the bound of a service when it changes.
-func (p *Placer) updateBound(svc *site.Service, servers []pipeline.Card) {
+func (p *Placer) updateBound(svc *site.Service, servers []pipeline.ServerState) {
 	b := pipeline.BoundOf(svc.Engine, servers)
 	if b == p.bounds[svc.Name] {
 		return
@@ -254,7 +254,7 @@
 
 // decide returns the orders of a patient placement until a group has been incomplete
 // for rebuildDelay, then those of one that may rebuild groups.
-func (p *Placer) decide(e *site.Engine, servers []pipeline.Card, now time.Time) []pipeline.Order {
+func (p *Placer) decide(e *site.Engine, servers []pipeline.ServerState, now time.Time) []pipeline.Order {
 	plan := pipeline.Place(e, servers, true)
 	if !plan.Broken {
 		p.incompleteSince = time.Time{}
@@ -272,8 +272,8 @@
 // settled reports whether a placement may begin: at once when some backend server
 // holds layers, else when the number of backend servers has been unchanged for
 // settleDelay.
-func (p *Placer) settled(servers []pipeline.Card) bool {
-	if slices.ContainsFunc(servers, func(c pipeline.Card) bool { return c.Ordered.Len() > 0 }) {
+func (p *Placer) settled(servers []pipeline.ServerState) bool {
+	if slices.ContainsFunc(servers, func(c pipeline.ServerState) bool { return c.Ordered.Len() > 0 }) {
 		return true
 	}
 	now := time.Now()
@@ -283,17 +283,17 @@
 	return now.Sub(p.emptyChangedAt) >= settleDelay
 }
 
-func (p *Placer) servers(view *inventory.View, svc *site.Service) []pipeline.Card {
+func (p *Placer) servers(view *inventory.View, svc *site.Service) []pipeline.ServerState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	var out []pipeline.Card
+	var out []pipeline.ServerState
 	maps.DeleteFunc(p.freshSince, func(id string, _ time.Time) bool { return view.Servers[id] == nil })
 	for _, s := range view.OfService(svc.Name) {
 		if _, dead := p.dead[s.ID]; dead {
 			continue
 		}
-		c := pipeline.Card{Server: s, Ordered: s.Held}
+		c := pipeline.ServerState{Server: s, Ordered: s.Held}
 		if o, ok := p.pending[s.ID]; ok {
 			if s.Held == o.layers || now.After(o.until) {
 				delete(p.pending, s.ID)
