--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -167,7 +167,7 @@
 func (l *lab) capacity() int {
 	var cards []pipeline.ServerState
 	for _, s := range l.view.Servers {
-		cards = append(cards, pipeline.ServerState{Server: s, Ordered: s.Held})
+		cards = append(cards, pipeline.ServerState{Server: s, Assigned: s.Held})
 	}
 	return pipeline.BoundOf(l.engine, cards).Requests
 }
--- a/pipeline/layout.go
+++ b/pipeline/layout.go
@@ -25,7 +25,7 @@
 		for i := range chain {
 			r := site.Range{From: next, To: next + c[i]}
 			next = r.To
-			if r.Len() > 0 && r != chain[i].Ordered {
+			if r.Len() > 0 && r != chain[i].Assigned {
 				orders = append(orders, Order{Server: chain[i].Server, Layers: r, AtOnce: atOnce, Reason: "pipeline rebuilt, its backend servers do not cover all layers"})
 			}
 		}
@@ -38,7 +38,7 @@
 	if !placed(c) {
 		return math.MaxInt
 	}
-	return c.Ordered.From
+	return c.Assigned.From
 }
 
 func groupByDomain(servers []ServerState) [][]ServerState {
@@ -255,8 +255,8 @@
 func capacityByLayer(e *site.Engine, servers []ServerState) []float64 {
 	capacities := make([]float64, e.Layers)
 	for _, c := range servers {
-		capacity := capacityOf(e, c, c.Ordered.Len())
-		for l := max(0, c.Ordered.From); l < min(e.Layers, c.Ordered.To); l++ {
+		capacity := capacityOf(e, c, c.Assigned.Len())
+		for l := max(0, c.Assigned.From); l < min(e.Layers, c.Assigned.To); l++ {
 			capacities[l] += capacity
 		}
 	}
--- a/pipeline/neighborsplit.go
+++ b/pipeline/neighborsplit.go
@@ -19,10 +19,10 @@
 func (g *group) orderNeighborSplit(h neighborSplit, uncovered site.Range) {
 	reason := fmt.Sprintf("layers %d-%d are held by too few backend servers, taken over by their neighbors", uncovered.From, uncovered.To)
 	if h.at > uncovered.From {
-		g.assign(h.left, site.Range{From: g.servers[h.left].Ordered.From, To: h.at}, reason)
+		g.assign(h.left, site.Range{From: g.servers[h.left].Assigned.From, To: h.at}, reason)
 	}
 	if h.at < uncovered.To {
-		g.assign(h.right, site.Range{From: h.at, To: g.servers[h.right].Ordered.To}, reason)
+		g.assign(h.right, site.Range{From: h.at, To: g.servers[h.right].Assigned.To}, reason)
 	}
 }
 
@@ -52,10 +52,10 @@
 		if c.Busy || !placed(c) {
 			continue
 		}
-		if c.Ordered.To == uncovered.From {
+		if c.Assigned.To == uncovered.From {
 			lefts = append(lefts, i)
 		}
-		if c.Ordered.From == uncovered.To {
+		if c.Assigned.From == uncovered.To {
 			rights = append(rights, i)
 		}
 	}
@@ -70,13 +70,13 @@
 		if h.left < 0 {
 			return 0
 		}
-		capacity = g.capacityWith(h.left, h.at-g.servers[h.left].Ordered.From)
+		capacity = g.capacityWith(h.left, h.at-g.servers[h.left].Assigned.From)
 	}
 	if h.at < uncovered.To {
 		if h.right < 0 || h.right == h.left {
 			return 0
 		}
-		capacity = min(capacity, g.capacityWith(h.right, g.servers[h.right].Ordered.To-h.at))
+		capacity = min(capacity, g.capacityWith(h.right, g.servers[h.right].Assigned.To-h.at))
 	}
 	return capacity
 }
--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -11,7 +11,7 @@
 // ServerState is a backend server with its state as placement uses it.
 type ServerState struct {
 	Server  *site.BackendServer
-	Ordered site.Range // layers that it holds, or will hold once the pending order is carried out
+	Assigned site.Range // layers that it holds, or will hold once the pending order is carried out
 	Busy    bool       // an order is pending, or one was sent without an answer
 	// Fresh is set for a short time after an empty server registers. In a rolling
 	// replacement the new server starts before the old one drains, and is reserved
@@ -95,7 +95,7 @@
 	out := map[string][]site.Range{}
 	for _, c := range servers {
 		if d := c.Server.FailureDomain; c.Server.Draining && placed(c) {
-			out[d] = append(out[d], c.Ordered)
+			out[d] = append(out[d], c.Assigned)
 		}
 	}
 	return out
@@ -137,7 +137,7 @@
 	return Plan{Orders: g.orders, Broken: incomplete}
 }
 
-func placed(c ServerState) bool { return c.Ordered.Len() > 0 }
+func placed(c ServerState) bool { return c.Assigned.Len() > 0 }
 
 func busy(c ServerState) bool { return c.Busy }
 
@@ -156,7 +156,7 @@
 func (g *group) assign(i int, r site.Range, reason string) {
 	c := &g.servers[i]
 	g.orders = append(g.orders, Order{Server: c.Server, Layers: r, AtOnce: g.atOnce, Reason: reason})
-	c.Ordered, c.Busy = r, true
+	c.Assigned, c.Busy = r, true
 }
 
 // graceful makes further orders wait for requests before they drop layers.
@@ -166,7 +166,7 @@
 func (g *group) holders() []int {
 	out := make([]int, g.e.Layers)
 	for i := range g.servers {
-		r := g.servers[i].Ordered
+		r := g.servers[i].Assigned
 		for l := max(0, r.From); l < min(g.e.Layers, r.To); l++ {
 			out[l]++
 		}
@@ -277,7 +277,7 @@
 	if !placed(c) {
 		return false
 	}
-	for l := max(0, c.Ordered.From); l < min(g.e.Layers, c.Ordered.To); l++ {
+	for l := max(0, c.Assigned.From); l < min(g.e.Layers, c.Assigned.To); l++ {
 		if holders[l] <= g.copies {
 			return false
 		}
@@ -306,7 +306,7 @@
 	for _, o := range orders {
 		for i := range g.servers {
 			if g.servers[i].Server.ID == o.Server.ID {
-				g.servers[i].Ordered, g.servers[i].Busy = o.Layers, true
+				g.servers[i].Assigned, g.servers[i].Busy = o.Layers, true
 			}
 		}
 	}
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -75,10 +75,10 @@
 			require.LessOrEqual(t, o.Layers.To, e.Layers)
 			require.Positive(t, o.Layers.Len())
 			i := slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.ID == o.Server.ID })
-			require.NotEqual(t, servers[i].Ordered, o.Layers, "order without a change")
+			require.NotEqual(t, servers[i].Assigned, o.Layers, "order without a change")
 			s := *servers[i].Server
 			s.Held = o.Layers
-			servers[i] = ServerState{Server: &s, Ordered: o.Layers}
+			servers[i] = ServerState{Server: &s, Assigned: o.Layers}
 			loads++
 		}
 	}
@@ -92,7 +92,7 @@
 		if domain != "" && c.Server.FailureDomain != domain {
 			continue
 		}
-		for l := c.Ordered.From; l < c.Ordered.To; l++ {
+		for l := c.Assigned.From; l < c.Assigned.To; l++ {
 			out[l]++
 		}
 	}
@@ -106,8 +106,8 @@
 		require.Equal(t, 1, slices.Min(holdersOf(e, servers, d)), d)
 	}
 	for _, c := range servers {
-		require.GreaterOrEqual(t, e.KVRoom(c.Server.Kind, c.Ordered.Len())/Usual(e).Mean()/float64(max(1, c.Ordered.Len())), 100.0,
-			"%s with %d layers has little capacity for requests", c.Server.Kind, c.Ordered.Len())
+		require.GreaterOrEqual(t, e.KVRoom(c.Server.Kind, c.Assigned.Len())/Usual(e).Mean()/float64(max(1, c.Assigned.Len())), 100.0,
+			"%s with %d layers has little capacity for requests", c.Server.Kind, c.Assigned.Len())
 	}
 }
 
@@ -148,7 +148,7 @@
 	domain = servers[lost].Server.FailureDomain
 	holders := holdersOf(e, servers, domain)
 	isRedundant := func(c ServerState) bool {
-		return c.Server.FailureDomain == domain && slices.Min(holders[c.Ordered.From:c.Ordered.To]) > 1
+		return c.Server.FailureDomain == domain && slices.Min(holders[c.Assigned.From:c.Assigned.To]) > 1
 	}
 	servers = slices.Delete(servers, lost, lost+1)
 	return slices.DeleteFunc(servers, isRedundant), domain
@@ -163,7 +163,7 @@
 	dropping := 0
 	for _, o := range orders {
 		require.Equal(t, domain, o.Server.FailureDomain)
-		if held := servers[slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.ID == o.Server.ID })].Ordered; held.Overlap(o.Layers) < held.Len() {
+		if held := servers[slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.ID == o.Server.ID })].Assigned; held.Overlap(o.Layers) < held.Len() {
 			dropping++
 			require.True(t, o.AtOnce, "%s drops some of %v for %v", o.Server.ID, held, o.Layers)
 		}
@@ -177,12 +177,12 @@
 	e := testEngine()
 	servers := siteServers()[:13]
 	placeUntilStable(t, e, servers)
-	last := slices.MaxFunc(servers, func(a, b ServerState) int { return a.Ordered.To - b.Ordered.To })
-	at := slices.IndexFunc(servers, func(c ServerState) bool { return c.Ordered.To == last.Ordered.From })
+	last := slices.MaxFunc(servers, func(a, b ServerState) int { return a.Assigned.To - b.Assigned.To })
+	at := slices.IndexFunc(servers, func(c ServerState) bool { return c.Assigned.To == last.Assigned.From })
 	servers = slices.DeleteFunc(servers, func(c ServerState) bool { return c.Server.ID == last.Server.ID })
 	constrained := *servers[at].Server
 	constrained.Held.To = e.Layers
-	servers[at] = ServerState{Server: &constrained, Ordered: constrained.Held}
+	servers[at] = ServerState{Server: &constrained, Assigned: constrained.Held}
 	require.Less(t, BoundOf(e, servers).Requests, 10)
 	for _, o := range Place(e, servers, false).Orders {
 		require.False(t, o.AtOnce, "requests pass through the constrained server")
@@ -208,7 +208,7 @@
 	orders := Place(e, servers, true).Orders
 	require.Len(t, orders, 1)
 	require.Equal(t, "a-new", orders[0].Server.ID)
-	require.Equal(t, servers[old].Ordered, orders[0].Layers)
+	require.Equal(t, servers[old].Assigned, orders[0].Layers)
 	servers[old] = servers[len(servers)-1]
 	servers[old].Fresh = false
 	placeUntilStable(t, e, servers[:len(servers)-1])
@@ -235,7 +235,7 @@
 	placeUntilStable(t, e, servers)
 	servers[3] = newServer("a-new", "a", "small")
 	placeUntilStable(t, e, servers)
-	require.Positive(t, servers[3].Ordered.Len())
+	require.Positive(t, servers[3].Assigned.Len())
 	require.Equal(t, 1, slices.Min(holdersOf(e, servers, "a")))
 }
 
@@ -256,7 +256,7 @@
 	draining := newServer("leaving", domain, "large")
 	server := *draining.Server
 	server.Draining, server.Held = true, site.Range{To: 24}
-	orders := Place(e, append(servers, ServerState{Server: &server, Ordered: server.Held}), false).Orders
+	orders := Place(e, append(servers, ServerState{Server: &server, Assigned: server.Held}), false).Orders
 	require.NotEmpty(t, orders)
 	for _, o := range orders {
 		require.False(t, o.AtOnce, "%s drops layers for %v", o.Server.ID, o.Layers)
@@ -426,7 +426,7 @@
 	placeUntilStable(t, e, servers)
 	complete := BoundOf(e, servers)
 	require.Greater(t, complete.Requests, 100)
-	lost := servers[3].Ordered
+	lost := servers[3].Assigned
 	reduced := BoundOf(e, slices.Delete(slices.Clone(servers), 3, 4))
 	require.Less(t, reduced.Requests, complete.Requests)
 	require.GreaterOrEqual(t, reduced.Layers.From, lost.From)
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -53,7 +53,7 @@
 func totalCapacity(e *site.Engine, candidates []Candidate) float64 {
 	servers := make([]ServerState, len(candidates))
 	for i, c := range candidates {
-		servers[i] = ServerState{Server: c.Server, Ordered: c.Server.Held}
+		servers[i] = ServerState{Server: c.Server, Assigned: c.Server.Held}
 	}
 	return float64(BoundOf(e, servers).Requests)
 }
--- a/pipeline/window.go
+++ b/pipeline/window.go
@@ -101,11 +101,11 @@
 		return
 	}
 	c := g.servers[constrained]
-	w := g.widen(window{layers: c.Ordered, servers: []int{constrained}}, maxPatientLoadTime)
+	w := g.widen(window{layers: c.Assigned, servers: []int{constrained}}, maxPatientLoadTime)
 	if w.capacity < minReliefGain*least {
 		return
 	}
-	g.orderWindow(w, fmt.Sprintf("capacity for %d requests in layers %d-%d, shared by %d backend servers", int(least), c.Ordered.From, c.Ordered.To, len(w.servers)))
+	g.orderWindow(w, fmt.Sprintf("capacity for %d requests in layers %d-%d, shared by %d backend servers", int(least), c.Assigned.From, c.Assigned.To, len(w.servers)))
 }
 
 // mostConstrained returns a server of the layer with the lowest capacity, and that
@@ -114,7 +114,7 @@
 	capacities := capacityByLayer(g.e, g.servers)
 	capacity = slices.Min(capacities)
 	layer := slices.Index(capacities, capacity)
-	server = slices.IndexFunc(g.servers, func(c ServerState) bool { return c.Ordered.Has(layer) })
+	server = slices.IndexFunc(g.servers, func(c ServerState) bool { return c.Assigned.Has(layer) })
 	return server, capacity
 }
 
@@ -147,7 +147,7 @@
 func (g *group) loadTime(w window) time.Duration {
 	all, longest := 0, 0
 	for i, r := range w.ranges() {
-		n := r.Len() - r.Overlap(g.servers[w.servers[i]].Ordered)
+		n := r.Len() - r.Overlap(g.servers[w.servers[i]].Assigned)
 		all += n
 		longest = max(longest, n)
 	}
@@ -173,10 +173,10 @@
 	out := window{layers: w.layers}
 	if before {
 		out.servers = append([]int{server}, w.servers...)
-		out.layers.From = min(out.layers.From, g.servers[server].Ordered.From)
+		out.layers.From = min(out.layers.From, g.servers[server].Assigned.From)
 	} else {
 		out.servers = append(slices.Clone(w.servers), server)
-		out.layers.To = max(out.layers.To, g.servers[server].Ordered.To)
+		out.layers.To = max(out.layers.To, g.servers[server].Assigned.To)
 	}
 	chain := make([]ServerState, len(out.servers))
 	for i, at := range out.servers {
@@ -207,10 +207,10 @@
 func (g *group) neighbor(w window, adjacent func(site.Range) bool) int {
 	best, bestCapacity := -1, 0.0
 	for i, c := range g.servers {
-		if c.Busy || !placed(c) || slices.Contains(w.servers, i) || !adjacent(c.Ordered) {
+		if c.Busy || !placed(c) || slices.Contains(w.servers, i) || !adjacent(c.Assigned) {
 			continue
 		}
-		if capacity := g.e.KVRoom(c.Server.Kind, c.Ordered.Len()); best < 0 || capacity > bestCapacity {
+		if capacity := g.e.KVRoom(c.Server.Kind, c.Assigned.Len()); best < 0 || capacity > bestCapacity {
 			best, bestCapacity = i, capacity
 		}
 	}
@@ -221,7 +221,7 @@
 // gets no order.
 func (g *group) orderWindow(w window, reason string) {
 	for i, r := range w.ranges() {
-		if at := w.servers[i]; r.Len() > 0 && r != g.servers[at].Ordered {
+		if at := w.servers[i]; r.Len() > 0 && r != g.servers[at].Assigned {
 			g.assign(at, r, reason)
 		}
 	}
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -273,7 +273,7 @@
 // holds layers, else when the number of backend servers has been unchanged for
 // settleDelay.
 func (p *Placer) settled(servers []pipeline.ServerState) bool {
-	if slices.ContainsFunc(servers, func(c pipeline.ServerState) bool { return c.Ordered.Len() > 0 }) {
+	if slices.ContainsFunc(servers, func(c pipeline.ServerState) bool { return c.Assigned.Len() > 0 }) {
 		return true
 	}
 	now := time.Now()
@@ -293,12 +293,12 @@
 		if _, dead := p.dead[s.ID]; dead {
 			continue
 		}
-		c := pipeline.ServerState{Server: s, Ordered: s.Held}
+		c := pipeline.ServerState{Server: s, Assigned: s.Held}
 		if o, ok := p.pending[s.ID]; ok {
 			if s.Held == o.layers || now.After(o.until) {
 				delete(p.pending, s.ID)
 			} else {
-				c.Ordered, c.Busy = o.layers, true
+				c.Assigned, c.Busy = o.layers, true
 			}
 		}
 		c.Fresh = p.isFresh(s, now)
