--- a/forward/split.go
+++ b/forward/split.go
@@ -18,7 +18,7 @@
 }
 
 type split struct {
-	spread   pipeline.Spread
+	spread   pipeline.Rotation
 	view     *inventory.View
 	usable   int  // number of usable backend servers
 	slow     int  // version of the known slowdowns
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -174,7 +174,7 @@
 func TestPathsAreTakenByRate(t *testing.T) {
 	e := choiceEngine()
 	cs := twoPipelines(e)
-	s := &Spread{}
+	s := &Rotation{}
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
 	paths := []site.Path{
 		{{Server: cs[0].Server, Layers: cs[0].Server.Held}, {Server: cs[1].Server, Layers: cs[1].Server.Held}},
@@ -221,7 +221,7 @@
 	own         [][]Load // by daemon
 	reported    [][]Load // reported loads, newest last
 	completions []completion
-	spreads     []Spread
+	spreads     []Rotation
 	// orphaned are requests of daemons that have ended. No daemon reports them, but
 	// actual includes them.
 	orphaned []Load
@@ -259,7 +259,7 @@
 	for i := range c.own {
 		c.own[i] = make([]Load, len(c.cs))
 	}
-	c.spreads = make([]Spread, daemons)
+	c.spreads = make([]Rotation, daemons)
 	return c
 }
 
--- a/pipeline/spread.go
+++ b/pipeline/spread.go
@@ -7,9 +7,9 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Spread selects the paths of a split by weighted round-robin. Known loads correct
+// Rotation selects the paths of a split by weighted round-robin. Known loads correct
 // the weights; the correction shrinks with the age of the loads.
-type Spread struct{ entries []*entry }
+type Rotation struct{ entries []*entry }
 
 // entry is a path of the split with its state in the rotation.
 type entry struct {
@@ -39,7 +39,7 @@
 
 // Take replaces the split. Remaining paths keep their credit. New ones start with a
 // random credit, so that daemons with the same split do not send in step.
-func (s *Spread) Take(shares []Share, r *rand.Rand) {
+func (s *Rotation) Take(shares []Share, r *rand.Rand) {
 	oldCredits := make(map[string]float64, len(s.entries))
 	for _, e := range s.entries {
 		oldCredits[e.key] = e.credit
@@ -59,7 +59,7 @@
 // Next returns the next path among those with capacity for the request; ok is false
 // if there is none. The loads of the candidates are loadAge old, 0 if they were never
 // reported.
-func (s *Spread) Next(q *Query, candidates []Candidate, loadAge time.Duration) (c Choice, ok bool) {
+func (s *Rotation) Next(q *Query, candidates []Candidate, loadAge time.Duration) (c Choice, ok bool) {
 	usable := s.usablePaths(q, candidates, loadAge)
 	sum := 0.0
 	for _, t := range usable {
@@ -88,7 +88,7 @@
 }
 
 // usablePaths returns the paths with capacity for the request.
-func (s *Spread) usablePaths(q *Query, candidates []Candidate, loadAge time.Duration) []usablePath {
+func (s *Rotation) usablePaths(q *Query, candidates []Candidate, loadAge time.Duration) []usablePath {
 	byID := make(map[string]*Candidate, len(candidates))
 	for i := range candidates {
 		byID[candidates[i].Server.ID] = &candidates[i]
