--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -296,7 +296,7 @@
 // estimateTokens estimates the size of a request. The caller's hint is accurate only at
 // the median, so it is averaged with the typical answer.
 func estimateTokens(req *Request, engine *site.Engine) pipeline.Tokens {
-	t := pipeline.Usual(engine)
+	t := pipeline.TypicalRequest(engine)
 	if req.Prompt > 0 {
 		t.Prompt = req.Prompt
 	}
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -378,7 +378,7 @@
 	defer l.mu.Unlock()
 	ms := 0.0
 	for i, h := range p {
-		ms += pipeline.HopStepMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(l.servers[h.Server.ID].streams), pipeline.Usual(l.engine).Mean())
+		ms += pipeline.HopStepMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(l.servers[h.Server.ID].streams), pipeline.TypicalRequest(l.engine).Mean())
 		if i > 0 {
 			ms += pipeline.LinkMS(l.engine, p[i-1].Server.FailureDomain, h.Server.FailureDomain)
 		}
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -55,8 +55,8 @@
 // Mean returns the average context of a request over its lifetime.
 func (t Tokens) Mean() float64 { return t.Prompt + t.Answer/2 }
 
-// Usual returns the size of a typical request of an engine.
-func Usual(e *site.Engine) Tokens {
+// TypicalRequest returns the size of a typical request of an engine.
+func TypicalRequest(e *site.Engine) Tokens {
 	return Tokens{Prompt: float64(e.Prompt), Answer: float64(e.Answer)}
 }
 
--- a/pipeline/layout.go
+++ b/pipeline/layout.go
@@ -153,7 +153,7 @@
 func throughput(e *site.Engine, chain []ServerState, counts []int, n float64) float64 {
 	ms := 0.0
 	for i, c := range chain {
-		ms += HopStepMS(e, c.Server.Kind, counts[i], n, Usual(e).Mean())
+		ms += HopStepMS(e, c.Server.Kind, counts[i], n, TypicalRequest(e).Mean())
 	}
 	return n / ms
 }
@@ -183,7 +183,7 @@
 // fit returns how many layers each server can hold besides the memory of n typical
 // requests.
 func fit(e *site.Engine, chain []ServerState, n float64) []int {
-	perLayer := e.LayerMB + n*Usual(e).Mean()*e.KVTokenBytes/float64(e.Layers)/1e6
+	perLayer := e.LayerMB + n*TypicalRequest(e).Mean()*e.KVTokenBytes/float64(e.Layers)/1e6
 	out := make([]int, len(chain))
 	for i, c := range chain {
 		out[i] = min(e.MaxLayers(c.Server.Kind), int(e.Kinds[c.Server.Kind].MemoryMB/perLayer))
@@ -269,7 +269,7 @@
 	if n == 0 {
 		return 0
 	}
-	per := Usual(e).Mean() * float64(n)
+	per := TypicalRequest(e).Mean() * float64(n)
 	return min(float64(max(1, e.Slots)), 1+e.KVRoom(c.Server.Kind, n)/max(1, per))
 }
 
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -106,7 +106,7 @@
 		require.Equal(t, 1, slices.Min(holdersOf(e, servers, d)), d)
 	}
 	for _, c := range servers {
-		require.GreaterOrEqual(t, e.KVRoom(c.Server.Kind, c.Assigned.Len())/Usual(e).Mean()/float64(max(1, c.Assigned.Len())), 100.0,
+		require.GreaterOrEqual(t, e.KVRoom(c.Server.Kind, c.Assigned.Len())/TypicalRequest(e).Mean()/float64(max(1, c.Assigned.Len())), 100.0,
 			"%s with %d layers has little capacity for requests", c.Server.Kind, c.Assigned.Len())
 	}
 }
@@ -319,7 +319,7 @@
 }
 
 func query(e *site.Engine, near string) *Query {
-	return &Query{Engine: e, Tokens: Usual(e), Near: near}
+	return &Query{Engine: e, Tokens: TypicalRequest(e), Near: near}
 }
 
 func TestPathsTileTheLayersAndStayInTheirDomain(t *testing.T) {
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -141,7 +141,7 @@
 }
 
 func newSplitter(e *site.Engine, candidates []Candidate) *splitter {
-	s := &splitter{engine: e, tokens: Usual(e), pathLoads: map[string]map[string]*pathLoad{}}
+	s := &splitter{engine: e, tokens: TypicalRequest(e), pathLoads: map[string]map[string]*pathLoad{}}
 	cs := slices.Clone(candidates)
 	slices.SortFunc(cs, func(a, b Candidate) int { return strings.Compare(a.Server.ID, b.Server.ID) })
 	byDomain := map[string][]Candidate{}
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -52,7 +52,7 @@
 		for _, sh := range shares {
 			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.LastsMS / duration
 			for _, h := range sh.Choice.Path {
-				out[h.Server.ID] += requests * Usual(e).Mean() * float64(h.Layers.Len()) / e.KVRoom(h.Server.Kind, h.Server.Held.Len())
+				out[h.Server.ID] += requests * TypicalRequest(e).Mean() * float64(h.Layers.Len()) / e.KVRoom(h.Server.Kind, h.Server.Held.Len())
 			}
 		}
 	}
@@ -303,7 +303,7 @@
 		}
 		for n := c.arrivals(perSecond); n > 0; n-- {
 			daemon := c.rng.IntN(c.daemons)
-			q := &Query{Engine: c.engine, Tokens: Usual(c.engine), Near: c.domain(daemon), Jitter: 0.25}
+			q := &Query{Engine: c.engine, Tokens: TypicalRequest(c.engine), Near: c.domain(daemon), Jitter: 0.25}
 			c.begin(daemon, q, choose)
 		}
 	}
@@ -414,7 +414,7 @@
 		}
 		for _, l := range []*Load{&c.actual[c.index[h.Server.ID]], &of[c.index[h.Server.ID]]} {
 			l.Running += sign
-			l.KVUsed += sign * Usual(c.engine).Mean() * float64(h.Layers.Len())
+			l.KVUsed += sign * TypicalRequest(c.engine).Mean() * float64(h.Layers.Len())
 			if i == 0 {
 				l.Heads += sign
 			}
