--- a/forward/crossing.go
+++ b/forward/crossing.go
@@ -72,7 +72,7 @@
 	if f.linksFreeIn(path, now) > 0 {
 		return false
 	}
-	each := pipeline.PipeReadMS(e, prompt)
+	each := pipeline.CrossDomainPrefillMS(e, prompt)
 	if each <= 0 {
 		return true
 	}
--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -206,7 +206,7 @@
 		}
 		c.StepMS += ms + link
 		if i > 0 && c.Path[i-1].Server.FailureDomain != h.Server.FailureDomain {
-			c.FirstMS += PipeReadMS(q.Engine, q.Tokens.Prompt)
+			c.FirstMS += CrossDomainPrefillMS(q.Engine, q.Tokens.Prompt)
 		}
 		c.FirstMS += ms + link + s.cand.Load.slowed(HopReadMS(q.Engine, h.Server.Kind, h.Layers.Len(), q.Tokens.Prompt))
 		if _, kept := q.Keep[h.Server.ID]; !kept {
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -60,9 +60,9 @@
 	return Tokens{Prompt: float64(e.Prompt), Answer: float64(e.Answer)}
 }
 
-// PipeReadMS predicts how long the activations of a prompt take over a cross-domain
+// CrossDomainPrefillMS predicts how long the activations of a prompt take over a cross-domain
 // link, in milliseconds.
-func PipeReadMS(e *site.Engine, prompt float64) float64 {
+func CrossDomainPrefillMS(e *site.Engine, prompt float64) float64 {
 	if e.PipeMbps <= 0 {
 		return 0
 	}
--- a/pipeline/search.go
+++ b/pipeline/search.go
@@ -184,7 +184,7 @@
 		return cost
 	}
 	if prev.FailureDomain != s.FailureDomain {
-		cost += crossDomainWeight * PipeReadMS(q.Engine, q.Tokens.Prompt)
+		cost += crossDomainWeight * CrossDomainPrefillMS(q.Engine, q.Tokens.Prompt)
 	}
 	return cost + hops[i].fixed + hops[i].perLayer*float64(run.Len())
 }
