--- a/forward/split.go
+++ b/forward/split.go
@@ -124,5 +124,5 @@
 		}
 	}
 	f.log.Add("split", "service", service, "requests", int(s.requests), "backends", s.usable, "paths", len(shares), "heads", len(heads),
-		"widest", math.Round(100*widest.Rate)/100, "widest_path", widest.Choice.Path.String(), "lasts_ms", int(widest.LastsMS))
+		"widest", math.Round(100*widest.Rate)/100, "widest_path", widest.Choice.Path.String(), "lasts_ms", int(widest.DurationMS))
 }
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -74,8 +74,8 @@
 	// Heads is the planned number of requests of the whole fleet whose first hop is
 	// that of the path.
 	Heads float64
-	// LastsMS is the predicted duration of a request.
-	LastsMS float64
+	// DurationMS is the predicted duration of a request.
+	DurationMS float64
 }
 
 // Split returns the paths for requests of a failure domain, sorted by their names.
@@ -255,5 +255,5 @@
 	}
 	c := predict(&Query{Engine: s.engine, Tokens: s.tokens}, steps)
 	durationMS := c.FirstMS + c.StepMS*s.tokens.Answer
-	return Share{Choice: c, Rate: p.requests / durationMS, LastsMS: durationMS, Heads: steps[0].cand.Load.Heads}
+	return Share{Choice: c, Rate: p.requests / durationMS, DurationMS: durationMS, Heads: steps[0].cand.Load.Heads}
 }
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -47,10 +47,10 @@
 		shares := Split(e, cs, d, domain)
 		duration := 0.0
 		for _, sh := range shares {
-			duration += sh.Rate * sh.LastsMS
+			duration += sh.Rate * sh.DurationMS
 		}
 		for _, sh := range shares {
-			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.LastsMS / duration
+			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.DurationMS / duration
 			for _, h := range sh.Choice.Path {
 				out[h.Server.ID] += requests * TypicalRequest(e).Mean() * float64(h.Layers.Len()) / e.KVRoom(h.Server.Kind, h.Server.Held.Len())
 			}
@@ -180,7 +180,7 @@
 		{{Server: cs[0].Server, Layers: cs[0].Server.Held}, {Server: cs[1].Server, Layers: cs[1].Server.Held}},
 		{{Server: cs[2].Server, Layers: cs[2].Server.Held}, {Server: cs[3].Server, Layers: cs[3].Server.Held}},
 	}
-	s.Take([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, LastsMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, LastsMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
+	s.Take([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, DurationMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, DurationMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
 	count := func(n int, age time.Duration) map[string]int {
 		out := map[string]int{}
 		for range n {
@@ -397,7 +397,7 @@
 	d := evenDemand(requests)
 	for _, domain := range fleetDomains {
 		for _, sh := range Split(c.engine, c.cs, d, domain) {
-			duration := time.Duration(sh.LastsMS * float64(time.Millisecond))
+			duration := time.Duration(sh.DurationMS * float64(time.Millisecond))
 			for range int(sh.Rate * requests * d.Domains[domain]) {
 				c.add(endedDaemon, sh.Choice.Path, 1)
 				c.completions = append(c.completions, completion{at: time.Duration(c.rng.Int64N(int64(duration))), daemon: endedDaemon, path: sh.Choice.Path})
@@ -434,7 +434,7 @@
 	for _, domain := range fleetDomains {
 		duration := 0.0
 		for _, s := range Split(e, cs, d, domain) {
-			duration += s.Rate * s.LastsMS
+			duration += s.Rate * s.DurationMS
 		}
 		perSecond += requests * d.Domains[domain] / (duration / 1000)
 	}
--- a/pipeline/spread.go
+++ b/pipeline/spread.go
@@ -120,7 +120,7 @@
 	if c.Fullest > 1 {
 		return usablePath{}, false
 	}
-	rate := e.share.Rate * correction(head.Load.Heads/max(1, e.share.Heads), e.share.LastsMS, loadAge)
+	rate := e.share.Rate * correction(head.Load.Heads/max(1, e.share.Heads), e.share.DurationMS, loadAge)
 	return usablePath{entry: e, choice: c, rate: rate / (1 + head.Load.WaitMS/halfRateWaitMS)}, true
 }
 
