--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -63,9 +63,9 @@
 	// Jitter is the maximum random increase of a hop's cost, as a fraction. It makes
 	// daemons with the same loads choose different paths.
 	Jitter float64
-	// FullFrom is the usage from which a backend server's memory and a head's slots
+	// FullThreshold is the usage from which a backend server's memory and a head's slots
 	// cost extra, as a fraction. 0 stands for fullThreshold, for the memory alone.
-	FullFrom float64
+	FullThreshold float64
 }
 
 // Cost weights.
@@ -170,8 +170,8 @@
 // fraction.
 func fullCost(q *Query, full float64) float64 {
 	from := fullThreshold
-	if q.FullFrom > 0 {
-		from = q.FullFrom
+	if q.FullThreshold > 0 {
+		from = q.FullThreshold
 	}
 	return fullCostMS * max(0, full-from) / (1 - from)
 }
--- a/pipeline/search.go
+++ b/pipeline/search.go
@@ -136,7 +136,7 @@
 		if s.FailureDomain != q.Near && q.Near != "" {
 			cost += remoteHeadCostMS
 		}
-		if q.FullFrom > 0 && s.Slots > 0 {
+		if q.FullThreshold > 0 && s.Slots > 0 {
 			cost += fullCost(q, cs[i].Load.Heads/float64(s.Slots))
 		}
 		add(node{cost: cost, prev: -1, run: site.Range{From: 0, To: s.Held.To}, cand: i})
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -172,7 +172,7 @@
 
 // updateBest searches the cheapest path of a domainState.
 func (s *splitter) updateBest(ds *domainState) {
-	q := &Query{Engine: s.engine, Tokens: s.tokens, FullFrom: splitFullThreshold}
+	q := &Query{Engine: s.engine, Tokens: s.tokens, FullThreshold: splitFullThreshold}
 	c, err := Choose(q, ds.cs, nil)
 	ds.best, ds.bestValid, ds.noPath = c, true, errors.Is(err, ErrNoPath)
 }
