--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -50,9 +50,9 @@
 // Plan is the result of Place.
 type Plan struct {
 	Orders []Order
-	// Broken is set if the servers of a group will not cover all layers after these
+	// Incomplete is set if the servers of a group will not cover all layers after these
 	// orders. Only placing the whole group again can then cover them.
-	Broken bool
+	Incomplete bool
 }
 
 // Place returns the orders that bring the servers closer to covering every layer.
@@ -86,7 +86,7 @@
 
 func (p *Plan) add(o Plan) {
 	p.Orders = append(p.Orders, o.Orders...)
-	p.Broken = p.Broken || o.Broken
+	p.Incomplete = p.Incomplete || o.Incomplete
 }
 
 // drainingRanges returns the layers of draining servers by failure domain. Requests
@@ -134,7 +134,7 @@
 	}
 	g.useEmpty()
 	g.relieve()
-	return Plan{Orders: g.orders, Broken: incomplete}
+	return Plan{Orders: g.orders, Incomplete: incomplete}
 }
 
 func placed(c ServerState) bool { return c.Assigned.Len() > 0 }
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -244,7 +244,7 @@
 	servers, domain := withoutLargeServer(t, e)
 	left := slices.DeleteFunc(slices.Clone(servers), func(c ServerState) bool { return c.Server.FailureDomain != domain })
 	plan, rebuilt := Place(e, servers, true), Place(e, servers, false).Orders
-	require.True(t, plan.Broken)
+	require.True(t, plan.Incomplete)
 	require.Less(t, len(plan.Orders), len(rebuilt))
 	require.GreaterOrEqual(t, len(rebuilt), len(left)-1, "all servers of the domain but at most one that keeps its layers")
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -256,7 +256,7 @@
 // for rebuildDelay, then those of one that may rebuild groups.
 func (p *Placer) decide(e *site.Engine, servers []pipeline.ServerState, now time.Time) []pipeline.Order {
 	plan := pipeline.Place(e, servers, true)
-	if !plan.Broken {
+	if !plan.Incomplete {
 		p.incompleteSince = time.Time{}
 		return plan.Orders
 	}
