--- a/placer/placer.go
+++ b/placer/placer.go
@@ -59,8 +59,8 @@
 	maxConcurrentOrders = 8
 )
 
-// Duty reports whether this daemon holds the placement lease.
-type Duty interface {
+// Lease reports whether this daemon holds the placement lease.
+type Lease interface {
 	Held() (fencing uint64, ok bool)
 }
 
@@ -93,7 +93,7 @@
 
 // Placer places the layers of all services while this daemon holds the lease.
 type Placer struct {
-	lease    Duty
+	lease    Lease
 	inv      Inventory
 	backends Backends
 	health   Health
@@ -123,7 +123,7 @@
 }
 
 // New returns a placer; the caller must call Run.
-func New(lease Duty, inv Inventory, b Backends, h Health, o Observer, logger log.Logger) *Placer {
+func New(lease Lease, inv Inventory, b Backends, h Health, o Observer, logger log.Logger) *Placer {
 	return &Placer{
 		lease: lease, inv: inv, backends: b, health: h, observer: o, logger: logger,
 		dead: map[string]time.Time{}, freshSince: map[string]time.Time{}, holders: map[string]*site.BackendServer{}, lastServerAt: map[string]string{},
