--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -201,11 +201,11 @@
 // daemon counts these.
 const startupGrace = 8 * time.Second
 
-// MaybeCrowded implements relay.Asker. While the loads of other daemons are unknown, as
+// MaybeSaturated implements relay.Asker. While the loads of other daemons are unknown, as
 // after a restart of the fleet, it returns all backend servers of the own failure domain.
 // Later it returns the nearly full ones of services that have too few requests for each
 // daemon to know their load.
-func (f *Forwarder) MaybeCrowded() []string {
+func (f *Forwarder) MaybeSaturated() []string {
 	now, daemons := time.Now(), float64(max(1, f.fleet.Daemons()))
 	unknown, view := f.loadsUnknown(now), f.inv.View()
 	if view.Config == nil {
--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -27,9 +27,9 @@
 		}
 		return n
 	}
-	require.Len(t, f.MaybeCrowded(), of("a"))
+	require.Len(t, f.MaybeSaturated(), of("a"))
 	f.loads.TakeOthers(relay.Loads{Daemons: 59})
-	require.Empty(t, f.MaybeCrowded(), "all servers are idle by the received loads")
+	require.Empty(t, f.MaybeSaturated(), "all servers are idle by the received loads")
 
 	var full *site.BackendServer
 	for _, s := range l.view.Servers {
@@ -39,9 +39,9 @@
 	}
 	capacity := l.engine.KVRoom(full.Kind, full.Held.Len())
 	f.loads.TakeOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: full.ID, KV: 2 * capacity}}})
-	require.Empty(t, f.MaybeCrowded(), "no split is needed yet")
+	require.Empty(t, f.MaybeSaturated(), "no split is needed yet")
 	f.splits.byService[labService] = &split{needed: true}
-	require.Equal(t, []string{full.ID}, f.MaybeCrowded())
+	require.Equal(t, []string{full.ID}, f.MaybeSaturated())
 }
 
 // Reported conditions affect the selection of paths. Only a changed slowdown causes a new
--- a/relay/condition.go
+++ b/relay/condition.go
@@ -18,9 +18,9 @@
 	Condition(ctx context.Context, server string) (Condition, error)
 	// DomainOf returns the failure domain of a backend server, "" if unknown.
 	DomainOf(server string) string
-	// MaybeCrowded returns the backend servers of the own failure domain that may be
+	// MaybeSaturated returns the backend servers of the own failure domain that may be
 	// saturated according to the known loads.
-	MaybeCrowded() []string
+	MaybeSaturated() []string
 }
 
 // packedCondition is the condition of a slow or saturated backend server on a link. Server
--- a/relay/conditions.go
+++ b/relay/conditions.go
@@ -271,7 +271,7 @@
 			add(s, queryInterval)
 		}
 	}
-	candidates, before := n.opts.Asker.MaybeCrowded(), len(due)
+	candidates, before := n.opts.Asker.MaybeSaturated(), len(due)
 	for _, i := range rand.Perm(len(candidates)) {
 		if len(due)-before >= maxSaturationChecks {
 			break
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -43,7 +43,7 @@
 
 func (a *fakeAsker) DomainOf(string) string { return "d" }
 
-func (a *fakeAsker) MaybeCrowded() []string {
+func (a *fakeAsker) MaybeSaturated() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.maybe
