--- a/relay/condition.go
+++ b/relay/condition.go
@@ -12,8 +12,8 @@
 	Waiting  int     // queued requests
 }
 
-// Asker queries backend servers for their condition.
-type Asker interface {
+// ConditionReader queries backend servers for their condition.
+type ConditionReader interface {
 	// Condition queries one backend server.
 	Condition(ctx context.Context, server string) (Condition, error)
 	// DomainOf returns the failure domain of a backend server, "" if unknown.
--- a/relay/node.go
+++ b/relay/node.go
@@ -35,7 +35,7 @@
 	// defaultConfigDelay.
 	ConfigWithin time.Duration
 	// Asker queries backend servers that may be slow or saturated, nil for none.
-	Asker Asker
+	Asker ConditionReader
 	// Quarantine is kept in sync with those of the other daemons, nil for none.
 	Quarantine *quarantine.Registry
 	// Stalls monitors stalls of this process, which do not count as timeouts of other
