--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -137,7 +137,7 @@
 		Limits: limits, Sends: sends, Permits: permits{g}})
 	g.backends.OnLimit(g.forward.HearLimit)
 	g.relay = relay.New(relay.Options{
-		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, Asker: g.forward, Quarantine: book, Stalls: stalls, BeforeStore: g.quarantineSync.load,
+		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, ConditionReader: g.forward, Quarantine: book, Stalls: stalls, BeforeStore: g.quarantineSync.load,
 		Restored: func() bool { return g.store.Era() > store.FirstEra },
 	}, g.inv, g.forward.Loads(), g.members, g.log)
 	g.permits = permit.New(permit.Options{
--- a/relay/conditions.go
+++ b/relay/conditions.go
@@ -271,7 +271,7 @@
 			add(s, queryInterval)
 		}
 	}
-	candidates, before := n.opts.Asker.MaybeSaturated(), len(due)
+	candidates, before := n.opts.ConditionReader.MaybeSaturated(), len(due)
 	for _, i := range rand.Perm(len(candidates)) {
 		if len(due)-before >= maxSaturationChecks {
 			break
@@ -279,7 +279,7 @@
 		add(serverHash(candidates[i]), queryInterval)
 	}
 	for _, s := range n.conditions.takeSuspects() {
-		domain := n.opts.Asker.DomainOf(names[s])
+		domain := n.opts.ConditionReader.DomainOf(names[s])
 		if domain == n.opts.Domain || !n.conditions.enqueue(domain, s) {
 			add(s, queryInterval)
 		}
@@ -306,7 +306,7 @@
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			c, err := n.opts.Asker.Condition(ctx, id)
+			c, err := n.opts.ConditionReader.Condition(ctx, id)
 			p := packCondition(s, c)
 			if err != nil || !p.valid() {
 				return // healthy, or unreachable, which its callers detect
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -71,7 +71,7 @@
 	asker.maybe = []string{"s"}
 	saturated := Condition{Full: 0.98, Waiting: 7}
 	asker.set("s", saturated)
-	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, Asker: asker})
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: asker})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	allReport := func(want Condition) func() bool {
 		return func() bool {
@@ -106,7 +106,7 @@
 func TestSlowServerIsReportedToAll(t *testing.T) {
 	t.Parallel()
 	asker := newFakeAsker(map[string]float64{"s": 12})
-	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, Asker: asker})
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: asker})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	require.Zero(t, asker.calls, "no server is queried without a suspicion")
 	allReport := func(slowdown float64) func() bool {
@@ -140,7 +140,7 @@
 	asker := newFakeAsker(nil)
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
 	n.applyConditions(localKey, []packedCondition{{Server: serverHash("s"), Tenths: 30}})
 	require.InDelta(t, 3.0, inv.slowdown("s"), 0)
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
@@ -157,7 +157,7 @@
 	asker := newFakeAsker(map[string]float64{"left": 3})
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
 	n.applyConditions(localKey, []packedCondition{{Server: serverHash("left"), Tenths: 30}})
 	due := n.dueQueries(map[uint32]time.Time{}, time.Now())
 	require.Len(t, due, 1)
@@ -171,7 +171,7 @@
 func TestSuspectsOfOtherDomainsAreForwarded(t *testing.T) {
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "e", Asker: newFakeAsker(nil)}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "e", ConditionReader: newFakeAsker(nil)}, inv, inv, memberList{}, nil)
 	s := serverHash("s")
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
 	n.conditions.setLinked("d", true)
@@ -214,7 +214,7 @@
 		inv.state.Servers[id] = inventory.Entry{}
 		asker.maybe = append(asker.maybe, id)
 	}
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
 	for poll := range 3 {
 		require.Len(t, n.dueQueries(queriedAt, now), maxSaturationChecks)
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -153,7 +153,7 @@
 	}
 	wg.Go(func() { n.inv.Follow(sctx, first, longest) })
 	wg.Go(func() { n.exchangeLoads(sctx) })
-	if n.opts.Asker != nil {
+	if n.opts.ConditionReader != nil {
 		wg.Go(func() { n.pollConditions(sctx) })
 	}
 	n.readingSince.Store(time.Now().UnixNano())
--- a/relay/node.go
+++ b/relay/node.go
@@ -34,8 +34,8 @@
 	// ConfigWithin is the time within which a configuration must be in force, 0 for
 	// defaultConfigDelay.
 	ConfigWithin time.Duration
-	// Asker queries backend servers that may be slow or saturated, nil for none.
-	Asker ConditionReader
+	// ConditionReader queries backend servers that may be slow or saturated, nil for none.
+	ConditionReader ConditionReader
 	// Quarantine is kept in sync with those of the other daemons, nil for none.
 	Quarantine *quarantine.Registry
 	// Stalls monitors stalls of this process, which do not count as timeouts of other
