--- a/relay/node.go
+++ b/relay/node.go
@@ -53,7 +53,7 @@
 type Node struct {
 	opts          Options
 	inv           Inventory
-	book          LoadBook
+	book          LoadExchange
 	members       Members
 	logger        log.Logger
 	followerLoads *loadTable
@@ -88,7 +88,7 @@
 }
 
 // New returns a node. The caller must call Run.
-func New(o Options, inv Inventory, book LoadBook, m Members, logger log.Logger) *Node {
+func New(o Options, inv Inventory, book LoadExchange, m Members, logger log.Logger) *Node {
 	if o.FanOut == 0 {
 		o.FanOut = defaultFanOut
 	}
--- a/relay/source.go
+++ b/relay/source.go
@@ -30,8 +30,8 @@
 	Follow(ctx context.Context, first, longest time.Duration)
 }
 
-// LoadBook provides the loads of this daemon and receives those of the others.
-type LoadBook interface {
+// LoadExchange provides the loads of this daemon and receives those of the others.
+type LoadExchange interface {
 	OwnLoads() []LoadItem
 	// TakeOthers sets the summed loads of the other daemons.
 	TakeOthers(others Loads)
