--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -28,7 +28,7 @@
 		return n
 	}
 	require.Len(t, f.MaybeSaturated(), of("a"))
-	f.loads.TakeOthers(relay.Loads{Daemons: 59})
+	f.loads.SetOthers(relay.Loads{Daemons: 59})
 	require.Empty(t, f.MaybeSaturated(), "all servers are idle by the received loads")
 
 	var full *site.BackendServer
@@ -38,7 +38,7 @@
 		}
 	}
 	capacity := l.engine.KVRoom(full.Kind, full.Held.Len())
-	f.loads.TakeOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: full.ID, KV: 2 * capacity}}})
+	f.loads.SetOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: full.ID, KV: 2 * capacity}}})
 	require.Empty(t, f.MaybeSaturated(), "no split is needed yet")
 	f.splits.byService[labService] = &split{needed: true}
 	require.Equal(t, []string{full.ID}, f.MaybeSaturated())
@@ -80,7 +80,7 @@
 		}
 		require.InDelta(t, 0.96, seen().Full, 0, "the other daemons' loads are unknown")
 		time.Sleep(startupGrace)
-		f.loads.TakeOthers(relay.Loads{Daemons: 5})
+		f.loads.SetOthers(relay.Loads{Daemons: 5})
 		time.Sleep(time.Millisecond)
 		require.Zero(t, seen().Full)
 		require.Equal(t, 3, seen().Waiting)
@@ -93,7 +93,7 @@
 func TestSuspensionDropsReceivedLoads(t *testing.T) {
 	l := newLab(1)
 	f := l.forwarder("a", labFleet(60))
-	f.loads.TakeOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: "s", Running: 100, KV: 1e6}}})
+	f.loads.SetOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: "s", Running: 100, KV: 1e6}}})
 	f.loads.TakeConditions(map[string]relay.Condition{"s": {Waiting: 9}})
 	require.Equal(t, 9, f.loads.Of("s", 60, time.Now()).Waiting)
 	f.onWake(8 * time.Second)
--- a/forward/loads.go
+++ b/forward/loads.go
@@ -134,8 +134,8 @@
 	return out
 }
 
-// TakeOthers implements relay.LoadBook.
-func (l *Loads) TakeOthers(others relay.Loads) {
+// SetOthers implements relay.LoadBook.
+func (l *Loads) SetOthers(others relay.Loads) {
 	byServer := make(map[string]relay.LoadItem, len(others.Items))
 	for _, i := range others.Items {
 		byServer[i.Server] = i
--- a/relay/source.go
+++ b/relay/source.go
@@ -33,8 +33,8 @@
 // LoadExchange provides the loads of this daemon and receives those of the others.
 type LoadExchange interface {
 	OwnLoads() []LoadItem
-	// TakeOthers sets the summed loads of the other daemons.
-	TakeOthers(others Loads)
+	// SetOthers sets the summed loads of the other daemons.
+	SetOthers(others Loads)
 	// RefuseLoads counts loads that were dropped as invalid.
 	RefuseLoads(n int)
 	// TakeSuspects returns the backend servers newly suspected to be slow since the last
@@ -293,7 +293,7 @@
 	ttl, sum := n.ttl(), newLoadSum()
 	n.followerLoads.addTo(sum, "", n.ownDomain, ttl, now)
 	n.outsideLoads().addTo(sum, "", allDomains, ttl, now)
-	n.book.TakeOthers(sum.loads())
+	n.book.SetOthers(sum.loads())
 }
 
 // serverNames returns the IDs of the backend servers by their hash.
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -171,7 +171,7 @@
 	return c.own
 }
 
-func (c *fakeInventory) TakeOthers(others Loads) {
+func (c *fakeInventory) SetOthers(others Loads) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.others, c.daemons, c.age = others.Items, others.Daemons, others.Age
