--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -125,8 +125,8 @@
 	return out
 }
 
-// TakeConditions implements relay.LoadBook.
-func (l *Loads) TakeConditions(known map[string]relay.Condition) {
+// SetConditions implements relay.LoadBook.
+func (l *Loads) SetConditions(known map[string]relay.Condition) {
 	s := l.conditions
 	s.mu.Lock()
 	before := s.known
--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -49,12 +49,12 @@
 func TestConditionsAffectLoads(t *testing.T) {
 	l := NewLoads()
 	before := l.conditions.slowVersion()
-	l.TakeConditions(map[string]relay.Condition{"s": {Full: 0.96, Waiting: 3}})
+	l.SetConditions(map[string]relay.Condition{"s": {Full: 0.96, Waiting: 3}})
 	got := l.Of("s", 10, time.Now())
 	require.InDelta(t, 0.96, got.Full, 0)
 	require.Equal(t, 3, got.Waiting)
 	require.Equal(t, before, l.conditions.slowVersion())
-	l.TakeConditions(map[string]relay.Condition{"s": {Slowdown: 3}})
+	l.SetConditions(map[string]relay.Condition{"s": {Slowdown: 3}})
 	require.Greater(t, l.conditions.slowVersion(), before)
 	require.Zero(t, l.Of("s", 10, time.Now()).Full)
 }
@@ -69,7 +69,7 @@
 		for id := range l.view.Servers {
 			some = max(some, id)
 		}
-		f.loads.TakeConditions(map[string]relay.Condition{some: {Full: 0.96, Waiting: 3}})
+		f.loads.SetConditions(map[string]relay.Condition{some: {Full: 0.96, Waiting: 3}})
 		seen := func() pipeline.Load {
 			for _, c := range f.candidates(l.view, labService, l.engine, time.Now()) {
 				if c.Server.ID == some {
@@ -94,7 +94,7 @@
 	l := newLab(1)
 	f := l.forwarder("a", labFleet(60))
 	f.loads.SetOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: "s", Running: 100, KV: 1e6}}})
-	f.loads.TakeConditions(map[string]relay.Condition{"s": {Waiting: 9}})
+	f.loads.SetConditions(map[string]relay.Condition{"s": {Waiting: 9}})
 	require.Equal(t, 9, f.loads.Of("s", 60, time.Now()).Waiting)
 	f.onWake(8 * time.Second)
 	require.Zero(t, f.loads.othersLoadAge(time.Now()))
--- a/forward/loads.go
+++ b/forward/loads.go
@@ -150,7 +150,7 @@
 	l.mu.Lock()
 	l.others, l.othersAt, l.othersDaemons = nil, time.Time{}, 0
 	l.mu.Unlock()
-	l.TakeConditions(map[string]relay.Condition{})
+	l.SetConditions(map[string]relay.Condition{})
 }
 
 // RefuseLoads implements relay.LoadBook.
--- a/relay/conditions.go
+++ b/relay/conditions.go
@@ -157,7 +157,7 @@
 			out[id] = c.unpack()
 		}
 	}
-	n.book.TakeConditions(out)
+	n.book.SetConditions(out)
 }
 
 // changes returns a channel that is closed at the next change of the reported conditions.
--- a/relay/source.go
+++ b/relay/source.go
@@ -40,9 +40,9 @@
 	// TakeSuspects returns the backend servers newly suspected to be slow since the last
 	// call.
 	TakeSuspects() []string
-	// TakeConditions sets all backend servers that are known to be slow or saturated. The
+	// SetConditions sets all backend servers that are known to be slow or saturated. The
 	// map must not be changed.
-	TakeConditions(known map[string]Condition)
+	SetConditions(known map[string]Condition)
 }
 
 // ServeHTTP serves one follower until the link ends: it sends changes and answers pings.
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -185,7 +185,7 @@
 	return out
 }
 
-func (c *fakeInventory) TakeConditions(known map[string]Condition) {
+func (c *fakeInventory) SetConditions(known map[string]Condition) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.conditions = known
