--- a/gateway/planned_test.go
+++ b/gateway/planned_test.go
@@ -142,7 +142,7 @@
 	env.servers("plain", "", "plain-1")
 	first := env.daemon("daemon-1", nil).ready(t, 1)
 	second := env.daemon("daemon-2", nil).ready(t, 1)
-	require.Eventually(t, func() bool { return first.relay.Reading() && !second.relay.Reading() }, 6*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return first.relay.FollowsStore() && !second.relay.FollowsStore() }, 6*time.Second, 20*time.Millisecond)
 	env.putConfig()
 	require.Eventually(t, func() bool {
 		return second.inv.View().Config.Version == uint64(env.version)
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -14,7 +14,7 @@
 // awaitFollowing waits until the second daemon follows the first.
 func awaitFollowing(t *testing.T, first, second *testDaemon) {
 	t.Helper()
-	require.Eventually(t, func() bool { return first.relay.Reading() && !second.relay.Reading() }, 6*time.Second, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return first.relay.FollowsStore() && !second.relay.FollowsStore() }, 6*time.Second, 20*time.Millisecond)
 }
 
 func TestSourceWithoutTheStoreIsReplaced(t *testing.T) {
--- a/relay/node.go
+++ b/relay/node.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// Reading reports whether this daemon follows the store itself.
-func (n *Node) Reading() bool { return n.reading.Load() }
+// FollowsStore reports whether this daemon follows the store itself.
+func (n *Node) FollowsStore() bool { return n.reading.Load() }
 
 // Leading reports whether this daemon follows the store as one of the first of its domain,
 // or has followed it for leadingDelay, which means that few other daemons are left.
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -23,7 +23,7 @@
 	for until := time.Now().Add(d); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		count := 0
 		for _, n := range c.nodes {
-			if n.Reading() {
+			if n.FollowsStore() {
 				count++
 			}
 		}
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -260,7 +260,7 @@
 func (c *chain) storeFollowers() string {
 	var out []string
 	for i, n := range c.nodes {
-		if n.Reading() {
+		if n.FollowsStore() {
 			out = append(out, daemonName(i))
 		}
 	}
@@ -323,7 +323,7 @@
 		defer c.store.mu.Unlock()
 		c.store.unavailable = false
 	})
-	require.Never(t, func() bool { return c.nodes[1].Reading() || c.nodes[2].Reading() }, 2*time.Second, time.Millisecond)
+	require.Never(t, func() bool { return c.nodes[1].FollowsStore() || c.nodes[2].FollowsStore() }, 2*time.Second, time.Millisecond)
 	require.True(t, c.allHave(1, -1))
 }
 
