--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -155,7 +155,7 @@
 func (f *Forwarder) noteConditions(known map[string]relay.Condition, slowChanged bool) {
 	saturated := 0
 	for _, c := range known {
-		if c.Waiting > 0 || c.Full > 0 {
+		if c.Waiting > 0 || c.MemoryUsed > 0 {
 			saturated++
 		}
 	}
@@ -186,7 +186,7 @@
 	r, err := f.ask(ctx, s)
 	c := relay.Condition{Slowdown: r.Pace, Waiting: r.Waiting}
 	if r.KVTotal > 0 {
-		c.Full = r.KVUsed / r.KVTotal
+		c.MemoryUsed = r.KVUsed / r.KVTotal
 	}
 	return c, err
 }
--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -49,7 +49,7 @@
 func TestConditionsAffectLoads(t *testing.T) {
 	l := NewLoads()
 	before := l.conditions.slowVersion()
-	l.SetConditions(map[string]relay.Condition{"s": {Full: 0.96, Waiting: 3}})
+	l.SetConditions(map[string]relay.Condition{"s": {MemoryUsed: 0.96, Waiting: 3}})
 	got := l.Of("s", 10, time.Now())
 	require.InDelta(t, 0.96, got.Full, 0)
 	require.Equal(t, 3, got.Waiting)
@@ -69,7 +69,7 @@
 		for id := range l.view.Servers {
 			some = max(some, id)
 		}
-		f.loads.SetConditions(map[string]relay.Condition{some: {Full: 0.96, Waiting: 3}})
+		f.loads.SetConditions(map[string]relay.Condition{some: {MemoryUsed: 0.96, Waiting: 3}})
 		seen := func() pipeline.Load {
 			for _, c := range f.candidates(l.view, labService, l.engine, time.Now()) {
 				if c.Server.ID == some {
--- a/relay/condition.go
+++ b/relay/condition.go
@@ -8,7 +8,7 @@
 // Condition is the state that a backend server reports.
 type Condition struct {
 	Slowdown float64 // ratio of current to baseline latency
-	Full     float64 // share of memory in use
+	MemoryUsed     float64 // share of memory in use
 	Waiting  int     // queued requests
 }
 
@@ -36,7 +36,7 @@
 func packCondition(server uint32, c Condition) packedCondition {
 	p := packedCondition{
 		Server: server, Waiting: uint8(min(maxWaiting, max(0, c.Waiting))),
-		Percent: uint8(100 * usageStep * math.Round(min(1, max(0, c.Full))/usageStep)),
+		Percent: uint8(100 * usageStep * math.Round(min(1, max(0, c.MemoryUsed))/usageStep)),
 	}
 	if c.Slowdown >= slowThreshold {
 		p.Tenths = uint16(math.Round(10 * min(maxSlowdown, c.Slowdown)))
@@ -45,7 +45,7 @@
 }
 
 func (p packedCondition) unpack() Condition {
-	return Condition{Slowdown: float64(p.Tenths) / 10, Full: float64(p.Percent) / 100, Waiting: int(p.Waiting)}
+	return Condition{Slowdown: float64(p.Tenths) / 10, MemoryUsed: float64(p.Percent) / 100, Waiting: int(p.Waiting)}
 }
 
 // saturated reports whether the backend server is at or near its capacity.
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -69,7 +69,7 @@
 	t.Parallel()
 	asker := newFakeAsker(nil)
 	asker.maybe = []string{"s"}
-	saturated := Condition{Full: 0.98, Waiting: 7}
+	saturated := Condition{MemoryUsed: 0.98, Waiting: 7}
 	asker.set("s", saturated)
 	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: asker})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
@@ -84,21 +84,21 @@
 		}
 	}
 	require.Eventually(t, allReport(saturated), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
-	asker.set("s", Condition{Full: 0.6, Slowdown: 1})
+	asker.set("s", Condition{MemoryUsed: 0.6, Slowdown: 1})
 	require.Eventually(t, allReport(Condition{}), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
 }
 
 func TestConditionPackingRoundTrip(t *testing.T) {
-	for _, c := range []Condition{{Slowdown: 12}, {Full: 0.96}, {Waiting: 3}, {Slowdown: 1.5, Full: 1, Waiting: 255}} {
+	for _, c := range []Condition{{Slowdown: 12}, {MemoryUsed: 0.96}, {Waiting: 3}, {Slowdown: 1.5, MemoryUsed: 1, Waiting: 255}} {
 		p := packCondition(7, c)
 		require.True(t, p.valid())
 		require.Equal(t, c, p.unpack())
 	}
-	for _, healthy := range []Condition{{}, {Slowdown: 1.2, Full: 0.6}, {Slowdown: 1}} {
+	for _, healthy := range []Condition{{}, {Slowdown: 1.2, MemoryUsed: 0.6}, {Slowdown: 1}} {
 		require.False(t, packCondition(7, healthy).valid(), "%+v is not reported", healthy)
 	}
 	require.False(t, packedCondition{Percent: 101}.valid())
-	require.Equal(t, Condition{Full: 1, Waiting: maxWaiting}, packCondition(7, Condition{Full: 1.3, Waiting: 4000}).unpack())
+	require.Equal(t, Condition{MemoryUsed: 1, Waiting: maxWaiting}, packCondition(7, Condition{MemoryUsed: 1.3, Waiting: 4000}).unpack())
 }
 
 // A server that one daemon suspects is queried once, by the daemon that follows the store.
