--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -275,9 +275,9 @@
 	_ = level.Error(i.logger).Log("msg", "record refused", "id", r.ID, "revision", r.At, "was_used", known, "err", r.Err)
 }
 
-// NoteReborn applies a backend server's report that it has restarted, which its record
+// NoteRestart applies a backend server's report that it has restarted, which its record
 // may not show yet. The state of the earlier incarnation is discarded.
-func (i *Inventory) NoteReborn(as site.Incarnation) {
+func (i *Inventory) NoteRestart(as site.Incarnation) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	r, known := i.servers[as.Name]
