--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -285,7 +285,7 @@
 		return
 	}
 	i.logRestarted(r.server, as)
-	r.server = r.server.Reborn(as)
+	r.server = r.server.Restarted(as)
 	i.servers[as.Name] = r
 	i.publishServers()
 }
--- a/site/server.go
+++ b/site/server.go
@@ -39,9 +39,9 @@
 	return s.Incarnation.Name
 }
 
-// Reborn returns the backend server after a restart that its record does not show yet. It
+// Restarted returns the backend server after a restart that its record does not show yet. It
 // holds no layers and is not draining.
-func (s *BackendServer) Reborn(as Incarnation) *BackendServer {
+func (s *BackendServer) Restarted(as Incarnation) *BackendServer {
 	restarted := *s
 	restarted.ID, restarted.Incarnation, restarted.Held, restarted.Draining = as.ID(), as, Range{}, false
 	return &restarted
