--- a/cmd/snowspoke/quarantine.go
+++ b/cmd/snowspoke/quarantine.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	var quarantined []gateway.HeldBack
+	var quarantined []gateway.QuarantinedRequest
 	if err := json.Unmarshal(data, &quarantined); err != nil {
 		return fmt.Errorf("answer of %s: %w", k.Metrics, err)
 	}
--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -17,8 +17,8 @@
 // whole fleet.
 const QuarantinePath = "/quarantine"
 
-// HeldBack describes a quarantined request to operators.
-type HeldBack struct {
+// QuarantinedRequest describes a quarantined request to operators.
+type QuarantinedRequest struct {
 	Fingerprint string    `json:"fingerprint"` // as in the decision log
 	Ends        int       `json:"ends"`        // backend servers that ended while they ran it
 	Score       int       `json:"score"`       // sum of their weights
@@ -37,11 +37,11 @@
 
 func (g *Gateway) listQuarantined(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
-	out := []HeldBack{}
+	out := []QuarantinedRequest{}
 	for _, e := range g.quarantine.HeldBack(now) {
 		v := g.quarantine.Look(e.Print, now)
 		last := e.Ends[len(e.Ends)-1].At
-		out = append(out, HeldBack{Fingerprint: e.Print.String(), Ends: v.Ends, Score: v.Score, LastEnd: last.UTC(), Until: v.Until.UTC()})
+		out = append(out, QuarantinedRequest{Fingerprint: e.Print.String(), Ends: v.Ends, Score: v.Score, LastEnd: last.UTC(), Until: v.Until.UTC()})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -107,7 +107,7 @@
 	}
 	srv := httptest.NewServer(adminHandler(http.NotFoundHandler(), d.Gateway))
 	t.Cleanup(srv.Close)
-	list := func() (held []HeldBack) {
+	list := func() (held []QuarantinedRequest) {
 		resp, err := http.Get(srv.URL + QuarantinePath)
 		require.NoError(t, err)
 		defer resp.Body.Close()
