--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -221,7 +221,7 @@
 				continue
 			}
 			load := f.loads.Of(s.ID, daemons, now)
-			usage := max(load.KVUsed/max(1, svc.Engine.KVRoom(s.Kind, s.Held.Len())), load.Heads/float64(max(1, s.Slots)))
+			usage := max(load.KVUsed/max(1, svc.Engine.KVCapacity(s.Kind, s.Held.Len())), load.Heads/float64(max(1, s.Slots)))
 			if unknown || usage >= saturationThreshold {
 				out = append(out, s.ID)
 			}
--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -37,7 +37,7 @@
 			full = s
 		}
 	}
-	capacity := l.engine.KVRoom(full.Kind, full.Held.Len())
+	capacity := l.engine.KVCapacity(full.Kind, full.Held.Len())
 	f.loads.SetOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: full.ID, KV: 2 * capacity}}})
 	require.Empty(t, f.MaybeSaturated(), "no split is needed yet")
 	f.splits.byService[labService] = &split{needed: true}
--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -154,7 +154,7 @@
 		read := HopReadMS(q.Engine, s.Kind, n, q.Tokens.Prompt)
 		out[i].perLayer = c.Load.slowed(step*stepsWeight+read) / float64(max(1, n))
 		full := fullness(q, c, n)
-		out[i].perLayer *= 1 + spreadWeight*min(maxSpreadRatio, c.Load.OwnKV/max(1, q.Engine.KVRoom(s.Kind, n)))
+		out[i].perLayer *= 1 + spreadWeight*min(maxSpreadRatio, c.Load.OwnKV/max(1, q.Engine.KVCapacity(s.Kind, n)))
 		out[i].fixed = fullCost(q, full)
 		if full > 1 {
 			out[i].fixed += noCapacityCostMS
@@ -182,7 +182,7 @@
 // it is higher: loads exchanged by daemons are seconds old and miss requests of
 // daemons that have ended. A backend server at which requests wait counts as full.
 func fullness(q *Query, c *Candidate, n int) float64 {
-	capacity := q.Engine.KVRoom(c.Server.Kind, c.Server.Held.Len())
+	capacity := q.Engine.KVCapacity(c.Server.Kind, c.Server.Held.Len())
 	if capacity <= 0 {
 		return math.Inf(1)
 	}
--- a/pipeline/choose_test.go
+++ b/pipeline/choose_test.go
@@ -80,11 +80,11 @@
 	e.Kinds["slow"] = site.Accelerator{MemoryMB: 2000, Pace: 100, ReadPace: 100}
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
 	cs := twoPipelines(e)
-	cs[1].Load.KVUsed = e.KVRoom("fast", cs[1].Server.Held.Len())
+	cs[1].Load.KVUsed = e.KVCapacity("fast", cs[1].Server.Held.Len())
 	c, err := Choose(q, cs, nil)
 	require.NoError(t, err)
 	require.Equal(t, "slow1", c.Path[1].Server.ID)
-	cs[3].Load.KVUsed = e.KVRoom("slow", cs[3].Server.Held.Len())
+	cs[3].Load.KVUsed = e.KVCapacity("slow", cs[3].Server.Held.Len())
 	_, err = Choose(q, cs, nil)
 	require.ErrorIs(t, err, ErrFull)
 }
@@ -95,7 +95,7 @@
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 500}}
 	c := Candidate{Server: &site.BackendServer{Kind: "fast", Held: site.Range{To: 5}}}
 	const requests = 20
-	capacity := e.KVRoom("fast", 5) / 5
+	capacity := e.KVCapacity("fast", 5) / 5
 	c.Load.KVUsed = (capacity - capacity/requests) * 5
 	q.Tokens = Tokens{Prompt: capacity / requests / 2, Answer: capacity / requests}
 	require.InDelta(t, 1, fullness(q, &c, 5), 1e-9, "the last of 20 just fits by its mean size")
@@ -129,7 +129,7 @@
 		c.Load = l
 		return fullness(q, &c, n)
 	}
-	capacity := e.KVRoom("fast", n)
+	capacity := e.KVCapacity("fast", n)
 	one := full(Load{})
 	require.InDelta(t, 0.5+one, full(Load{KVUsed: capacity / 2}), 1e-9)
 	require.InDelta(t, 0.8+one, full(Load{KVUsed: capacity / 2, Full: 0.8}), 1e-9)
--- a/pipeline/layout.go
+++ b/pipeline/layout.go
@@ -270,7 +270,7 @@
 		return 0
 	}
 	per := TypicalRequest(e).Mean() * float64(n)
-	return min(float64(max(1, e.Slots)), 1+e.KVRoom(c.Server.Kind, n)/max(1, per))
+	return min(float64(max(1, e.Slots)), 1+e.KVCapacity(c.Server.Kind, n)/max(1, per))
 }
 
 // lowestCapacityWindow returns the range of layers with the lowest capacity for an
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -106,7 +106,7 @@
 		require.Equal(t, 1, slices.Min(holdersOf(e, servers, d)), d)
 	}
 	for _, c := range servers {
-		require.GreaterOrEqual(t, e.KVRoom(c.Server.Kind, c.Assigned.Len())/TypicalRequest(e).Mean()/float64(max(1, c.Assigned.Len())), 100.0,
+		require.GreaterOrEqual(t, e.KVCapacity(c.Server.Kind, c.Assigned.Len())/TypicalRequest(e).Mean()/float64(max(1, c.Assigned.Len())), 100.0,
 			"%s with %d layers has little capacity for requests", c.Server.Kind, c.Assigned.Len())
 	}
 }
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -52,7 +52,7 @@
 		for _, sh := range shares {
 			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.DurationMS / duration
 			for _, h := range sh.Choice.Path {
-				out[h.Server.ID] += requests * TypicalRequest(e).Mean() * float64(h.Layers.Len()) / e.KVRoom(h.Server.Kind, h.Server.Held.Len())
+				out[h.Server.ID] += requests * TypicalRequest(e).Mean() * float64(h.Layers.Len()) / e.KVCapacity(h.Server.Kind, h.Server.Held.Len())
 			}
 		}
 	}
@@ -199,7 +199,7 @@
 	cs[0].Load.WaitMS = 300
 	require.InDelta(t, 43, count(100, 0)["fast0"], 4, "own requests wait at the head")
 	cs[0].Load.WaitMS = 0
-	cs[1].Load.KVUsed = e.KVRoom("fast", cs[1].Server.Held.Len())
+	cs[1].Load.KVUsed = e.KVCapacity("fast", cs[1].Server.Held.Len())
 	require.Zero(t, count(20, 0)["fast0"], "no memory for the request")
 	cs[2].Load.Heads = float64(cs[2].Server.Slots)
 	_, ok := s.Next(q, cs, 0)
@@ -344,7 +344,7 @@
 	out := make([]Load, len(c.actual))
 	for i, l := range c.actual {
 		s := c.cs[i].Server
-		out[i].Full = l.KVUsed / c.engine.KVRoom(s.Kind, s.Held.Len())
+		out[i].Full = l.KVUsed / c.engine.KVCapacity(s.Kind, s.Held.Len())
 		if out[i].Full > 1 {
 			out[i] = Load{Full: 1, Waiting: 1}
 		}
--- a/pipeline/window.go
+++ b/pipeline/window.go
@@ -210,7 +210,7 @@
 		if c.Busy || !placed(c) || slices.Contains(w.servers, i) || !adjacent(c.Assigned) {
 			continue
 		}
-		if capacity := g.e.KVRoom(c.Server.Kind, c.Assigned.Len()); best < 0 || capacity > bestCapacity {
+		if capacity := g.e.KVCapacity(c.Server.Kind, c.Assigned.Len()); best < 0 || capacity > bestCapacity {
 			best, bestCapacity = i, capacity
 		}
 	}
--- a/site/engine.go
+++ b/site/engine.go
@@ -52,9 +52,9 @@
 	return e.Delays[[2]string{b, a}]
 }
 
-// KVRoom returns the KV cache capacity, in tokens x layers, of a backend server that
+// KVCapacity returns the KV cache capacity, in tokens x layers, of a backend server that
 // holds a number of layers.
-func (e *Engine) KVRoom(kind string, held int) float64 {
+func (e *Engine) KVCapacity(kind string, held int) float64 {
 	remaining := e.Kinds[kind].MemoryMB - float64(held)*e.LayerMB
 	if remaining <= 0 || e.KVTokenBytes <= 0 {
 		return 0
