--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -27,7 +27,7 @@
 		return 0
 	}
 	pairs := prompt * prompt / 2 / 1e6
-	return e.Kinds[kind].PrefillPace * layerShare(e, layers) * (1000*prompt/e.ReadPerSecond + pairs*e.ReadPairsMS)
+	return e.Kinds[kind].PrefillPace * layerShare(e, layers) * (1000*prompt/e.ReadPerSecond + pairs*e.PrefillPairsMS)
 }
 
 // LinkMS predicts the time to send the activations of one token between backend
--- a/site/engine.go
+++ b/site/engine.go
@@ -20,7 +20,7 @@
 	PerRequestMS  float64 // added for each request in the step
 	ContextPerKMS float64 // added for each request and 1,000 tokens of its context
 	ReadPerSecond float64 // prompt tokens of prefill
-	ReadPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
+	PrefillPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
 	ReadChunk     int     // maximum of prompt tokens in a prefill step
 	Stride        int     // token steps in a pass
 	Prompt        int     // mean tokens of a prompt
