--- a/pipeline/choose_test.go
+++ b/pipeline/choose_test.go
@@ -23,7 +23,7 @@
 
 func choiceEngine() *site.Engine {
 	return &site.Engine{
-		Slots: 100, Layers: 10, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, PerRequestMS: 0.01, ReadPerSecond: 100000,
+		Slots: 100, Layers: 10, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, PerRequestMS: 0.01, PrefillPerSecond: 100000,
 		Kinds: map[string]site.Accelerator{"fast": {MemoryMB: 2000, Pace: 1, PrefillPace: 1}, "slow": {MemoryMB: 2000, Pace: 3, PrefillPace: 3}},
 	}
 }
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -23,11 +23,11 @@
 // HopReadMS predicts the time that a backend server needs to read a prompt through a
 // number of layers, in milliseconds.
 func HopReadMS(e *site.Engine, kind string, layers int, prompt float64) float64 {
-	if e.ReadPerSecond <= 0 {
+	if e.PrefillPerSecond <= 0 {
 		return 0
 	}
 	pairs := prompt * prompt / 2 / 1e6
-	return e.Kinds[kind].PrefillPace * layerShare(e, layers) * (1000*prompt/e.ReadPerSecond + pairs*e.PrefillPairsMS)
+	return e.Kinds[kind].PrefillPace * layerShare(e, layers) * (1000*prompt/e.PrefillPerSecond + pairs*e.PrefillPairsMS)
 }
 
 // LinkMS predicts the time to send the activations of one token between backend
--- a/site/engine.go
+++ b/site/engine.go
@@ -19,7 +19,7 @@
 	StepMS        float64 // of one token step
 	PerRequestMS  float64 // added for each request in the step
 	ContextPerKMS float64 // added for each request and 1,000 tokens of its context
-	ReadPerSecond float64 // prompt tokens of prefill
+	PrefillPerSecond float64 // prompt tokens of prefill
 	PrefillPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
 	ReadChunk     int     // maximum of prompt tokens in a prefill step
 	Stride        int     // token steps in a pass
