--- a/site/engine.go
+++ b/site/engine.go
@@ -21,7 +21,7 @@
 	ContextPerKMS float64 // added for each request and 1,000 tokens of its context
 	PrefillPerSecond float64 // prompt tokens of prefill
 	PrefillPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
-	ReadChunk     int     // maximum of prompt tokens in a prefill step
+	PrefillChunk     int     // maximum of prompt tokens in a prefill step
 	Stride        int     // token steps in a pass
 	Prompt        int     // mean tokens of a prompt
 	Answer        int     // mean tokens of an answer
