--- a/forward/run.go
+++ b/forward/run.go
@@ -200,7 +200,7 @@
 // priority returns the priority of the request, 0 for the most urgent. That of the
 // workspace precedes that of the route.
 func (r *run) priority() int {
-	if w := r.req.Workspace; w != nil && w.Ranked {
+	if w := r.req.Workspace; w != nil && w.HasPriority {
 		return w.Priority
 	}
 	return r.req.Route.Priority
--- a/site/config.go
+++ b/site/config.go
@@ -70,7 +70,7 @@
 type Workspace struct {
 	Name     string
 	Priority int // overrides the route's if Ranked is set
-	Ranked   bool
+	HasPriority   bool
 }
 
 // Limits bound the size of requests and the time that callers may take.
