--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -125,8 +125,8 @@
 	return out
 }
 
-// TakeConditions implements relay.LoadBook.
-func (l *Loads) TakeConditions(known map[string]relay.Condition) {
+// SetConditions implements relay.LoadBook.
+func (l *Loads) SetConditions(known map[string]relay.Condition) {
 	s := l.conditions
 	s.mu.Lock()
 	before := s.known
@@ -155,7 +155,7 @@
 func (f *Forwarder) noteConditions(known map[string]relay.Condition, slowChanged bool) {
 	saturated := 0
 	for _, c := range known {
-		if c.Waiting > 0 || c.Full > 0 {
+		if c.Waiting > 0 || c.MemoryUsed > 0 {
 			saturated++
 		}
 	}
@@ -186,7 +186,7 @@
 	r, err := f.ask(ctx, s)
 	c := relay.Condition{Slowdown: r.Pace, Waiting: r.Waiting}
 	if r.KVTotal > 0 {
-		c.Full = r.KVUsed / r.KVTotal
+		c.MemoryUsed = r.KVUsed / r.KVTotal
 	}
 	return c, err
 }
@@ -201,11 +201,11 @@
 // daemon counts these.
 const startupGrace = 8 * time.Second
 
-// MaybeCrowded implements relay.Asker. While the loads of other daemons are unknown, as
+// MaybeSaturated implements relay.Asker. While the loads of other daemons are unknown, as
 // after a restart of the fleet, it returns all backend servers of the own failure domain.
 // Later it returns the nearly full ones of services that have too few requests for each
 // daemon to know their load.
-func (f *Forwarder) MaybeCrowded() []string {
+func (f *Forwarder) MaybeSaturated() []string {
 	now, daemons := time.Now(), float64(max(1, f.fleet.Daemons()))
 	unknown, view := f.loadsUnknown(now), f.inv.View()
 	if view.Config == nil {
@@ -221,7 +221,7 @@
 				continue
 			}
 			load := f.loads.Of(s.ID, daemons, now)
-			usage := max(load.KVUsed/max(1, svc.Engine.KVRoom(s.Kind, s.Held.Len())), load.Heads/float64(max(1, s.Slots)))
+			usage := max(load.KVUsed/max(1, svc.Engine.KVCapacity(s.Kind, s.Held.Len())), load.Heads/float64(max(1, s.Slots)))
 			if unknown || usage >= saturationThreshold {
 				out = append(out, s.ID)
 			}
--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -27,9 +27,9 @@
 		}
 		return n
 	}
-	require.Len(t, f.MaybeCrowded(), of("a"))
-	f.loads.TakeOthers(relay.Loads{Daemons: 59})
-	require.Empty(t, f.MaybeCrowded(), "all servers are idle by the received loads")
+	require.Len(t, f.MaybeSaturated(), of("a"))
+	f.loads.SetOthers(relay.Loads{Daemons: 59})
+	require.Empty(t, f.MaybeSaturated(), "all servers are idle by the received loads")
 
 	var full *site.BackendServer
 	for _, s := range l.view.Servers {
@@ -37,11 +37,11 @@
 			full = s
 		}
 	}
-	capacity := l.engine.KVRoom(full.Kind, full.Held.Len())
-	f.loads.TakeOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: full.ID, KV: 2 * capacity}}})
-	require.Empty(t, f.MaybeCrowded(), "no split is needed yet")
+	capacity := l.engine.KVCapacity(full.Kind, full.Held.Len())
+	f.loads.SetOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: full.ID, KV: 2 * capacity}}})
+	require.Empty(t, f.MaybeSaturated(), "no split is needed yet")
 	f.splits.byService[labService] = &split{needed: true}
-	require.Equal(t, []string{full.ID}, f.MaybeCrowded())
+	require.Equal(t, []string{full.ID}, f.MaybeSaturated())
 }
 
 // Reported conditions affect the selection of paths. Only a changed slowdown causes a new
@@ -49,12 +49,12 @@
 func TestConditionsAffectLoads(t *testing.T) {
 	l := NewLoads()
 	before := l.conditions.slowVersion()
-	l.TakeConditions(map[string]relay.Condition{"s": {Full: 0.96, Waiting: 3}})
+	l.SetConditions(map[string]relay.Condition{"s": {MemoryUsed: 0.96, Waiting: 3}})
 	got := l.Of("s", 10, time.Now())
 	require.InDelta(t, 0.96, got.Full, 0)
 	require.Equal(t, 3, got.Waiting)
 	require.Equal(t, before, l.conditions.slowVersion())
-	l.TakeConditions(map[string]relay.Condition{"s": {Slowdown: 3}})
+	l.SetConditions(map[string]relay.Condition{"s": {Slowdown: 3}})
 	require.Greater(t, l.conditions.slowVersion(), before)
 	require.Zero(t, l.Of("s", 10, time.Now()).Full)
 }
@@ -69,7 +69,7 @@
 		for id := range l.view.Servers {
 			some = max(some, id)
 		}
-		f.loads.TakeConditions(map[string]relay.Condition{some: {Full: 0.96, Waiting: 3}})
+		f.loads.SetConditions(map[string]relay.Condition{some: {MemoryUsed: 0.96, Waiting: 3}})
 		seen := func() pipeline.Load {
 			for _, c := range f.candidates(l.view, labService, l.engine, time.Now()) {
 				if c.Server.ID == some {
@@ -80,7 +80,7 @@
 		}
 		require.InDelta(t, 0.96, seen().Full, 0, "the other daemons' loads are unknown")
 		time.Sleep(startupGrace)
-		f.loads.TakeOthers(relay.Loads{Daemons: 5})
+		f.loads.SetOthers(relay.Loads{Daemons: 5})
 		time.Sleep(time.Millisecond)
 		require.Zero(t, seen().Full)
 		require.Equal(t, 3, seen().Waiting)
@@ -93,8 +93,8 @@
 func TestSuspensionDropsReceivedLoads(t *testing.T) {
 	l := newLab(1)
 	f := l.forwarder("a", labFleet(60))
-	f.loads.TakeOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: "s", Running: 100, KV: 1e6}}})
-	f.loads.TakeConditions(map[string]relay.Condition{"s": {Waiting: 9}})
+	f.loads.SetOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: "s", Running: 100, KV: 1e6}}})
+	f.loads.SetConditions(map[string]relay.Condition{"s": {Waiting: 9}})
 	require.Equal(t, 9, f.loads.Of("s", 60, time.Now()).Waiting)
 	f.onWake(8 * time.Second)
 	require.Zero(t, f.loads.othersLoadAge(time.Now()))
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -84,14 +84,14 @@
 func labEngine() *site.Engine {
 	return &site.Engine{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 590000, StepMS: 0.85, PerRequestMS: 0.00382,
-		ContextPerKMS: 0.00512, ReadPerSecond: 196000, ReadPairsMS: 0.166, Stride: 2, Prompt: labPrompt, Answer: labEvents * labTokens,
+		ContextPerKMS: 0.00512, PrefillPerSecond: 196000, PrefillPairsMS: 0.166, Stride: 2, Prompt: labPrompt, Answer: labEvents * labTokens,
 		ActBytes: 29500, LinkMbps: 480000, PipeMbps: 9000, LoadsAtOnce: 6,
 		Models: []site.EngineModel{{Name: "m", Load: 14 * time.Second}},
 		Kinds: map[string]site.Accelerator{
-			"large":  {MemoryMB: 72000, Pace: 1.4, ReadPace: 1},
-			"middle": {MemoryMB: 36000, Pace: 3.1, ReadPace: 3.2},
-			"small":  {MemoryMB: 21600, Pace: 16, ReadPace: 8.2},
-			"least":  {MemoryMB: 14400, Pace: 15, ReadPace: 15},
+			"large":  {MemoryMB: 72000, Pace: 1.4, PrefillPace: 1},
+			"middle": {MemoryMB: 36000, Pace: 3.1, PrefillPace: 3.2},
+			"small":  {MemoryMB: 21600, Pace: 16, PrefillPace: 8.2},
+			"least":  {MemoryMB: 14400, Pace: 15, PrefillPace: 15},
 		},
 	}
 }
@@ -101,14 +101,14 @@
 	l := &lab{
 		engine: labEngine(), slow: 1, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*labServer{}, streams: map[string]*labStream{},
 	}
-	var cards []pipeline.Card
+	var cards []pipeline.ServerState
 	for domain, kinds := range map[string]map[string]int{
 		"a": {"middle": 2, "small": 4, "least": 7}, "b": {"large": 1, "middle": 1, "small": 5, "least": 7}, "c": {"middle": 1, "small": 8, "least": 3},
 	} {
 		for kind, n := range kinds {
 			for i := range n {
 				id := fmt.Sprintf("%s-%s-%d", domain, kind, i)
-				cards = append(cards, pipeline.Card{Server: &site.BackendServer{
+				cards = append(cards, pipeline.ServerState{Server: &site.BackendServer{
 					ID: id, Service: labService, Address: id, FailureDomain: domain, Slots: l.engine.Slots, Kind: kind,
 				}})
 			}
@@ -165,9 +165,9 @@
 
 // capacity returns the number of typical requests that the layout holds at once.
 func (l *lab) capacity() int {
-	var cards []pipeline.Card
+	var cards []pipeline.ServerState
 	for _, s := range l.view.Servers {
-		cards = append(cards, pipeline.Card{Server: s, Ordered: s.Held})
+		cards = append(cards, pipeline.ServerState{Server: s, Assigned: s.Held})
 	}
 	return pipeline.BoundOf(l.engine, cards).Requests
 }
@@ -378,7 +378,7 @@
 	defer l.mu.Unlock()
 	ms := 0.0
 	for i, h := range p {
-		ms += pipeline.HopStepMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(l.servers[h.Server.ID].streams), pipeline.Usual(l.engine).Mean())
+		ms += pipeline.HopStepMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(l.servers[h.Server.ID].streams), pipeline.TypicalRequest(l.engine).Mean())
 		if i > 0 {
 			ms += pipeline.LinkMS(l.engine, p[i-1].Server.FailureDomain, h.Server.FailureDomain)
 		}
--- a/forward/loads.go
+++ b/forward/loads.go
@@ -80,7 +80,7 @@
 func (l *Loads) Of(id string, daemons float64, now time.Time) pipeline.Load {
 	load := l.total(id, daemons, now)
 	reported := l.conditions.of(id)
-	load.Slowdown, load.Full, load.Waiting = reported.Slowdown, reported.Full, reported.Waiting
+	load.Slowdown, load.Full, load.Waiting = reported.Slowdown, reported.MemoryUsed, reported.Waiting
 	return load
 }
 
@@ -134,8 +134,8 @@
 	return out
 }
 
-// TakeOthers implements relay.LoadBook.
-func (l *Loads) TakeOthers(others relay.Loads) {
+// SetOthers implements relay.LoadBook.
+func (l *Loads) SetOthers(others relay.Loads) {
 	byServer := make(map[string]relay.LoadItem, len(others.Items))
 	for _, i := range others.Items {
 		byServer[i.Server] = i
@@ -150,7 +150,7 @@
 	l.mu.Lock()
 	l.others, l.othersAt, l.othersDaemons = nil, time.Time{}, 0
 	l.mu.Unlock()
-	l.TakeConditions(map[string]relay.Condition{})
+	l.SetConditions(map[string]relay.Condition{})
 }
 
 // RefuseLoads implements relay.LoadBook.
--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -63,9 +63,9 @@
 	// Jitter is the maximum random increase of a hop's cost, as a fraction. It makes
 	// daemons with the same loads choose different paths.
 	Jitter float64
-	// FullFrom is the usage from which a backend server's memory and a head's slots
+	// FullThreshold is the usage from which a backend server's memory and a head's slots
 	// cost extra, as a fraction. 0 stands for fullThreshold, for the memory alone.
-	FullFrom float64
+	FullThreshold float64
 }
 
 // Cost weights.
@@ -154,7 +154,7 @@
 		read := HopReadMS(q.Engine, s.Kind, n, q.Tokens.Prompt)
 		out[i].perLayer = c.Load.slowed(step*stepsWeight+read) / float64(max(1, n))
 		full := fullness(q, c, n)
-		out[i].perLayer *= 1 + spreadWeight*min(maxSpreadRatio, c.Load.OwnKV/max(1, q.Engine.KVRoom(s.Kind, n)))
+		out[i].perLayer *= 1 + spreadWeight*min(maxSpreadRatio, c.Load.OwnKV/max(1, q.Engine.KVCapacity(s.Kind, n)))
 		out[i].fixed = fullCost(q, full)
 		if full > 1 {
 			out[i].fixed += noCapacityCostMS
@@ -170,8 +170,8 @@
 // fraction.
 func fullCost(q *Query, full float64) float64 {
 	from := fullThreshold
-	if q.FullFrom > 0 {
-		from = q.FullFrom
+	if q.FullThreshold > 0 {
+		from = q.FullThreshold
 	}
 	return fullCostMS * max(0, full-from) / (1 - from)
 }
@@ -182,7 +182,7 @@
 // it is higher: loads exchanged by daemons are seconds old and miss requests of
 // daemons that have ended. A backend server at which requests wait counts as full.
 func fullness(q *Query, c *Candidate, n int) float64 {
-	capacity := q.Engine.KVRoom(c.Server.Kind, c.Server.Held.Len())
+	capacity := q.Engine.KVCapacity(c.Server.Kind, c.Server.Held.Len())
 	if capacity <= 0 {
 		return math.Inf(1)
 	}
@@ -206,7 +206,7 @@
 		}
 		c.StepMS += ms + link
 		if i > 0 && c.Path[i-1].Server.FailureDomain != h.Server.FailureDomain {
-			c.FirstMS += PipeReadMS(q.Engine, q.Tokens.Prompt)
+			c.FirstMS += CrossDomainPrefillMS(q.Engine, q.Tokens.Prompt)
 		}
 		c.FirstMS += ms + link + s.cand.Load.slowed(HopReadMS(q.Engine, h.Server.Kind, h.Layers.Len(), q.Tokens.Prompt))
 		if _, kept := q.Keep[h.Server.ID]; !kept {
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -23,11 +23,11 @@
 // HopReadMS predicts the time that a backend server needs to read a prompt through a
 // number of layers, in milliseconds.
 func HopReadMS(e *site.Engine, kind string, layers int, prompt float64) float64 {
-	if e.ReadPerSecond <= 0 {
+	if e.PrefillPerSecond <= 0 {
 		return 0
 	}
 	pairs := prompt * prompt / 2 / 1e6
-	return e.Kinds[kind].ReadPace * layerShare(e, layers) * (1000*prompt/e.ReadPerSecond + pairs*e.ReadPairsMS)
+	return e.Kinds[kind].PrefillPace * layerShare(e, layers) * (1000*prompt/e.PrefillPerSecond + pairs*e.PrefillPairsMS)
 }
 
 // LinkMS predicts the time to send the activations of one token between backend
@@ -55,14 +55,14 @@
 // Mean returns the average context of a request over its lifetime.
 func (t Tokens) Mean() float64 { return t.Prompt + t.Answer/2 }
 
-// Usual returns the size of a typical request of an engine.
-func Usual(e *site.Engine) Tokens {
+// TypicalRequest returns the size of a typical request of an engine.
+func TypicalRequest(e *site.Engine) Tokens {
 	return Tokens{Prompt: float64(e.Prompt), Answer: float64(e.Answer)}
 }
 
-// PipeReadMS predicts how long the activations of a prompt take over a cross-domain
+// CrossDomainPrefillMS predicts how long the activations of a prompt take over a cross-domain
 // link, in milliseconds.
-func PipeReadMS(e *site.Engine, prompt float64) float64 {
+func CrossDomainPrefillMS(e *site.Engine, prompt float64) float64 {
 	if e.PipeMbps <= 0 {
 		return 0
 	}
--- a/pipeline/layout_test.go
+++ b/pipeline/layout_test.go
@@ -11,8 +11,8 @@
 
 // emptyServers returns empty servers of one failure domain. Its arguments are kinds,
 // each followed by a count.
-func emptyServers(kinds ...any) []Card {
-	var out []Card
+func emptyServers(kinds ...any) []ServerState {
+	var out []ServerState
 	for i := 0; i < len(kinds); i += 2 {
 		for range kinds[i+1].(int) {
 			out = append(out, newServer(fmt.Sprintf("card-%02d", len(out)), "a", kinds[i].(string)))
@@ -25,9 +25,9 @@
 func unevenEngine() *site.Engine {
 	e := testEngine()
 	e.Kinds = map[string]site.Accelerator{
-		"fast":  {MemoryMB: 72000, Pace: 2.4, ReadPace: 3.2},
-		"brisk": {MemoryMB: 14400, Pace: 5.3, ReadPace: 7.9},
-		"slow":  {MemoryMB: 21600, Pace: 16, ReadPace: 8.2},
+		"fast":  {MemoryMB: 72000, Pace: 2.4, PrefillPace: 3.2},
+		"brisk": {MemoryMB: 14400, Pace: 5.3, PrefillPace: 7.9},
+		"slow":  {MemoryMB: 21600, Pace: 16, PrefillPace: 8.2},
 	}
 	return e
 }
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -51,9 +51,9 @@
 
 // totalCapacity returns how many typical requests the candidates can hold at once.
 func totalCapacity(e *site.Engine, candidates []Candidate) float64 {
-	servers := make([]Card, len(candidates))
+	servers := make([]ServerState, len(candidates))
 	for i, c := range candidates {
-		servers[i] = Card{Server: c.Server, Ordered: c.Server.Held}
+		servers[i] = ServerState{Server: c.Server, Assigned: c.Server.Held}
 	}
 	return float64(BoundOf(e, servers).Requests)
 }
@@ -74,8 +74,8 @@
 	// Heads is the planned number of requests of the whole fleet whose first hop is
 	// that of the path.
 	Heads float64
-	// LastsMS is the predicted duration of a request.
-	LastsMS float64
+	// DurationMS is the predicted duration of a request.
+	DurationMS float64
 }
 
 // Split returns the paths for requests of a failure domain, sorted by their names.
@@ -141,7 +141,7 @@
 }
 
 func newSplitter(e *site.Engine, candidates []Candidate) *splitter {
-	s := &splitter{engine: e, tokens: Usual(e), pathLoads: map[string]map[string]*pathLoad{}}
+	s := &splitter{engine: e, tokens: TypicalRequest(e), pathLoads: map[string]map[string]*pathLoad{}}
 	cs := slices.Clone(candidates)
 	slices.SortFunc(cs, func(a, b Candidate) int { return strings.Compare(a.Server.ID, b.Server.ID) })
 	byDomain := map[string][]Candidate{}
@@ -172,7 +172,7 @@
 
 // updateBest searches the cheapest path of a domainState.
 func (s *splitter) updateBest(ds *domainState) {
-	q := &Query{Engine: s.engine, Tokens: s.tokens, FullFrom: splitFullThreshold}
+	q := &Query{Engine: s.engine, Tokens: s.tokens, FullThreshold: splitFullThreshold}
 	c, err := Choose(q, ds.cs, nil)
 	ds.best, ds.bestValid, ds.noPath = c, true, errors.Is(err, ErrNoPath)
 }
@@ -255,5 +255,5 @@
 	}
 	c := predict(&Query{Engine: s.engine, Tokens: s.tokens}, steps)
 	durationMS := c.FirstMS + c.StepMS*s.tokens.Answer
-	return Share{Choice: c, Rate: p.requests / durationMS, LastsMS: durationMS, Heads: steps[0].cand.Load.Heads}
+	return Share{Choice: c, Rate: p.requests / durationMS, DurationMS: durationMS, Heads: steps[0].cand.Load.Heads}
 }
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -19,7 +19,7 @@
 // many servers as siteServers returns in all.
 func fleetServers(t testing.TB, e *site.Engine) []Candidate {
 	t.Helper()
-	var servers []Card
+	var servers []ServerState
 	for _, domain := range fleetDomains {
 		for i, c := range siteServers() {
 			servers = append(servers, newServer(fmt.Sprintf("%s-%02d", domain, i), domain, c.Server.Kind))
@@ -47,12 +47,12 @@
 		shares := Split(e, cs, d, domain)
 		duration := 0.0
 		for _, sh := range shares {
-			duration += sh.Rate * sh.LastsMS
+			duration += sh.Rate * sh.DurationMS
 		}
 		for _, sh := range shares {
-			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.LastsMS / duration
+			requests := d.Requests * d.Domains[domain] * sh.Rate * sh.DurationMS / duration
 			for _, h := range sh.Choice.Path {
-				out[h.Server.ID] += requests * Usual(e).Mean() * float64(h.Layers.Len()) / e.KVRoom(h.Server.Kind, h.Server.Held.Len())
+				out[h.Server.ID] += requests * TypicalRequest(e).Mean() * float64(h.Layers.Len()) / e.KVCapacity(h.Server.Kind, h.Server.Held.Len())
 			}
 		}
 	}
@@ -174,13 +174,13 @@
 func TestPathsAreTakenByRate(t *testing.T) {
 	e := choiceEngine()
 	cs := twoPipelines(e)
-	s := &Spread{}
+	s := &Rotation{}
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
 	paths := []site.Path{
 		{{Server: cs[0].Server, Layers: cs[0].Server.Held}, {Server: cs[1].Server, Layers: cs[1].Server.Held}},
 		{{Server: cs[2].Server, Layers: cs[2].Server.Held}, {Server: cs[3].Server, Layers: cs[3].Server.Held}},
 	}
-	s.Take([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, LastsMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, LastsMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
+	s.Take([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, DurationMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, DurationMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
 	count := func(n int, age time.Duration) map[string]int {
 		out := map[string]int{}
 		for range n {
@@ -199,7 +199,7 @@
 	cs[0].Load.WaitMS = 300
 	require.InDelta(t, 43, count(100, 0)["fast0"], 4, "own requests wait at the head")
 	cs[0].Load.WaitMS = 0
-	cs[1].Load.KVUsed = e.KVRoom("fast", cs[1].Server.Held.Len())
+	cs[1].Load.KVUsed = e.KVCapacity("fast", cs[1].Server.Held.Len())
 	require.Zero(t, count(20, 0)["fast0"], "no memory for the request")
 	cs[2].Load.Heads = float64(cs[2].Server.Slots)
 	_, ok := s.Next(q, cs, 0)
@@ -221,7 +221,7 @@
 	own         [][]Load // by daemon
 	reported    [][]Load // reported loads, newest last
 	completions []completion
-	spreads     []Spread
+	spreads     []Rotation
 	// orphaned are requests of daemons that have ended. No daemon reports them, but
 	// actual includes them.
 	orphaned []Load
@@ -259,7 +259,7 @@
 	for i := range c.own {
 		c.own[i] = make([]Load, len(c.cs))
 	}
-	c.spreads = make([]Spread, daemons)
+	c.spreads = make([]Rotation, daemons)
 	return c
 }
 
@@ -303,7 +303,7 @@
 		}
 		for n := c.arrivals(perSecond); n > 0; n-- {
 			daemon := c.rng.IntN(c.daemons)
-			q := &Query{Engine: c.engine, Tokens: Usual(c.engine), Near: c.domain(daemon), Jitter: 0.25}
+			q := &Query{Engine: c.engine, Tokens: TypicalRequest(c.engine), Near: c.domain(daemon), Jitter: 0.25}
 			c.begin(daemon, q, choose)
 		}
 	}
@@ -344,7 +344,7 @@
 	out := make([]Load, len(c.actual))
 	for i, l := range c.actual {
 		s := c.cs[i].Server
-		out[i].Full = l.KVUsed / c.engine.KVRoom(s.Kind, s.Held.Len())
+		out[i].Full = l.KVUsed / c.engine.KVCapacity(s.Kind, s.Held.Len())
 		if out[i].Full > 1 {
 			out[i] = Load{Full: 1, Waiting: 1}
 		}
@@ -397,7 +397,7 @@
 	d := evenDemand(requests)
 	for _, domain := range fleetDomains {
 		for _, sh := range Split(c.engine, c.cs, d, domain) {
-			duration := time.Duration(sh.LastsMS * float64(time.Millisecond))
+			duration := time.Duration(sh.DurationMS * float64(time.Millisecond))
 			for range int(sh.Rate * requests * d.Domains[domain]) {
 				c.add(endedDaemon, sh.Choice.Path, 1)
 				c.completions = append(c.completions, completion{at: time.Duration(c.rng.Int64N(int64(duration))), daemon: endedDaemon, path: sh.Choice.Path})
@@ -414,7 +414,7 @@
 		}
 		for _, l := range []*Load{&c.actual[c.index[h.Server.ID]], &of[c.index[h.Server.ID]]} {
 			l.Running += sign
-			l.KVUsed += sign * Usual(c.engine).Mean() * float64(h.Layers.Len())
+			l.KVUsed += sign * TypicalRequest(c.engine).Mean() * float64(h.Layers.Len())
 			if i == 0 {
 				l.Heads += sign
 			}
@@ -434,7 +434,7 @@
 	for _, domain := range fleetDomains {
 		duration := 0.0
 		for _, s := range Split(e, cs, d, domain) {
-			duration += s.Rate * s.LastsMS
+			duration += s.Rate * s.DurationMS
 		}
 		perSecond += requests * d.Domains[domain] / (duration / 1000)
 	}
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -43,7 +43,7 @@
 
 func (a *fakeAsker) DomainOf(string) string { return "d" }
 
-func (a *fakeAsker) MaybeCrowded() []string {
+func (a *fakeAsker) MaybeSaturated() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.maybe
@@ -69,9 +69,9 @@
 	t.Parallel()
 	asker := newFakeAsker(nil)
 	asker.maybe = []string{"s"}
-	saturated := Condition{Full: 0.98, Waiting: 7}
+	saturated := Condition{MemoryUsed: 0.98, Waiting: 7}
 	asker.set("s", saturated)
-	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, Asker: asker})
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: asker})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	allReport := func(want Condition) func() bool {
 		return func() bool {
@@ -84,21 +84,21 @@
 		}
 	}
 	require.Eventually(t, allReport(saturated), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
-	asker.set("s", Condition{Full: 0.6, Slowdown: 1})
+	asker.set("s", Condition{MemoryUsed: 0.6, Slowdown: 1})
 	require.Eventually(t, allReport(Condition{}), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
 }
 
 func TestConditionPackingRoundTrip(t *testing.T) {
-	for _, c := range []Condition{{Slowdown: 12}, {Full: 0.96}, {Waiting: 3}, {Slowdown: 1.5, Full: 1, Waiting: 255}} {
+	for _, c := range []Condition{{Slowdown: 12}, {MemoryUsed: 0.96}, {Waiting: 3}, {Slowdown: 1.5, MemoryUsed: 1, Waiting: 255}} {
 		p := packCondition(7, c)
 		require.True(t, p.valid())
 		require.Equal(t, c, p.unpack())
 	}
-	for _, healthy := range []Condition{{}, {Slowdown: 1.2, Full: 0.6}, {Slowdown: 1}} {
+	for _, healthy := range []Condition{{}, {Slowdown: 1.2, MemoryUsed: 0.6}, {Slowdown: 1}} {
 		require.False(t, packCondition(7, healthy).valid(), "%+v is not reported", healthy)
 	}
 	require.False(t, packedCondition{Percent: 101}.valid())
-	require.Equal(t, Condition{Full: 1, Waiting: maxWaiting}, packCondition(7, Condition{Full: 1.3, Waiting: 4000}).unpack())
+	require.Equal(t, Condition{MemoryUsed: 1, Waiting: maxWaiting}, packCondition(7, Condition{MemoryUsed: 1.3, Waiting: 4000}).unpack())
 }
 
 // A server that one daemon suspects is queried once, by the daemon that follows the store.
@@ -106,7 +106,7 @@
 func TestSlowServerIsReportedToAll(t *testing.T) {
 	t.Parallel()
 	asker := newFakeAsker(map[string]float64{"s": 12})
-	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, Asker: asker})
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: asker})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	require.Zero(t, asker.calls, "no server is queried without a suspicion")
 	allReport := func(slowdown float64) func() bool {
@@ -140,7 +140,7 @@
 	asker := newFakeAsker(nil)
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
 	n.applyConditions(localKey, []packedCondition{{Server: serverHash("s"), Tenths: 30}})
 	require.InDelta(t, 3.0, inv.slowdown("s"), 0)
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
@@ -157,7 +157,7 @@
 	asker := newFakeAsker(map[string]float64{"left": 3})
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
 	n.applyConditions(localKey, []packedCondition{{Server: serverHash("left"), Tenths: 30}})
 	due := n.dueQueries(map[uint32]time.Time{}, time.Now())
 	require.Len(t, due, 1)
@@ -171,7 +171,7 @@
 func TestSuspectsOfOtherDomainsAreForwarded(t *testing.T) {
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "e", Asker: newFakeAsker(nil)}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "e", ConditionReader: newFakeAsker(nil)}, inv, inv, memberList{}, nil)
 	s := serverHash("s")
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
 	n.conditions.setLinked("d", true)
@@ -214,7 +214,7 @@
 		inv.state.Servers[id] = inventory.Entry{}
 		asker.maybe = append(asker.maybe, id)
 	}
-	n := New(Options{Domain: "d", Asker: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
 	for poll := range 3 {
 		require.Len(t, n.dueQueries(queriedAt, now), maxSaturationChecks)
--- a/relay/node.go
+++ b/relay/node.go
@@ -34,8 +34,8 @@
 	// ConfigWithin is the time within which a configuration must be in force, 0 for
 	// defaultConfigDelay.
 	ConfigWithin time.Duration
-	// Asker queries backend servers that may be slow or saturated, nil for none.
-	Asker Asker
+	// ConditionReader queries backend servers that may be slow or saturated, nil for none.
+	ConditionReader ConditionReader
 	// Quarantine is kept in sync with those of the other daemons, nil for none.
 	Quarantine *quarantine.Registry
 	// Stalls monitors stalls of this process, which do not count as timeouts of other
@@ -53,7 +53,7 @@
 type Node struct {
 	opts          Options
 	inv           Inventory
-	book          LoadBook
+	book          LoadExchange
 	members       Members
 	logger        log.Logger
 	followerLoads *loadTable
@@ -88,7 +88,7 @@
 }
 
 // New returns a node. The caller must call Run.
-func New(o Options, inv Inventory, book LoadBook, m Members, logger log.Logger) *Node {
+func New(o Options, inv Inventory, book LoadExchange, m Members, logger log.Logger) *Node {
 	if o.FanOut == 0 {
 		o.FanOut = defaultFanOut
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// Reading reports whether this daemon follows the store itself.
-func (n *Node) Reading() bool { return n.reading.Load() }
+// FollowsStore reports whether this daemon follows the store itself.
+func (n *Node) FollowsStore() bool { return n.reading.Load() }
 
 // Leading reports whether this daemon follows the store as one of the first of its domain,
 // or has followed it for leadingDelay, which means that few other daemons are left.
--- a/site/engine.go
+++ b/site/engine.go
@@ -6,7 +6,7 @@
 type Accelerator struct {
 	MemoryMB float64
 	Pace     float64 // factor on the times of token steps and context, 1 for the reference
-	ReadPace float64 // factor on the time of prefill
+	PrefillPace float64 // factor on the time of prefill
 }
 
 // Engine describes how the backend servers of a service run a model. Times are for all
@@ -19,9 +19,9 @@
 	StepMS        float64 // of one token step
 	PerRequestMS  float64 // added for each request in the step
 	ContextPerKMS float64 // added for each request and 1,000 tokens of its context
-	ReadPerSecond float64 // prompt tokens of prefill
-	ReadPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
-	ReadChunk     int     // maximum of prompt tokens in a prefill step
+	PrefillPerSecond float64 // prompt tokens of prefill
+	PrefillPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
+	PrefillChunk     int     // maximum of prompt tokens in a prefill step
 	Stride        int     // token steps in a pass
 	Prompt        int     // mean tokens of a prompt
 	Answer        int     // mean tokens of an answer
@@ -52,9 +52,9 @@
 	return e.Delays[[2]string{b, a}]
 }
 
-// KVRoom returns the KV cache capacity, in tokens x layers, of a backend server that
+// KVCapacity returns the KV cache capacity, in tokens x layers, of a backend server that
 // holds a number of layers.
-func (e *Engine) KVRoom(kind string, held int) float64 {
+func (e *Engine) KVCapacity(kind string, held int) float64 {
 	remaining := e.Kinds[kind].MemoryMB - float64(held)*e.LayerMB
 	if remaining <= 0 || e.KVTokenBytes <= 0 {
 		return 0
