--- a/gateway/planned_test.go
+++ b/gateway/planned_test.go
@@ -65,7 +65,7 @@
 	ran := totalRuns(servers)
 	require.Equal(t, http.StatusServiceUnavailable, d.call(t, call{method: "GET", path: "/plain/"}).Status)
 	require.Equal(t, ran, totalRuns(servers))
-	env.store.SetTrouble(standin.Sound)
+	env.store.SetTrouble(standin.Healthy)
 	require.Eventually(t, func() bool {
 		return d.call(t, call{method: "GET", path: "/plain/"}).Status == http.StatusOK
 	}, 4*time.Second, 20*time.Millisecond)
@@ -82,7 +82,7 @@
 	env.store.Remove("servers", "plain-1")
 	env.store.Remove("servers", "plain-2")
 	time.Sleep(300 * time.Millisecond)
-	env.store.SetTrouble(standin.Sound)
+	env.store.SetTrouble(standin.Healthy)
 	time.Sleep(700 * time.Millisecond)
 	require.Len(t, d.inv.View().Servers, 2, "kept for missingGrace")
 	env.store.Set("servers", "plain-2", servers[1].Record("plain", "domain-1", ""))
--- a/gateway/quarantine_sync_test.go
+++ b/gateway/quarantine_sync_test.go
@@ -96,6 +96,6 @@
 	require.Len(t, runsOf(heads, crashing), 2, "quarantined after two crashes")
 	time.Sleep(4 * time.Second)
 	require.LessOrEqual(t, env.store.Calls("GET", kindQuarantine)-before+env.store.Calls("POST", kindQuarantine), 12)
-	env.store.SetTrouble(standin.Sound)
+	env.store.SetTrouble(standin.Healthy)
 	require.Eventually(t, func() bool { return env.store.Has(kindQuarantine, quarantineObject) }, 3*time.Second, 10*time.Millisecond)
 }
