--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -365,7 +365,7 @@
 }
 
 // disturbStore gives the store a trouble for a random time.
-func (f *faults) disturbStore(t standin.Trouble) {
+func (f *faults) disturbStore(t standin.StoreMode) {
 	f.during(func() { f.site.Store.SetTrouble(t) }, func() { f.site.Store.SetTrouble(standin.Healthy) })
 }
 
