--- a/gateway/planned_test.go
+++ b/gateway/planned_test.go
@@ -56,7 +56,7 @@
 	env.putConfig()
 	servers := env.servers("plain", "", "plain-1")
 	d := env.daemon("daemon-1", func(s *site.Settings) { s.RevokeWithin = 2500 * time.Millisecond }).ready(t, 1)
-	env.store.SetTrouble(standin.Silent)
+	env.store.SetMode(standin.Silent)
 	silent := time.Now()
 	require.Eventually(t, func() bool {
 		return d.call(t, call{method: "GET", path: "/plain/"}).Status == http.StatusServiceUnavailable
@@ -65,7 +65,7 @@
 	ran := totalRuns(servers)
 	require.Equal(t, http.StatusServiceUnavailable, d.call(t, call{method: "GET", path: "/plain/"}).Status)
 	require.Equal(t, ran, totalRuns(servers))
-	env.store.SetTrouble(standin.Healthy)
+	env.store.SetMode(standin.Healthy)
 	require.Eventually(t, func() bool {
 		return d.call(t, call{method: "GET", path: "/plain/"}).Status == http.StatusOK
 	}, 4*time.Second, 20*time.Millisecond)
@@ -77,12 +77,12 @@
 	env.putConfig()
 	servers := env.servers("plain", "", "plain-1", "plain-2")
 	d := env.daemon("daemon-1", nil).ready(t, 2)
-	env.store.SetTrouble(standin.Refusing)
+	env.store.SetMode(standin.Refusing)
 	require.Eventually(t, func() bool { return d.inv.Heard().IsZero() }, 3*time.Second, time.Millisecond, "the daemon has lost the store")
 	env.store.Remove("servers", "plain-1")
 	env.store.Remove("servers", "plain-2")
 	time.Sleep(300 * time.Millisecond)
-	env.store.SetTrouble(standin.Healthy)
+	env.store.SetMode(standin.Healthy)
 	time.Sleep(700 * time.Millisecond)
 	require.Len(t, d.inv.View().Servers, 2, "kept for missingGrace")
 	env.store.Set("servers", "plain-2", servers[1].Record("plain", "domain-1", ""))
--- a/gateway/quarantine_sync_test.go
+++ b/gateway/quarantine_sync_test.go
@@ -90,12 +90,12 @@
 func TestQuarantineIsStoredSoonAfterAnOutage(t *testing.T) {
 	t.Parallel()
 	env, heads, daemons := newCrashEnv(t)
-	env.store.SetTrouble(standin.Refusing)
+	env.store.SetMode(standin.Refusing)
 	before := env.store.Calls("GET", kindQuarantine)
 	sendCrashing(t, daemons, 6)
 	require.Len(t, runsOf(heads, crashing), 2, "quarantined after two crashes")
 	time.Sleep(4 * time.Second)
 	require.LessOrEqual(t, env.store.Calls("GET", kindQuarantine)-before+env.store.Calls("POST", kindQuarantine), 12)
-	env.store.SetTrouble(standin.Healthy)
+	env.store.SetMode(standin.Healthy)
 	require.Eventually(t, func() bool { return env.store.Has(kindQuarantine, quarantineObject) }, 3*time.Second, 10*time.Millisecond)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -366,7 +366,7 @@
 
 // disturbStore gives the store a trouble for a random time.
 func (f *faults) disturbStore(t standin.StoreMode) {
-	f.during(func() { f.site.Store.SetTrouble(t) }, func() { f.site.Store.SetTrouble(standin.Healthy) })
+	f.during(func() { f.site.Store.SetMode(t) }, func() { f.site.Store.SetMode(standin.Healthy) })
 }
 
 // maxRewriteDelay is the maximum time until the operator and the backend servers write
@@ -463,7 +463,7 @@
 // heal waits for faults that end and clears the others.
 func (f *faults) heal() {
 	f.active.Wait()
-	f.site.Store.SetTrouble(standin.Healthy)
+	f.site.Store.SetMode(standin.Healthy)
 	for _, p := range f.all {
 		p.proxy.Set(standin.Pass)
 		p.signal(syscall.SIGCONT)
--- a/trial/site.go
+++ b/trial/site.go
@@ -111,8 +111,8 @@
 				}
 			}
 		},
-		140: func() { progress("the store is away"); s.Store.SetTrouble(standin.Refusing) },
-		200: func() { progress("the store is back"); s.Store.SetTrouble(standin.Healthy) },
+		140: func() { progress("the store is away"); s.Store.SetMode(standin.Refusing) },
+		200: func() { progress("the store is back"); s.Store.SetMode(standin.Healthy) },
 		220: func() { progress("a daemon is stopped as planned"); daemons[2].stop() },
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: onceParallel}}
