--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -109,7 +109,7 @@
 	heads, tails := env.pipeline(1, 2)
 	heads[0].Events = 12
 	d := env.daemon("daemon-1", nil).ready(t, 3)
-	heads[0].Next(standin.StandStill)
+	heads[0].Next(standin.StreamStall)
 	go func() {
 		for len(heads[0].Runs()) == 0 {
 			time.Sleep(time.Millisecond)
