--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -54,7 +54,7 @@
 	var named time.Time
 	for n := range 9 * perSecond {
 		if n == 2*perSecond {
-			heads[0].NameLimit(fmt.Sprint(rate))
+			heads[0].SetLimit(fmt.Sprint(rate))
 			named = time.Now()
 		}
 		wg.Go(func() {
--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -50,17 +50,17 @@
 // than limitDelay, and then none.
 func reportLimit(ctx context.Context, p *sitetrial.Placed, first, then int) {
 	for _, rate := range []int{first, then} {
-		p.NameLimit(limitRates[rate])
+		p.SetLimit(limitRates[rate])
 		wait.For(ctx, limitDelay+time.Second)
 	}
-	p.NameLimit("")
+	p.SetLimit("")
 }
 
 // clearLimits waits for running reports and removes the limits of all backend servers.
 func (f *faults) clearLimits() {
 	f.reporters.Wait()
 	for _, p := range f.site.Servers() {
-		p.NameLimit("")
+		p.SetLimit("")
 	}
 }
 
