--- a/gateway/requests_test.go
+++ b/gateway/requests_test.go
@@ -110,8 +110,8 @@
 		t.Run(name, func(t *testing.T) {
 			d, servers := newPlainEnv(t)
 			// Both servers have the fault once, so a repeatable request hits it at each.
-			servers[0].Next(c.fault)
-			servers[1].Next(c.fault)
+			servers[0].AddFaults(c.fault)
+			servers[1].AddFaults(c.fault)
 			a := d.call(t, call{method: "POST", path: c.path, body: "x"})
 			if c.status == http.StatusOK && a.Status != http.StatusOK {
 				require.GreaterOrEqual(t, a.Status, 500)
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -49,8 +49,8 @@
 		h.Events = 20
 	}
 	d := env.daemon("daemon-1", nil).ready(t, 3)
-	heads[0].Next(standin.BreakOff)
-	heads[1].Next(standin.BreakOff)
+	heads[0].AddFaults(standin.BreakOff)
+	heads[1].AddFaults(standin.BreakOff)
 	a := d.call(t, call{method: "POST", path: "/stream/"})
 	for a.Err != nil { // both broke off and no retry is left: the caller resumes
 		a = d.call(t, call{method: "POST", path: "/stream/", id: "req-2"})
@@ -109,7 +109,7 @@
 	heads, tails := env.pipeline(1, 2)
 	heads[0].Events = 12
 	d := env.daemon("daemon-1", nil).ready(t, 3)
-	heads[0].Next(standin.StreamStall)
+	heads[0].AddFaults(standin.StreamStall)
 	go func() {
 		for len(heads[0].Runs()) == 0 {
 			time.Sleep(time.Millisecond)
@@ -169,7 +169,7 @@
 		full = append(full, standin.NotRun)
 	}
 	for _, h := range heads {
-		h.Next(append([]standin.Fault{standin.BreakOff}, full...)...)
+		h.AddFaults(append([]standin.Fault{standin.BreakOff}, full...)...)
 	}
 	go func() {
 		for totalRuns(heads) == 0 {
@@ -201,7 +201,7 @@
 	heads, _ := env.pipeline(1, 1)
 	heads[0].Events = 20
 	d := env.daemon("daemon-1", nil).ready(t, 2)
-	heads[0].Next(standin.BreakOff, standin.Fail)
+	heads[0].AddFaults(standin.BreakOff, standin.Fail)
 	a := d.call(t, call{method: "POST", path: "/stream/"})
 	require.NoError(t, a.Err, "it fails once and then goes on")
 	require.Equal(t, events(1, 20), a.Body)
@@ -209,7 +209,7 @@
 	for range 40 {
 		fails = append(fails, standin.Fail)
 	}
-	heads[0].Next(fails...)
+	heads[0].AddFaults(fails...)
 	ran := len(heads[0].Runs())
 	a = d.call(t, call{method: "POST", path: "/stream/", id: "req-2"})
 	require.Error(t, a.Err, "it must not look complete")
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -402,7 +402,7 @@
 	all := f.site.Servers()
 	p := all[f.r.IntN(len(all))]
 	for range 1 + f.r.IntN(4) {
-		p.Next(standin.Fault(1 + f.r.IntN(int(standin.RefuseAmbiguous))))
+		p.AddFaults(standin.Fault(1 + f.r.IntN(int(standin.RefuseAmbiguous))))
 	}
 }
 
--- a/trial/site.go
+++ b/trial/site.go
@@ -107,7 +107,7 @@
 			progress("a backend server breaks answers off")
 			for _, p := range s.Servers() {
 				if p.ID == "b-plain-0" {
-					p.Next(standin.BreakOff, standin.ResetAfter, standin.Surplus)
+					p.AddFaults(standin.BreakOff, standin.ResetAfter, standin.Surplus)
 				}
 			}
 		},
