--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -177,7 +177,7 @@
 		}
 		time.Sleep(900 * time.Millisecond)
 		for _, h := range heads {
-			h.Heal()
+			h.ClearFaults()
 		}
 	}()
 	a := d.call(t, call{method: "POST", path: "/stream/"})
