--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -48,7 +48,7 @@
 
 // reportLimit makes a backend server report two limits in turn, each for a second longer
 // than limitDelay, and then none.
-func reportLimit(ctx context.Context, p *sitetrial.Placed, first, then int) {
+func reportLimit(ctx context.Context, p *sitetrial.Server, first, then int) {
 	for _, rate := range []int{first, then} {
 		p.SetLimit(limitRates[rate])
 		wait.For(ctx, limitDelay+time.Second)
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -87,7 +87,7 @@
 	time.Sleep(500 * time.Millisecond)
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(50 * time.Millisecond)
-	dead := slices.MaxFunc(site.Servers(), func(a, b *sitetrial.Placed) int { return headRuns(a) - headRuns(b) })
+	dead := slices.MaxFunc(site.Servers(), func(a, b *sitetrial.Server) int { return headRuns(a) - headRuns(b) })
 	dead.Kill()
 	time.Sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGCONT)
@@ -114,7 +114,7 @@
 
 // headRuns returns the number of streams that a backend server ran as their head, or
 // -1 if it holds no first layers.
-func headRuns(p *sitetrial.Placed) int {
+func headRuns(p *sitetrial.Server) int {
 	if from, to := p.Held(); from > 0 || to == 0 {
 		return -1
 	}
