--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -451,7 +451,7 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	f.active.Go(func() {
 		for _, p := range f.all {
-			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamTo, Key: sitetrial.Key, ID: body + p.name, Body: body}
+			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamPath, Key: sitetrial.Key, ID: body + p.name, Body: body}
 			ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
 			_ = sitetrial.Do(ctx, client, p.callers, call) // any result is valid
 			cancel()
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -42,7 +42,7 @@
 	for n := range 16 {
 		wg.Go(func() {
 			call := sitetrial.Call{
-				Method: "POST", Path: sitetrial.StreamTo, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n),
+				Method: "POST", Path: sitetrial.StreamPath, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n),
 				Header: map[string]string{"Snowspoke-Deadline-Ms": "25000"},
 			}
 			a := sitetrial.Do(ctx, client, second.callers, call)
@@ -79,7 +79,7 @@
 	var wg sync.WaitGroup
 	for n := range 8 {
 		wg.Go(func() {
-			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamTo, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n)}
+			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamPath, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n)}
 			a := sitetrial.Do(t.Context(), client, p.callers, call)
 			assert.Equal(t, sitetrial.Events(1, 100), a.Body, "stream %d, status %d, %v", n, a.Status, a.Err)
 		})
