--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -425,7 +425,7 @@
 	all[f.r.IntN(len(all))].Kill()
 	f.active.Go(func() {
 		time.Sleep(300 * time.Millisecond)
-		f.site.StartEndedAgain(time.Now())
+		f.site.RestartEnded(time.Now())
 	})
 }
 
@@ -456,7 +456,7 @@
 			_ = sitetrial.Do(ctx, client, p.callers, call) // any result is valid
 			cancel()
 		}
-		f.site.StartEndedAgain(time.Now())
+		f.site.RestartEnded(time.Now())
 	})
 }
 
