--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -122,7 +122,7 @@
 // taking effect.
 type testPeers struct {
 	self        string
-	books       map[string]*Book
+	books       map[string]*Registry
 	names       []string
 	down        map[string]bool
 	failureRate float64
@@ -150,8 +150,8 @@
 	return m.books[daemon].ServeAnswer(ctx, k, requestID)
 }
 
-func newTestBooks(store Store, n int, failureRate float64) (map[string]*Book, map[string]bool) {
-	books, down := map[string]*Book{}, map[string]bool{}
+func newTestBooks(store Store, n int, failureRate float64) (map[string]*Registry, map[string]bool) {
+	books, down := map[string]*Registry{}, map[string]bool{}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("d", i))
--- a/claims/registry.go
+++ b/claims/registry.go
@@ -45,9 +45,9 @@
 	KeepBytes int64 // memory limit for stored answers
 }
 
-// Book runs the request of the first use of a key and returns its answer to later
+// Registry runs the request of the first use of a key and returns its answer to later
 // uses. It is safe for concurrent use.
-type Book struct {
+type Registry struct {
 	opts   Options
 	shards []*Shard
 	peers  Peers
@@ -73,8 +73,8 @@
 }
 
 // NewBook returns a Book whose claims are kept in store.
-func NewBook(o Options, store Store, peers Peers, now func() time.Time) *Book {
-	b := &Book{opts: o, peers: peers, now: now, entries: map[KeyHash]*entry{}, releasing: map[string]bool{}}
+func NewBook(o Options, store Store, peers Peers, now func() time.Time) *Registry {
+	b := &Registry{opts: o, peers: peers, now: now, entries: map[KeyHash]*entry{}, releasing: map[string]bool{}}
 	for i := range o.Shards {
 		b.shards = append(b.shards, NewShard(i, store, o.Window))
 	}
@@ -84,7 +84,7 @@
 // Once calls run for the first use of a key in the fleet, and otherwise returns
 // the answer of the first use. The kind of run's error must state correctly
 // whether the request ran.
-func (b *Book) Once(ctx context.Context, u Use, run func() (*Answer, error)) (*Answer, error) {
+func (b *Registry) Once(ctx context.Context, u Use, run func() (*Answer, error)) (*Answer, error) {
 	k, err := ParseKey(u.Workspace, u.Key, b.opts.Window, b.now())
 	if err != nil {
 		return nil, keyError(err)
@@ -106,7 +106,7 @@
 }
 
 // getOrCreate returns the entry of a key, and whether it was created.
-func (b *Book) getOrCreate(k KeyHash, u Use) (*entry, bool) {
+func (b *Registry) getOrCreate(k KeyHash, u Use) (*entry, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if e := b.entries[k]; e != nil {
@@ -118,7 +118,7 @@
 }
 
 // await waits for the answer of an entry of this daemon.
-func (b *Book) await(ctx context.Context, e *entry, u Use) (*Answer, error) {
+func (b *Registry) await(ctx context.Context, e *entry, u Use) (*Answer, error) {
 	if e.use.BodyHash != u.BodyHash {
 		return nil, apierror.New(apierror.KeyReused, "the key was used with another body")
 	}
@@ -132,7 +132,7 @@
 
 // claimAndRun claims the key and calls run if it won. It returns the answer, and
 // whether the request ran here.
-func (b *Book) claimAndRun(ctx context.Context, k Key, u Use, run func() (*Answer, error)) (a *Answer, ran bool, err error) {
+func (b *Registry) claimAndRun(ctx context.Context, k Key, u Use, run func() (*Answer, error)) (a *Answer, ran bool, err error) {
 	r := Record{Key: k.Hash, BodyHash: u.BodyHash, RequestID: u.RequestID, Daemon: b.opts.Self, At: k.time(b.now())}
 	v, err := b.propose(ctx, r)
 	if err != nil {
@@ -158,7 +158,7 @@
 
 // propose commits a record through the shard's preferred writer, or locally if
 // that daemon does not answer. The preferred writer only reduces conflicts.
-func (b *Book) propose(ctx context.Context, r Record) (Verdict, error) {
+func (b *Registry) propose(ctx context.Context, r Record) (Verdict, error) {
 	i := ShardOf(r.Key, b.opts.Shards)
 	if w := b.peers.Writer(i); w != "" && w != b.opts.Self {
 		forwardCtx, cancel := context.WithTimeout(ctx, forwardTimeout)
@@ -181,7 +181,7 @@
 
 // release releases the claim of a request that did not run, so that a retry can
 // run.
-func (b *Book) release(r Record) {
+func (b *Registry) release(r Record) {
 	b.setReleasing(r.RequestID, true)
 	defer time.AfterFunc(releaseTimeout, func() { b.setReleasing(r.RequestID, false) })
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
@@ -190,7 +190,7 @@
 	_, _ = b.propose(ctx, r)
 }
 
-func (b *Book) setReleasing(requestID string, on bool) {
+func (b *Registry) setReleasing(requestID string, on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if on {
@@ -201,7 +201,7 @@
 }
 
 // missingEntryError returns the error for a claim of this daemon without an entry.
-func (b *Book) missingEntryError(requestID string) error {
+func (b *Registry) missingEntryError(requestID string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.releasing[requestID] {
@@ -211,7 +211,7 @@
 }
 
 // answerFromHolder answers a use of a key that is claimed by another request.
-func (b *Book) answerFromHolder(ctx context.Context, u Use, held Record) (*Answer, error) {
+func (b *Registry) answerFromHolder(ctx context.Context, u Use, held Record) (*Answer, error) {
 	if held.BodyHash != u.BodyHash {
 		return nil, apierror.New(apierror.KeyReused, "the key was used with another body")
 	}
@@ -229,7 +229,7 @@
 // finish completes an entry. It stores an answer, or the error of a request that
 // ran here at least in part, for later uses of the key. It removes the entry after
 // other errors: of requests that did not run, and those returned by another daemon.
-func (b *Book) finish(k KeyHash, e *entry, a *Answer, err error, ran bool) {
+func (b *Registry) finish(k KeyHash, e *entry, a *Answer, err error, ran bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e.answer, e.err = a, err
@@ -252,7 +252,7 @@
 
 // evict removes the oldest finished entries beyond the memory limit. The caller
 // holds b.mu.
-func (b *Book) evict() {
+func (b *Registry) evict() {
 	for b.storedBytes > b.opts.KeepBytes && len(b.finished) > 0 {
 		k := b.finished[0]
 		b.finished = b.finished[1:]
@@ -264,12 +264,12 @@
 }
 
 // Serve handles Peers.Propose of another daemon.
-func (b *Book) Serve(ctx context.Context, r Record) (Verdict, error) {
+func (b *Registry) Serve(ctx context.Context, r Record) (Verdict, error) {
 	return b.shards[ShardOf(r.Key, b.opts.Shards)].ProposeFor(ctx, r)
 }
 
 // ServeAnswer handles Peers.Answer of another daemon.
-func (b *Book) ServeAnswer(ctx context.Context, k KeyHash, requestID string) (*Answer, error) {
+func (b *Registry) ServeAnswer(ctx context.Context, k KeyHash, requestID string) (*Answer, error) {
 	b.mu.Lock()
 	e := b.entries[k]
 	b.mu.Unlock()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -63,7 +63,7 @@
 	decisions     *decision.Log
 	key           []byte
 	sealer        *dispatch.Sealer
-	claimRegistry *claims.Book
+	claimRegistry *claims.Registry
 	limits        limits
 
 	callers   *http.Server
