--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -158,7 +158,7 @@
 	}
 	for _, name := range names {
 		m := &testPeers{self: name, books: books, names: names, down: down, failureRate: failureRate}
-		books[name] = NewBook(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, m, time.Now)
+		books[name] = NewRegistry(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, m, time.Now)
 	}
 	return books, down
 }
--- a/claims/registry.go
+++ b/claims/registry.go
@@ -72,8 +72,8 @@
 	size   int64
 }
 
-// NewBook returns a Book whose claims are kept in store.
-func NewBook(o Options, store Store, peers Peers, now func() time.Time) *Registry {
+// NewRegistry returns a Book whose claims are kept in store.
+func NewRegistry(o Options, store Store, peers Peers, now func() time.Time) *Registry {
 	b := &Registry{opts: o, peers: peers, now: now, entries: map[KeyHash]*entry{}, releasing: map[string]bool{}}
 	for i := range o.Shards {
 		b.shards = append(b.shards, NewShard(i, store, o.Window))
