--- a/peer/rpc.go
+++ b/peer/rpc.go
@@ -89,14 +89,14 @@
 	return a.Answer, nil
 }
 
-// Book serves the calls of other daemons on claims.
-type Book interface {
+// ClaimServer serves the calls of other daemons on claims.
+type ClaimServer interface {
 	Serve(ctx context.Context, r claims.Record) (claims.Verdict, error)
 	ServeAnswer(ctx context.Context, k claims.KeyHash, requestID string) (*claims.Answer, error)
 }
 
 // ServeClaims adds the handlers for calls on claims.
-func (n *Node) ServeClaims(mux *http.ServeMux, b Book) {
+func (n *Node) ServeClaims(mux *http.ServeMux, b ClaimServer) {
 	mux.HandleFunc("POST "+PathPropose, func(w http.ResponseWriter, r *http.Request) {
 		var in claims.Record
 		if !n.readCall(w, r, &in) {
