--- a/api/operators.go
+++ b/api/operators.go
@@ -23,7 +23,7 @@
 	Revision       store.Position        `json:"revision"`
 	Digest         string                `json:"digest"`
 	StoreBehind    bool                  `json:"storeBehind,omitempty"`
-	Rejected       []catalog.Verdict     `json:"rejected,omitempty"`
+	Rejected       []catalog.Result     `json:"rejected,omitempty"`
 	Running        int                   `json:"running"`
 	Waiting        int                   `json:"waiting"`
 	Violations     int64                 `json:"invariantViolations"`
@@ -78,7 +78,7 @@
 	Status() Status
 	Ready() error
 	Explain(id string) []decision.Record
-	Verdict(kind, name string) (catalog.Verdict, bool)
+	Verdict(kind, name string) (catalog.Result, bool)
 }
 
 // Operators serves the operators' interface.
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -19,8 +19,8 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Verdict is the result of evaluating the newest version seen of an object.
-type Verdict struct {
+// Result is the result of evaluating the newest version seen of an object.
+type Result struct {
 	Kind     string         `json:"kind"`
 	Name     string         `json:"name"`
 	Seen     store.Position `json:"seen"`    // newest version seen
@@ -30,13 +30,13 @@
 }
 
 // Accepted reports whether the newest version seen is in force.
-func (v *Verdict) Accepted() bool { return v.Rejected == "" }
+func (v *Result) Accepted() bool { return v.Rejected == "" }
 
 // record is the state of one object.
 type record struct {
 	newest store.Object // newest version seen, may be a tombstone
 	parsed any          // object in force, nil when deleted or never valid
-	result Verdict
+	result Result
 }
 
 // Mark summarizes a catalog: two catalogs with equal marks hold the same versions.
@@ -83,14 +83,14 @@
 
 // Apply applies objects from any source and returns the results of those that
 // were newer than the known version.
-func (c *Catalog) Apply(objects ...store.Object) []Verdict {
+func (c *Catalog) Apply(objects ...store.Object) []Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.apply(objects)
 }
 
-func (c *Catalog) apply(objects []store.Object) []Verdict {
-	var out []Verdict
+func (c *Catalog) apply(objects []store.Object) []Result {
+	var out []Result
 	changedKinds := map[topology.Kind]bool{}
 	for _, o := range objects {
 		if r := c.recordIfNewer(o); r != nil {
@@ -117,7 +117,7 @@
 		return nil
 	}
 	if r == nil {
-		r = &record{result: Verdict{Kind: o.Kind, Name: o.Name}}
+		r = &record{result: Result{Kind: o.Kind, Name: o.Name}}
 		c.records[id] = r
 	} else {
 		c.mark.Digest ^= digest(&r.newest)
@@ -241,22 +241,22 @@
 }
 
 // Verdict returns the result of an object.
-func (c *Catalog) Verdict(kind, name string) (Verdict, bool) {
+func (c *Catalog) Verdict(kind, name string) (Result, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.records[store.ID{Kind: kind, Name: name}]
 	if r == nil {
-		return Verdict{}, false
+		return Result{}, false
 	}
 	return r.result, true
 }
 
 // Rejected returns the results of objects whose newest version is not in force,
 // sorted by kind and name.
-func (c *Catalog) Rejected() []Verdict {
+func (c *Catalog) Rejected() []Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []Verdict
+	var out []Result
 	for _, r := range c.records {
 		if !r.result.Accepted() {
 			out = append(out, r.result)
@@ -267,7 +267,7 @@
 }
 
 // Newest returns the newest versions of the objects that results refer to.
-func (c *Catalog) Newest(results []Verdict) []store.Object {
+func (c *Catalog) Newest(results []Result) []store.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]store.Object, 0, len(results))
--- a/catalog/follower.go
+++ b/catalog/follower.go
@@ -125,7 +125,7 @@
 }
 
 // report publishes the objects of results and logs each result.
-func (f *Follower) report(results []Verdict) {
+func (f *Follower) report(results []Result) {
 	if f.publish != nil && len(results) > 0 {
 		f.publish(f.catalog.Newest(results))
 	}
--- a/catalog/list.go
+++ b/catalog/list.go
@@ -21,7 +21,7 @@
 // deleted if the read is newer than the object and the store is not behind: a
 // store restored from an older copy lacks accepted objects that were never
 // deleted, and accepted configuration must not revert.
-func (c *Catalog) ApplyList(kind topology.Kind, objects []store.Object, revision store.Position) []Verdict {
+func (c *Catalog) ApplyList(kind topology.Kind, objects []store.Object, revision store.Position) []Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lists.observe(string(kind), revision)
--- a/cmd/snowspoke/objects.go
+++ b/cmd/snowspoke/objects.go
@@ -192,7 +192,7 @@
 	}
 	var out []string
 	for daemon, address := range addresses {
-		var v catalog.Verdict
+		var v catalog.Result
 		err := c.getJSON(address, "/v1/verdict/"+escape(string(kind))+"/"+escape(name), &v)
 		switch {
 		case err != nil:
--- a/daemon/inspect.go
+++ b/daemon/inspect.go
@@ -93,6 +93,6 @@
 }
 
 // Verdict implements api.Inspector.
-func (d *Daemon) Verdict(kind, name string) (catalog.Verdict, bool) {
+func (d *Daemon) Verdict(kind, name string) (catalog.Result, bool) {
 	return d.catalog.Verdict(kind, name)
 }
--- a/peer/node.go
+++ b/peer/node.go
@@ -35,7 +35,7 @@
 // Catalog is the configuration in force that a node synchronizes with its peers.
 type Catalog interface {
 	Mark() catalog.Mark
-	Apply(objects ...store.Object) []catalog.Verdict
+	Apply(objects ...store.Object) []catalog.Result
 	Since(revision store.Position) []store.Object
 }
 
