--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -240,8 +240,8 @@
 	return out
 }
 
-// Verdict returns the result of an object.
-func (c *Catalog) Verdict(kind, name string) (Result, bool) {
+// Result returns the result of an object.
+func (c *Catalog) Result(kind, name string) (Result, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.records[store.ID{Kind: kind, Name: name}]
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -34,7 +34,7 @@
 		inForce := map[string]store.Position{}
 		for _, o := range shuffled {
 			one.Apply(o)
-			v, ok := one.Verdict(o.Kind, o.Name)
+			v, ok := one.Result(o.Kind, o.Name)
 			require.True(t, ok)
 			require.GreaterOrEqual(t, v.InForce, inForce[o.Name])
 			inForce[o.Name] = v.InForce
--- a/daemon/inspect.go
+++ b/daemon/inspect.go
@@ -94,5 +94,5 @@
 
 // Verdict implements api.Inspector.
 func (d *Daemon) Verdict(kind, name string) (catalog.Result, bool) {
-	return d.catalog.Verdict(kind, name)
+	return d.catalog.Result(kind, name)
 }
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -168,7 +168,7 @@
 // inForce reports whether every daemon has the version in force.
 func (f *testFleet) inForce(version store.Position) bool {
 	for _, d := range f.daemons {
-		v, ok := d.catalog.Verdict(string(topology.KindModel), "m")
+		v, ok := d.catalog.Result(string(topology.KindModel), "m")
 		if !ok || v.InForce < version {
 			return false
 		}
@@ -253,7 +253,7 @@
 			v = f.setModel(10 + i)
 			time.Sleep(7 * time.Second)
 			for _, d := range f.daemons {
-				seen, _ := d.catalog.Verdict(string(topology.KindModel), "m")
+				seen, _ := d.catalog.Result(string(topology.KindModel), "m")
 				require.GreaterOrEqual(t, seen.InForce, highest[d.catalog])
 				highest[d.catalog] = seen.InForce
 			}
