--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -132,13 +132,13 @@
 
 func (m *testPeers) Writer(shard int) string { return m.names[shard%len(m.names)] }
 
-func (m *testPeers) Propose(ctx context.Context, daemon string, r Record) (Verdict, error) {
+func (m *testPeers) Propose(ctx context.Context, daemon string, r Record) (Result, error) {
 	if m.down[daemon] {
-		return Verdict{}, errUnreachable
+		return Result{}, errUnreachable
 	}
 	v, err := m.books[daemon].Serve(ctx, r)
 	if rand.Float64() < m.failureRate {
-		return Verdict{}, errUnreachable
+		return Result{}, errUnreachable
 	}
 	return v, err
 }
--- a/claims/registry.go
+++ b/claims/registry.go
@@ -31,7 +31,7 @@
 	// Writer returns the preferred writer of a shard, which may be this daemon.
 	Writer(shard int) string
 	// Propose requests that another daemon commit a record.
-	Propose(ctx context.Context, daemon string, r Record) (Verdict, error)
+	Propose(ctx context.Context, daemon string, r Record) (Result, error)
 	// Answer requests the answer of a request from another daemon, which waits
 	// for it while the request is running.
 	Answer(ctx context.Context, daemon string, key KeyHash, requestID string) (*Answer, error)
@@ -158,7 +158,7 @@
 
 // propose commits a record through the shard's preferred writer, or locally if
 // that daemon does not answer. The preferred writer only reduces conflicts.
-func (b *Registry) propose(ctx context.Context, r Record) (Verdict, error) {
+func (b *Registry) propose(ctx context.Context, r Record) (Result, error) {
 	i := ShardOf(r.Key, b.opts.Shards)
 	if w := b.peers.Writer(i); w != "" && w != b.opts.Self {
 		forwardCtx, cancel := context.WithTimeout(ctx, forwardTimeout)
@@ -264,7 +264,7 @@
 }
 
 // Serve handles Peers.Propose of another daemon.
-func (b *Registry) Serve(ctx context.Context, r Record) (Verdict, error) {
+func (b *Registry) Serve(ctx context.Context, r Record) (Result, error) {
 	return b.shards[ShardOf(r.Key, b.opts.Shards)].ProposeFor(ctx, r)
 }
 
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -21,8 +21,8 @@
 	KindSegment = string(topology.KindClaimSegment)
 )
 
-// Verdict is the result of a proposed claim.
-type Verdict struct {
+// Result is the result of a proposed claim.
+type Result struct {
 	Won  bool   // the proposer holds the claim
 	Held Record // the claim in force
 }
@@ -75,7 +75,7 @@
 }
 
 type outcome struct {
-	claimResult Verdict
+	claimResult Result
 	err         error
 }
 
@@ -87,17 +87,17 @@
 // Propose commits a record of this daemon together with other waiting ones. After
 // an error the request must not run; if the claim is committed nevertheless, it is
 // released.
-func (s *Shard) Propose(ctx context.Context, r Record) (Verdict, error) {
+func (s *Shard) Propose(ctx context.Context, r Record) (Result, error) {
 	return s.submit(&proposal{record: r, result: make(chan outcome, 1), ctx: ctx, own: true})
 }
 
 // ProposeFor commits a record of another daemon. That daemon may commit the claim
 // through another writer and run the request, so nothing is released here.
-func (s *Shard) ProposeFor(ctx context.Context, r Record) (Verdict, error) {
+func (s *Shard) ProposeFor(ctx context.Context, r Record) (Result, error) {
 	return s.submit(&proposal{record: r, result: make(chan outcome, 1), ctx: ctx})
 }
 
-func (s *Shard) submit(p *proposal) (Verdict, error) {
+func (s *Shard) submit(p *proposal) (Result, error) {
 	s.mu.Lock()
 	s.waiting = append(s.waiting, p)
 	if !s.writing {
@@ -110,7 +110,7 @@
 		return o.claimResult, o.err
 	case <-p.ctx.Done():
 		if p.settled.CompareAndSwap(false, true) {
-			return Verdict{}, context.Cause(p.ctx)
+			return Result{}, context.Cause(p.ctx)
 		}
 		o := <-p.result
 		return o.claimResult, o.err
@@ -198,10 +198,10 @@
 	}
 	for i, p := range group {
 		if held, lost := conflicts[i]; lost {
-			p.answer(outcome{claimResult: Verdict{Held: held}})
+			p.answer(outcome{claimResult: Result{Held: held}})
 			continue
 		}
-		if !p.answer(outcome{claimResult: Verdict{Won: true, Held: p.record}}) && p.own && !p.record.Release {
+		if !p.answer(outcome{claimResult: Result{Won: true, Held: p.record}}) && p.own && !p.record.Release {
 			s.releaseAbandoned(p.record)
 		}
 	}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -117,7 +117,7 @@
 func (p peerAdapter) Writer(shard int) string { return p.d.node.Writer(shard) }
 
 // Propose implements claims.Peers.
-func (p peerAdapter) Propose(ctx context.Context, daemon string, r claims.Record) (claims.Verdict, error) {
+func (p peerAdapter) Propose(ctx context.Context, daemon string, r claims.Record) (claims.Result, error) {
 	return p.d.node.Propose(ctx, daemon, r)
 }
 
--- a/peer/rpc.go
+++ b/peer/rpc.go
@@ -71,8 +71,8 @@
 }
 
 // Propose implements claims.Peers.
-func (n *Node) Propose(ctx context.Context, daemon string, r claims.Record) (claims.Verdict, error) {
-	var v claims.Verdict
+func (n *Node) Propose(ctx context.Context, daemon string, r claims.Record) (claims.Result, error) {
+	var v claims.Result
 	err := n.call(ctx, daemon, PathPropose, r, &v)
 	return v, err
 }
@@ -91,7 +91,7 @@
 
 // ClaimServer serves the calls of other daemons on claims.
 type ClaimServer interface {
-	Serve(ctx context.Context, r claims.Record) (claims.Verdict, error)
+	Serve(ctx context.Context, r claims.Record) (claims.Result, error)
 	ServeAnswer(ctx context.Context, k claims.KeyHash, requestID string) (*claims.Answer, error)
 }
 
