--- a/peer/member.go
+++ b/peer/member.go
@@ -106,9 +106,9 @@
 	return t.self, true
 }
 
-// Accuse marks a daemon as suspect and returns the update. It returns false if
+// MarkSuspect marks a daemon as suspect and returns the update. It returns false if
 // the daemon is unknown, suspect or dead.
-func (t *Members) Accuse(name string, now time.Time) (Member, bool) {
+func (t *Members) MarkSuspect(name string, now time.Time) (Member, bool) {
 	r := t.others[name]
 	if r == nil || r.State >= Suspect {
 		return Member{}, false
--- a/peer/node.go
+++ b/peer/node.go
@@ -222,7 +222,7 @@
 // markSuspect marks a daemon as suspect and broadcasts the change.
 func (n *Node) markSuspect(name string) {
 	n.mu.Lock()
-	update, changed := n.members.Accuse(name, time.Now())
+	update, changed := n.members.MarkSuspect(name, time.Now())
 	n.mu.Unlock()
 	if changed {
 		n.broadcastMember(update, "")
