--- a/peer/member.go
+++ b/peer/member.go
@@ -219,10 +219,10 @@
 	return found && before < n
 }
 
-// Neighbours returns the daemons that a daemon opens links to. On a ring ordered
+// Neighbors returns the daemons that a daemon opens links to. On a ring ordered
 // by hash, these are 1, N^(1/d), N^(2/d), ... positions ahead, so that every
 // daemon has about 2d links and an update reaches the fleet in few hops.
-func Neighbours(self string, members []Member, degree int) []Member {
+func Neighbors(self string, members []Member, degree int) []Member {
 	ring := rank("ring", members)
 	at := slices.IndexFunc(ring, func(m Member) bool { return m.Name == self })
 	n := len(ring)
--- a/peer/member_test.go
+++ b/peer/member_test.go
@@ -52,7 +52,7 @@
 		}
 		links := map[string][]string{}
 		for _, m := range members {
-			for _, o := range Neighbours(m.Name, members, 4) {
+			for _, o := range Neighbors(m.Name, members, 4) {
 				links[m.Name] = append(links[m.Name], o.Name)
 				links[o.Name] = append(links[o.Name], m.Name)
 			}
--- a/peer/node.go
+++ b/peer/node.go
@@ -140,7 +140,7 @@
 // The caller holds n.mu.
 func (n *Node) dialTargets() []dialTarget {
 	var out []dialTarget
-	for _, m := range Neighbours(n.opts.Self.Name, n.members.Working(), n.opts.Degree) {
+	for _, m := range Neighbors(n.opts.Self.Name, n.members.Working(), n.opts.Degree) {
 		if n.links[m.Name] == nil {
 			out = append(out, dialTarget{m.Name, m.Address})
 		}
