--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -44,7 +44,7 @@
 
 // permitMembers returns the daemons that share the limits.
 func (d *Daemon) permitMembers() []permit.Member {
-	all := d.node.Sharing(time.Now())
+	all := d.node.ShareHolders(time.Now())
 	out := make([]permit.Member, len(all))
 	for i, m := range all {
 		out[i] = permit.Member{Name: m.Name, Address: m.Address}
--- a/peer/member_test.go
+++ b/peer/member_test.go
@@ -96,14 +96,14 @@
 		return New(Options{Self: self, Seeds: seeds, Dead: time.Second}, nil, nil, nil, log.NewNopLogger())
 	}
 	now := time.Now()
-	require.Len(t, node().Sharing(now), 1, "nowhere to find others")
+	require.Len(t, node().ShareHolders(now), 1, "nowhere to find others")
 	n := node("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.2:1")
-	require.Empty(t, n.Sharing(now), "just started")
-	require.Len(t, n.Sharing(now.Add(joinGrace+time.Second)), 3, "itself and two that it cannot reach")
+	require.Empty(t, n.ShareHolders(now), "just started")
+	require.Len(t, n.ShareHolders(now.Add(joinGrace+time.Second)), 3, "itself and two that it cannot reach")
 
 	n.members.Apply(Member{Name: "b", Address: "10.0.0.2:1"}, now)
-	require.Len(t, n.Sharing(now), 2, "as the members state")
+	require.Len(t, n.ShareHolders(now), 2, "as the members state")
 	n.members.Apply(Member{Name: "b", Address: "10.0.0.2:1", State: Dead}, now)
-	require.Len(t, n.Sharing(now.Add(shareRetention-time.Second)), 2)
-	require.Len(t, n.Sharing(now.Add(shareRetention)), 3, "itself and two that it cannot reach")
+	require.Len(t, n.ShareHolders(now.Add(shareRetention-time.Second)), 2)
+	require.Len(t, n.ShareHolders(now.Add(shareRetention)), 3, "itself and two that it cannot reach")
 }
--- a/peer/roles.go
+++ b/peer/roles.go
@@ -23,12 +23,12 @@
 	return n.members.All()
 }
 
-// Sharing returns every daemon that may hold a share of state that the fleet divides among
+// ShareHolders returns every daemon that may hold a share of state that the fleet divides among
 // its daemons: all known ones except those dead for shareRetention. An unreachable daemon
 // keeps using its share on its side of a partition. A daemon that knows no other, because it
 // has just started or has been isolated since then, must not assume that it is the only one:
-// Sharing returns none until joinGrace has passed, then itself and one member for each seed.
-func (n *Node) Sharing(now time.Time) []Member {
+// ShareHolders returns none until joinGrace has passed, then itself and one member for each seed.
+func (n *Node) ShareHolders(now time.Time) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	all := n.members.NotLongDead(shareRetention, now)
