--- a/peer/link.go
+++ b/peer/link.go
@@ -136,7 +136,7 @@
 // Configuration is sent on request, after heartbeats have been compared.
 func (n *Node) sendState(l *link) {
 	n.mu.Lock()
-	f := &Frame{Members: n.members.All(), Beat: &Beat{Mark: n.catalog.Mark()}}
+	f := &Frame{Members: n.members.All(), Beat: &Heartbeat{Mark: n.catalog.Mark()}}
 	if vms := n.vms; vms.ReadAt > 0 {
 		f.VMs = &vms
 	}
@@ -290,7 +290,7 @@
 // compareMarks requests configuration when a peer's mark has differed for
 // mismatchThreshold heartbeats, which leaves time for updates in transit. An
 // empty catalog requests it at once.
-func (n *Node) compareMarks(l *link, b *Beat, now time.Time) {
+func (n *Node) compareMarks(l *link, b *Heartbeat, now time.Time) {
 	mine := n.catalog.Mark()
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -17,7 +17,7 @@
 // Frame is a message on a link. Empty fields are omitted.
 type Frame struct {
 	Hello    *Hello           `cbor:"1,keyasint,omitempty"`
-	Beat     *Beat            `cbor:"2,keyasint,omitempty"`
+	Beat     *Heartbeat            `cbor:"2,keyasint,omitempty"`
 	Members  []Member         `cbor:"3,keyasint,omitempty"`
 	Objects  []store.Object   `cbor:"4,keyasint,omitempty"`
 	Statuses []backend.Status `cbor:"5,keyasint,omitempty"`
@@ -37,8 +37,8 @@
 	Self Member `cbor:"1,keyasint"`
 }
 
-// Beat is a heartbeat.
-type Beat struct {
+// Heartbeat is a heartbeat.
+type Heartbeat struct {
 	Mark catalog.Mark `cbor:"1,keyasint"`
 }
 
