--- a/peer/link.go
+++ b/peer/link.go
@@ -305,7 +305,7 @@
 		return
 	}
 	n.configRequestedAt = now
-	data, err := encode(&Frame{Want: &Want{Mark: mine}})
+	data, err := encode(&Frame{Want: &ConfigRequest{Mark: mine}})
 	if err == nil {
 		l.send(data)
 	}
@@ -314,7 +314,7 @@
 // sendMissing sends the objects that a peer lacks: the changes above its
 // revision, or a snapshot if it has no configuration, or if the changes number
 // none or more than maxDelta.
-func (n *Node) sendMissing(l *link, w *Want) {
+func (n *Node) sendMissing(l *link, w *ConfigRequest) {
 	objects := n.catalog.Since(w.Mark.Revision)
 	if w.Mark.Revision > 0 && len(objects) > 0 && len(objects) <= maxDelta {
 		n.sendTo(l, &Frame{Objects: objects})
