--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -122,7 +122,7 @@
 // taking effect.
 type testPeers struct {
 	self        string
-	books       map[string]*Book
+	books       map[string]*Registry
 	names       []string
 	down        map[string]bool
 	failureRate float64
@@ -132,13 +132,13 @@
 
 func (m *testPeers) Writer(shard int) string { return m.names[shard%len(m.names)] }
 
-func (m *testPeers) Propose(ctx context.Context, daemon string, r Record) (Verdict, error) {
+func (m *testPeers) Propose(ctx context.Context, daemon string, r Record) (Result, error) {
 	if m.down[daemon] {
-		return Verdict{}, errUnreachable
+		return Result{}, errUnreachable
 	}
 	v, err := m.books[daemon].Serve(ctx, r)
 	if rand.Float64() < m.failureRate {
-		return Verdict{}, errUnreachable
+		return Result{}, errUnreachable
 	}
 	return v, err
 }
@@ -150,15 +150,15 @@
 	return m.books[daemon].ServeAnswer(ctx, k, requestID)
 }
 
-func newTestBooks(store Store, n int, failureRate float64) (map[string]*Book, map[string]bool) {
-	books, down := map[string]*Book{}, map[string]bool{}
+func newTestBooks(store Store, n int, failureRate float64) (map[string]*Registry, map[string]bool) {
+	books, down := map[string]*Registry{}, map[string]bool{}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("d", i))
 	}
 	for _, name := range names {
 		m := &testPeers{self: name, books: books, names: names, down: down, failureRate: failureRate}
-		books[name] = NewBook(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, m, time.Now)
+		books[name] = NewRegistry(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, m, time.Now)
 	}
 	return books, down
 }
--- a/peer/link.go
+++ b/peer/link.go
@@ -136,7 +136,7 @@
 // Configuration is sent on request, after heartbeats have been compared.
 func (n *Node) sendState(l *link) {
 	n.mu.Lock()
-	f := &Frame{Members: n.members.All(), Beat: &Beat{Mark: n.catalog.Mark()}}
+	f := &Frame{Members: n.members.All(), Beat: &Heartbeat{Mark: n.catalog.Mark()}}
 	if vms := n.vms; vms.ReadAt > 0 {
 		f.VMs = &vms
 	}
@@ -290,7 +290,7 @@
 // compareMarks requests configuration when a peer's mark has differed for
 // mismatchThreshold heartbeats, which leaves time for updates in transit. An
 // empty catalog requests it at once.
-func (n *Node) compareMarks(l *link, b *Beat, now time.Time) {
+func (n *Node) compareMarks(l *link, b *Heartbeat, now time.Time) {
 	mine := n.catalog.Mark()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -305,7 +305,7 @@
 		return
 	}
 	n.configRequestedAt = now
-	data, err := encode(&Frame{Want: &Want{Mark: mine}})
+	data, err := encode(&Frame{Want: &ConfigRequest{Mark: mine}})
 	if err == nil {
 		l.send(data)
 	}
@@ -314,7 +314,7 @@
 // sendMissing sends the objects that a peer lacks: the changes above its
 // revision, or a snapshot if it has no configuration, or if the changes number
 // none or more than maxDelta.
-func (n *Node) sendMissing(l *link, w *Want) {
+func (n *Node) sendMissing(l *link, w *ConfigRequest) {
 	objects := n.catalog.Since(w.Mark.Revision)
 	if w.Mark.Revision > 0 && len(objects) > 0 && len(objects) <= maxDelta {
 		n.sendTo(l, &Frame{Objects: objects})
--- a/peer/member.go
+++ b/peer/member.go
@@ -106,9 +106,9 @@
 	return t.self, true
 }
 
-// Accuse marks a daemon as suspect and returns the update. It returns false if
+// MarkSuspect marks a daemon as suspect and returns the update. It returns false if
 // the daemon is unknown, suspect or dead.
-func (t *Members) Accuse(name string, now time.Time) (Member, bool) {
+func (t *Members) MarkSuspect(name string, now time.Time) (Member, bool) {
 	r := t.others[name]
 	if r == nil || r.State >= Suspect {
 		return Member{}, false
@@ -219,10 +219,10 @@
 	return found && before < n
 }
 
-// Neighbours returns the daemons that a daemon opens links to. On a ring ordered
+// Neighbors returns the daemons that a daemon opens links to. On a ring ordered
 // by hash, these are 1, N^(1/d), N^(2/d), ... positions ahead, so that every
 // daemon has about 2d links and an update reaches the fleet in few hops.
-func Neighbours(self string, members []Member, degree int) []Member {
+func Neighbors(self string, members []Member, degree int) []Member {
 	ring := rank("ring", members)
 	at := slices.IndexFunc(ring, func(m Member) bool { return m.Name == self })
 	n := len(ring)
--- a/peer/node.go
+++ b/peer/node.go
@@ -35,7 +35,7 @@
 // Catalog is the configuration in force that a node synchronizes with its peers.
 type Catalog interface {
 	Mark() catalog.Mark
-	Apply(objects ...store.Object) []catalog.Verdict
+	Apply(objects ...store.Object) []catalog.Result
 	Since(revision store.Position) []store.Object
 }
 
@@ -114,7 +114,7 @@
 // tick sends heartbeats, closes silent links and opens missing ones.
 func (n *Node) tick(ctx context.Context) {
 	now := time.Now()
-	n.broadcast(&Frame{Beat: &Beat{Mark: n.catalog.Mark()}}, "")
+	n.broadcast(&Frame{Beat: &Heartbeat{Mark: n.catalog.Mark()}}, "")
 	n.mu.Lock()
 	for _, m := range n.members.Tick(now) {
 		_ = level.Info(n.logger).Log("msg", "peer dead", "peer", m.Name)
@@ -140,7 +140,7 @@
 // The caller holds n.mu.
 func (n *Node) dialTargets() []dialTarget {
 	var out []dialTarget
-	for _, m := range Neighbours(n.opts.Self.Name, n.members.Working(), n.opts.Degree) {
+	for _, m := range Neighbors(n.opts.Self.Name, n.members.Working(), n.opts.Degree) {
 		if n.links[m.Name] == nil {
 			out = append(out, dialTarget{m.Name, m.Address})
 		}
@@ -222,7 +222,7 @@
 // markSuspect marks a daemon as suspect and broadcasts the change.
 func (n *Node) markSuspect(name string) {
 	n.mu.Lock()
-	update, changed := n.members.Accuse(name, time.Now())
+	update, changed := n.members.MarkSuspect(name, time.Now())
 	n.mu.Unlock()
 	if changed {
 		n.broadcastMember(update, "")
--- a/peer/rpc.go
+++ b/peer/rpc.go
@@ -71,8 +71,8 @@
 }
 
 // Propose implements claims.Peers.
-func (n *Node) Propose(ctx context.Context, daemon string, r claims.Record) (claims.Verdict, error) {
-	var v claims.Verdict
+func (n *Node) Propose(ctx context.Context, daemon string, r claims.Record) (claims.Result, error) {
+	var v claims.Result
 	err := n.call(ctx, daemon, PathPropose, r, &v)
 	return v, err
 }
@@ -89,14 +89,14 @@
 	return a.Answer, nil
 }
 
-// Book serves the calls of other daemons on claims.
-type Book interface {
-	Serve(ctx context.Context, r claims.Record) (claims.Verdict, error)
+// ClaimServer serves the calls of other daemons on claims.
+type ClaimServer interface {
+	Serve(ctx context.Context, r claims.Record) (claims.Result, error)
 	ServeAnswer(ctx context.Context, k claims.KeyHash, requestID string) (*claims.Answer, error)
 }
 
 // ServeClaims adds the handlers for calls on claims.
-func (n *Node) ServeClaims(mux *http.ServeMux, b Book) {
+func (n *Node) ServeClaims(mux *http.ServeMux, b ClaimServer) {
 	mux.HandleFunc("POST "+PathPropose, func(w http.ResponseWriter, r *http.Request) {
 		var in claims.Record
 		if !n.readCall(w, r, &in) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -365,8 +365,8 @@
 }
 
 // disturbStore gives the store a trouble for a random time.
-func (f *faults) disturbStore(t standin.Trouble) {
-	f.during(func() { f.site.Store.SetTrouble(t) }, func() { f.site.Store.SetTrouble(standin.Sound) })
+func (f *faults) disturbStore(t standin.StoreMode) {
+	f.during(func() { f.site.Store.SetMode(t) }, func() { f.site.Store.SetMode(standin.Healthy) })
 }
 
 // maxRewriteDelay is the maximum time until the operator and the backend servers write
@@ -402,7 +402,7 @@
 	all := f.site.Servers()
 	p := all[f.r.IntN(len(all))]
 	for range 1 + f.r.IntN(4) {
-		p.Next(standin.Fault(1 + f.r.IntN(int(standin.RefuseNoRun))))
+		p.AddFaults(standin.Fault(1 + f.r.IntN(int(standin.RefuseAmbiguous))))
 	}
 }
 
@@ -425,7 +425,7 @@
 	all[f.r.IntN(len(all))].Kill()
 	f.active.Go(func() {
 		time.Sleep(300 * time.Millisecond)
-		f.site.StartEndedAgain(time.Now())
+		f.site.RestartEnded(time.Now())
 	})
 }
 
@@ -451,19 +451,19 @@
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	f.active.Go(func() {
 		for _, p := range f.all {
-			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamTo, Key: sitetrial.Key, ID: body + p.name, Body: body}
+			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamPath, Key: sitetrial.Key, ID: body + p.name, Body: body}
 			ctx, cancel := context.WithTimeout(context.Background(), crashTimeout)
 			_ = sitetrial.Do(ctx, client, p.callers, call) // any result is valid
 			cancel()
 		}
-		f.site.StartEndedAgain(time.Now())
+		f.site.RestartEnded(time.Now())
 	})
 }
 
 // heal waits for faults that end and clears the others.
 func (f *faults) heal() {
 	f.active.Wait()
-	f.site.Store.SetTrouble(standin.Sound)
+	f.site.Store.SetMode(standin.Healthy)
 	for _, p := range f.all {
 		p.proxy.Set(standin.Pass)
 		p.signal(syscall.SIGCONT)
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -42,7 +42,7 @@
 	for n := range 16 {
 		wg.Go(func() {
 			call := sitetrial.Call{
-				Method: "POST", Path: sitetrial.StreamTo, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n),
+				Method: "POST", Path: sitetrial.StreamPath, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n),
 				Header: map[string]string{"Snowspoke-Deadline-Ms": "25000"},
 			}
 			a := sitetrial.Do(ctx, client, second.callers, call)
@@ -79,7 +79,7 @@
 	var wg sync.WaitGroup
 	for n := range 8 {
 		wg.Go(func() {
-			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamTo, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n)}
+			call := sitetrial.Call{Method: "POST", Path: sitetrial.StreamPath, Key: sitetrial.Key, ID: fmt.Sprint("living-", n), Body: fmt.Sprint("body ", n)}
 			a := sitetrial.Do(t.Context(), client, p.callers, call)
 			assert.Equal(t, sitetrial.Events(1, 100), a.Body, "stream %d, status %d, %v", n, a.Status, a.Err)
 		})
@@ -87,7 +87,7 @@
 	time.Sleep(500 * time.Millisecond)
 	p.signal(syscall.SIGSTOP)
 	time.Sleep(50 * time.Millisecond)
-	dead := slices.MaxFunc(site.Servers(), func(a, b *sitetrial.Placed) int { return headRuns(a) - headRuns(b) })
+	dead := slices.MaxFunc(site.Servers(), func(a, b *sitetrial.Server) int { return headRuns(a) - headRuns(b) })
 	dead.Kill()
 	time.Sleep(200 * time.Millisecond)
 	p.signal(syscall.SIGCONT)
@@ -114,7 +114,7 @@
 
 // headRuns returns the number of streams that a backend server ran as their head, or
 // -1 if it holds no first layers.
-func headRuns(p *sitetrial.Placed) int {
+func headRuns(p *sitetrial.Server) int {
 	if from, to := p.Held(); from > 0 || to == 0 {
 		return -1
 	}
--- a/trial/site.go
+++ b/trial/site.go
@@ -107,12 +107,12 @@
 			progress("a backend server breaks answers off")
 			for _, p := range s.Servers() {
 				if p.ID == "b-plain-0" {
-					p.Next(standin.BreakOff, standin.ResetAfter, standin.Surplus)
+					p.AddFaults(standin.BreakOff, standin.ResetAfter, standin.Surplus)
 				}
 			}
 		},
-		140: func() { progress("the store is away"); s.Store.SetTrouble(standin.Refusing) },
-		200: func() { progress("the store is back"); s.Store.SetTrouble(standin.Sound) },
+		140: func() { progress("the store is away"); s.Store.SetMode(standin.Refusing) },
+		200: func() { progress("the store is back"); s.Store.SetMode(standin.Healthy) },
 		220: func() { progress("a daemon is stopped as planned"); daemons[2].stop() },
 	}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: onceParallel}}
