--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -86,7 +86,7 @@
 	}
 	r.d.observe.Dropped(r.delivery.drops)
 	if err != nil {
-		err = r.Truth(err)
+		err = r.Answer(err)
 	} else {
 		r.d.gate.EarnRetry(r.req.Workspace.Name, r.model.Name)
 	}
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -70,7 +70,7 @@
 	err := c.run(ctx)
 	kind := "whole"
 	if err != nil {
-		e := c.Truth(err)
+		e := c.Answer(err)
 		kind, err = string(e.Kind), e
 		s.log.Add(decision.Record{
 			Time: s.clock(), Kind: decision.Refuse, RequestID: req.Call.RequestID, Attempt: c.attempt,
--- a/execution/life.go
+++ b/execution/life.go
@@ -97,9 +97,9 @@
 // NotRun reports whether certainly no attempt ran.
 func (l *Life) NotRun() bool { return l.state.NotRun() && !l.ran && l.sends == 0 }
 
-// Truth converts any error into an answer that correctly states whether the
+// Answer converts any error into an answer that correctly states whether the
 // request ran. If the result is not correct, it returns the violated invariant.
-func (l *Life) Truth(err error) *apierror.Error {
+func (l *Life) Answer(err error) *apierror.Error {
 	e := l.correct(apierror.From(err))
 	if verr := l.checkAnswer(e); verr != nil {
 		return apierror.From(verr)
--- a/execution/run.go
+++ b/execution/run.go
@@ -38,7 +38,7 @@
 			if err == nil {
 				return nil
 			}
-			return l.Truth(err)
+			return l.Answer(err)
 		}
 		if ctx.Err() != nil {
 			return l.Ended(ctx, s.Progress())
