--- a/execution/life.go
+++ b/execution/life.go
@@ -58,8 +58,8 @@
 // New returns the Life of a request that was not sent yet.
 func New(repeatable bool) Life { return Life{repeatable: repeatable} }
 
-// Begun returns the Life of a request that another daemon has sent.
-func Begun(repeatable bool) Life {
+// NewSent returns the Life of a request that another daemon has sent.
+func NewSent(repeatable bool) Life {
 	return Life{state: Unknown, ran: true, repeatable: repeatable, sends: 1}
 }
 
