--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -105,7 +105,7 @@
 }
 
 // Send implements execution.Sender.
-func (c *call) Send(ctx context.Context) (execution.Verdict, error) {
+func (c *call) Send(ctx context.Context) (execution.Result, error) {
 	e, err := c.acquireEndpoint(ctx)
 	if err != nil {
 		return execution.Answered, err
@@ -145,7 +145,7 @@
 
 // Retry implements execution.Sender. It takes a retry out of the budget only if
 // another endpoint is left.
-func (c *call) Retry(context.Context, execution.Verdict) bool {
+func (c *call) Retry(context.Context, execution.Result) bool {
 	if c.attempt+1 >= maxServiceAttempts || c.s.pickEndpoint(c.svc, c.tried) == nil || !c.s.gate.SpendRetry(c.req.Workspace.Name, c.svc.Name) {
 		return false
 	}
--- a/execution/run.go
+++ b/execution/run.go
@@ -7,12 +7,12 @@
 	"github.com/snowspoke/snowspoke/apierror"
 )
 
-// Verdict is the result of a send and decides whether another may follow.
-type Verdict uint8
+// Result is the result of a send and decides whether another may follow.
+type Result uint8
 
 // The verdicts.
 const (
-	Answered   Verdict = iota // final: the caller has an answer, or gets the error
+	Answered   Result = iota // final: the caller has an answer, or gets the error
 	NotRunHere                // did not run; may be sent elsewhere
 	MayHaveRun                // may be sent again only if the request is repeatable
 )
@@ -20,10 +20,10 @@
 // Sender performs the sends of one request.
 type Sender interface {
 	// Send picks a target, sends the request there once and relays the answer.
-	Send(ctx context.Context) (Verdict, error)
+	Send(ctx context.Context) (Result, error)
 	// Retry reports whether the request may be sent again after a verdict, and takes
 	// the retry out of its budget. It may wait for a retry to become available.
-	Retry(ctx context.Context, v Verdict) bool
+	Retry(ctx context.Context, v Result) bool
 	// Progress describes how far the request got, for error details.
 	Progress() string
 }
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -24,7 +24,7 @@
 	ran     int // sends that may have run
 }
 
-func (s *scriptedSender) Send(context.Context) (Verdict, error) {
+func (s *scriptedSender) Send(context.Context) (Result, error) {
 	err := s.sends[min(s.made, len(s.sends)-1)]
 	s.made++
 	if s.made == s.endAt {
@@ -48,7 +48,7 @@
 	return MayHaveRun, err
 }
 
-func (s *scriptedSender) Retry(context.Context, Verdict) bool {
+func (s *scriptedSender) Retry(context.Context, Result) bool {
 	s.retries--
 	return s.retries >= 0
 }
--- a/forward/run.go
+++ b/forward/run.go
@@ -88,7 +88,7 @@
 }
 
 // Send implements execution.Sender.
-func (r *run) Send(ctx context.Context) (execution.Verdict, error) {
+func (r *run) Send(ctx context.Context) (execution.Result, error) {
 	t, err := r.pick(ctx)
 	if err != nil {
 		r.returnRetry()
@@ -102,7 +102,7 @@
 }
 
 // Retry implements execution.Sender.
-func (r *run) Retry(ctx context.Context, v execution.Verdict) bool {
+func (r *run) Retry(ctx context.Context, v execution.Result) bool {
 	if v == execution.NotRunHere && r.headSent.Load() {
 		return r.pauseBegun(ctx) && r.awaitRetry(ctx)
 	}
@@ -121,7 +121,7 @@
 
 // send makes one send and forwards the answer. The request counts as sent before the
 // first byte can leave, and until its outcome is known.
-func (r *run) send(ctx context.Context, t *target) (execution.Verdict, error) {
+func (r *run) send(ctx context.Context, t *target) (execution.Result, error) {
 	left := boottime.Until(r.deadline)
 	if left < minTimeLeft {
 		return execution.Answered, r.endError(ctx)
@@ -153,7 +153,7 @@
 }
 
 // stateAfter returns the execution state after a send.
-func stateAfter(v execution.Verdict, err error) execution.State {
+func stateAfter(v execution.Result, err error) execution.State {
 	switch {
 	case v == execution.Answered && err == nil:
 		return execution.Delivered
@@ -164,7 +164,7 @@
 }
 
 // carry sends a request to its first hop and its answer to the caller.
-func (r *run) carry(ctx context.Context, t *target, left time.Duration) (execution.Verdict, error) {
+func (r *run) carry(ctx context.Context, t *target, left time.Duration) (execution.Result, error) {
 	if r.isStream() {
 		return r.sendStream(ctx, t, left)
 	}
@@ -209,7 +209,7 @@
 // refused evaluates the outcome of a send; execution.Answered means that the answer may
 // be forwarded. If the head refuses because of another hop, that hop may be full or dead
 // and is probed, so that later requests do not retry a dead one until its record is gone.
-func (r *run) refused(t *target, a *Answer, err error) (execution.Verdict, error) {
+func (r *run) refused(t *target, a *Answer, err error) (execution.Result, error) {
 	now := time.Now()
 	head := t.head()
 	if errors.Is(err, execution.ErrNotSent) {
@@ -243,7 +243,7 @@
 
 // relayComplete buffers an answer and writes it to the caller. A server error is written
 // as it is if the request cannot be repeated.
-func (r *run) relayComplete(ctx context.Context, t *target, a *Answer) (execution.Verdict, error) {
+func (r *run) relayComplete(ctx context.Context, t *target, a *Answer) (execution.Result, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
 		err = errTooLong
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -72,7 +72,7 @@
 	ended       bool
 }
 
-func (r *run) sendStream(ctx context.Context, t *target, left time.Duration) (execution.Verdict, error) {
+func (r *run) sendStream(ctx context.Context, t *target, left time.Duration) (execution.Result, error) {
 	sctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	s := &stream{r: r, progress: r.progress, attempt: r.sends, cancel: cancel, path: t.path, tokens: t.tokens, silentSince: time.Now(), stepMS: t.choice.StepMS}
@@ -139,7 +139,7 @@
 }
 
 // relay writes complete events to the caller until the stream ends.
-func (s *stream) relay(ctx, sctx context.Context, a *Answer) (execution.Verdict, error) {
+func (s *stream) relay(ctx, sctx context.Context, a *Answer) (execution.Result, error) {
 	var pending []byte
 	buf := make([]byte, readSize)
 	for {
