--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -186,7 +186,7 @@
 		return reply, c.Move(execution.Delivered)
 	}
 	c.s.callEnded(k, errors.Is(err, execution.ErrRefused))
-	if verr := c.Move(execution.After(err)); verr != nil {
+	if verr := c.Move(execution.StateAfter(err)); verr != nil {
 		return nil, verr
 	}
 	return nil, err
--- a/execution/errors.go
+++ b/execution/errors.go
@@ -13,8 +13,8 @@
 	ErrLost = errors.New("execution: contact lost")
 )
 
-// After returns the state of a request whose send failed with err.
-func After(err error) State {
+// StateAfter returns the state of a request whose send failed with err.
+func StateAfter(err error) State {
 	switch {
 	case errors.Is(err, ErrNotSent):
 		return NotSent
--- a/execution/life_test.go
+++ b/execution/life_test.go
@@ -55,8 +55,8 @@
 
 // An error that does not state whether the request ran must lead to Unknown.
 func TestStateAfterAnError(t *testing.T) {
-	require.Equal(t, NotSent, After(fmt.Errorf("dial: %w", ErrNotSent)))
-	require.Equal(t, Refused, After(fmt.Errorf("%w: full", ErrRefused)))
-	require.Equal(t, Unknown, After(ErrLost))
-	require.Equal(t, Unknown, After(io.ErrUnexpectedEOF))
+	require.Equal(t, NotSent, StateAfter(fmt.Errorf("dial: %w", ErrNotSent)))
+	require.Equal(t, Refused, StateAfter(fmt.Errorf("%w: full", ErrRefused)))
+	require.Equal(t, Unknown, StateAfter(ErrLost))
+	require.Equal(t, Unknown, StateAfter(io.ErrUnexpectedEOF))
 }
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -38,7 +38,7 @@
 		s.life.MarkRan()
 		return Answered, s.life.Move(Delivered)
 	}
-	if verr := s.life.Move(After(err)); verr != nil {
+	if verr := s.life.Move(StateAfter(err)); verr != nil {
 		return Answered, verr
 	}
 	if s.life.State().NotRun() {
--- a/forward/run.go
+++ b/forward/run.go
@@ -158,7 +158,7 @@
 	case v == execution.Answered && err == nil:
 		return execution.Delivered
 	case v == execution.NotRunHere:
-		return execution.After(err)
+		return execution.StateAfter(err)
 	}
 	return execution.Unknown
 }
