--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -217,7 +217,7 @@
 
 // adopt restores the state of a run from an event ID.
 func (r *run) adopt(p *Place) {
-	r.Life = execution.NewSent(p.Repeatable)
+	r.Tracker = execution.NewSent(p.Repeatable)
 	r.attempt, r.route, r.version = p.Attempt, p.Route, p.Version
 	r.skipTo = p.Index + 1
 }
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -20,7 +20,7 @@
 
 // run is the state of one request. It is used from one goroutine.
 type run struct {
-	execution.Life
+	execution.Tracker
 	d            *Dispatcher
 	req          *Request
 	sink         Sink
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -83,7 +83,7 @@
 
 // call is the state of one call. It implements execution.Sender.
 type call struct {
-	execution.Life
+	execution.Tracker
 	s       *Services
 	req     *ServiceRequest
 	svc     *topology.Service
@@ -100,7 +100,7 @@
 	if err := c.s.gate.CheckService(c.req.Workspace); err != nil {
 		return err
 	}
-	c.Life = execution.New(c.req.Repeatable && c.svc.IsRepeatable(c.req.Call.Method, trimQuery(c.req.Call.Path)))
+	c.Tracker = execution.New(c.req.Repeatable && c.svc.IsRepeatable(c.req.Call.Method, trimQuery(c.req.Call.Path)))
 	return c.Run(ctx, c)
 }
 
--- a/execution/life.go
+++ b/execution/life.go
@@ -47,8 +47,8 @@
 	return false
 }
 
-// Life is the state machine of one request. It is not safe for concurrent use.
-type Life struct {
+// Tracker is the state machine of one request. It is not safe for concurrent use.
+type Tracker struct {
 	state      State
 	ran        bool // some attempt ran, at least in part
 	repeatable bool
@@ -56,27 +56,27 @@
 }
 
 // New returns the Life of a request that was not sent yet.
-func New(repeatable bool) Life { return Life{repeatable: repeatable} }
+func New(repeatable bool) Tracker { return Tracker{repeatable: repeatable} }
 
 // NewSent returns the Life of a request that another daemon has sent.
-func NewSent(repeatable bool) Life {
-	return Life{state: Unknown, ran: true, repeatable: repeatable, sends: 1}
+func NewSent(repeatable bool) Tracker {
+	return Tracker{state: Unknown, ran: true, repeatable: repeatable, sends: 1}
 }
 
 // State returns the current state.
-func (l *Life) State() State { return l.state }
+func (l *Tracker) State() State { return l.state }
 
 // Repeatable reports whether the request may run more than once.
-func (l *Life) Repeatable() bool { return l.repeatable }
+func (l *Tracker) Repeatable() bool { return l.repeatable }
 
 // HasRun reports whether some attempt is known to have run, at least in part.
-func (l *Life) HasRun() bool { return l.ran }
+func (l *Tracker) HasRun() bool { return l.ran }
 
 // MarkRan records that an attempt runs or ran.
-func (l *Life) MarkRan() { l.ran = true }
+func (l *Tracker) MarkRan() { l.ran = true }
 
 // Move goes to a state. It returns an error if that violates invariant.AtMostOnce.
-func (l *Life) Move(to State) error {
+func (l *Tracker) Move(to State) error {
 	if to == Unknown && l.state == Unknown {
 		return nil // a resumed stream broke again
 	}
@@ -95,11 +95,11 @@
 }
 
 // NotRun reports whether certainly no attempt ran.
-func (l *Life) NotRun() bool { return l.state.NotRun() && !l.ran && l.sends == 0 }
+func (l *Tracker) NotRun() bool { return l.state.NotRun() && !l.ran && l.sends == 0 }
 
 // Answer converts any error into an answer that correctly states whether the
 // request ran. If the result is not correct, it returns the violated invariant.
-func (l *Life) Answer(err error) *apierror.Error {
+func (l *Tracker) Answer(err error) *apierror.Error {
 	e := l.correct(apierror.From(err))
 	if verr := l.checkAnswer(e); verr != nil {
 		return apierror.From(verr)
@@ -109,7 +109,7 @@
 
 // correct replaces an error that states that the request did not run if it ran or
 // may have run.
-func (l *Life) correct(e *apierror.Error) *apierror.Error {
+func (l *Tracker) correct(e *apierror.Error) *apierror.Error {
 	if l.NotRun() || !e.NotRun() {
 		return e
 	}
@@ -121,7 +121,7 @@
 }
 
 // checkAnswer asserts that an answer of not run is given only if nothing ran.
-func (l *Life) checkAnswer(e *apierror.Error) error {
+func (l *Tracker) checkAnswer(e *apierror.Error) error {
 	return invariant.Check(!e.NotRun() || l.NotRun(), invariant.NotRunIsTrue,
 		"%s answered in state %s after %d sends", e.Kind, l.state, l.sends)
 }
--- a/execution/life_test.go
+++ b/execution/life_test.go
@@ -45,7 +45,7 @@
 
 func TestIllegalMoveViolatesInvariant(t *testing.T) {
 	before := invariant.Count(invariant.AtMostOnce)
-	l := Life{state: Unknown, sends: 1}
+	l := Tracker{state: Unknown, sends: 1}
 	require.Error(t, l.Move(Sent))
 	require.Equal(t, before+1, invariant.Count(invariant.AtMostOnce))
 	before = invariant.Count(invariant.NotRunIsTrue)
--- a/execution/run.go
+++ b/execution/run.go
@@ -31,7 +31,7 @@
 // Run sends a request until it is answered or may not be sent again. The platform's
 // requests and plain services use it. An error is an *apierror.Error that holds for
 // all sends together.
-func (l *Life) Run(ctx context.Context, s Sender) error {
+func (l *Tracker) Run(ctx context.Context, s Sender) error {
 	for {
 		v, err := s.Send(ctx)
 		if v == Answered {
@@ -58,7 +58,7 @@
 
 // Ended returns the error of a request whose deadline has passed or is about to
 // pass, or whose caller canceled it.
-func (l *Life) Ended(ctx context.Context, progress string) *apierror.Error {
+func (l *Tracker) Ended(ctx context.Context, progress string) *apierror.Error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.DeadlineExceeded) {
 		return apierror.New(apierror.CallerGone, "%s", progress)
 	}
@@ -72,7 +72,7 @@
 }
 
 // GaveUp returns the error of a request that is not sent again after err.
-func (l *Life) GaveUp(err error) *apierror.Error {
+func (l *Tracker) GaveUp(err error) *apierror.Error {
 	kind := apierror.OutcomeUnknown
 	switch {
 	case l.NotRun() && errors.Is(err, ErrNotSent):
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -15,7 +15,7 @@
 // scriptedSender is a Sender whose sends return the given errors. It ends its
 // context after endAt sends.
 type scriptedSender struct {
-	life    *Life
+	life    *Tracker
 	sends   []error // nil means a complete answer
 	retries int
 	cancel  context.CancelFunc
@@ -99,7 +99,7 @@
 	fresh := New(true)
 	for _, c := range []struct {
 		ctx  context.Context
-		life Life
+		life Tracker
 		want apierror.Kind
 	}{
 		{passed, fresh, apierror.DeadlinePassed},
--- a/forward/run.go
+++ b/forward/run.go
@@ -33,7 +33,7 @@
 	refusals        int       // sends that did not run, after the stream had begun
 	reached         bool      // a send may have reached a backend server
 	retryTakenAt    time.Time // when the last send took a retry, zero if it took none
-	life            execution.Life
+	life            execution.Tracker
 	headSent        atomic.Bool               // the head of the answer was written to the caller
 	reserved        atomic.Pointer[time.Time] // when a retry was taken for the next send, nil if none
 	lastEvent       string                    // ID of the last event written to the caller
