--- a/api/callers.go
+++ b/api/callers.go
@@ -34,7 +34,7 @@
 // Models runs completion requests.
 type Models interface {
 	Do(ctx context.Context, r *dispatch.Request, s dispatch.Sink) (dispatch.Outcome, error)
-	Resume(ctx context.Context, r *dispatch.Request, p *dispatch.Place, s dispatch.Sink) (dispatch.Outcome, error)
+	Resume(ctx context.Context, r *dispatch.Request, p *dispatch.Position, s dispatch.Sink) (dispatch.Outcome, error)
 }
 
 // PlainServices runs calls of plain services.
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -90,7 +90,7 @@
 func (r *run) beginAttempt() error {
 	r.delivery.Begin(r.attempt)
 	r.produced = false
-	sealed, err := r.d.sealer.Attempt(&Place{
+	sealed, err := r.d.sealer.Attempt(&Position{
 		Workspace: r.req.Workspace.Name, RequestID: r.req.ID, Attempt: r.attempt, Model: r.model.Name,
 		Version: r.version, Adapter: r.req.Adapter, Route: r.route, BodyHash: r.req.BodyHash, Repeatable: r.Repeatable(),
 	})
--- a/dispatch/delivery_test.go
+++ b/dispatch/delivery_test.go
@@ -73,7 +73,7 @@
 	require.NoError(t, err)
 	other, err := NewSealer(append(make([]byte, KeyBytes-1), 1))
 	require.NoError(t, err)
-	p := &Place{Workspace: "w", RequestID: "r", Attempt: 3, Model: "m", Version: "v", BodyHash: 9, Repeatable: true,
+	p := &Position{Workspace: "w", RequestID: "r", Attempt: 3, Model: "m", Version: "v", BodyHash: 9, Repeatable: true,
 		Route: topology.Route{{BackendServer: "b", Address: "a:1", Layers: topology.LayerRange{Lo: 0, Hi: 4}}}}
 	a, err := s.Attempt(p)
 	require.NoError(t, err)
@@ -106,7 +106,7 @@
 func FuzzEventID(f *testing.F) {
 	s, err := NewSealer(make([]byte, KeyBytes))
 	require.NoError(f, err)
-	a, err := s.Attempt(&Place{Workspace: "w"})
+	a, err := s.Attempt(&Position{Workspace: "w"})
 	require.NoError(f, err)
 	f.Add(a.Seal(1))
 	f.Add("")
--- a/dispatch/eventid.go
+++ b/dispatch/eventid.go
@@ -26,9 +26,9 @@
 // maxEventID bounds the length of an event ID sent by a caller, in bytes.
 const maxEventID = 8 << 10
 
-// Place is the content of an event ID: all that another daemon needs to continue
+// Position is the content of an event ID: all that another daemon needs to continue
 // the stream.
-type Place struct {
+type Position struct {
 	Workspace  string         `cbor:"1,keyasint"`
 	RequestID  string         `cbor:"2,keyasint"`
 	Attempt    int            `cbor:"3,keyasint"`
@@ -80,7 +80,7 @@
 const indexBytes = 8
 
 // Attempt returns an Attempt that seals the events of one attempt.
-func (s *Sealer) Attempt(p *Place) (*Attempt, error) {
+func (s *Sealer) Attempt(p *Position) (*Attempt, error) {
 	body, err := cbor.Marshal(p)
 	if err != nil {
 		return nil, fmt.Errorf("event ID: %w", err)
@@ -102,7 +102,7 @@
 }
 
 // Open returns the place sealed in an event ID, or ErrBadEventID.
-func (s *Sealer) Open(id string) (*Place, error) {
+func (s *Sealer) Open(id string) (*Position, error) {
 	if len(id) > maxEventID {
 		return nil, ErrBadEventID
 	}
@@ -115,7 +115,7 @@
 	if err != nil || len(plain) < indexBytes {
 		return nil, ErrBadEventID
 	}
-	var p Place
+	var p Position
 	if err := cbor.Unmarshal(plain[indexBytes:], &p); err != nil {
 		return nil, ErrBadEventID
 	}
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -208,7 +208,7 @@
 
 // Resume continues a stream that was begun on another daemon. The caller has all
 // tokens up to place.Index.
-func (d *Dispatcher) Resume(ctx context.Context, req *Request, place *Place, sink Sink) (Outcome, error) {
+func (d *Dispatcher) Resume(ctx context.Context, req *Request, place *Position, sink Sink) (Outcome, error) {
 	req.Model, req.Adapter, req.Repeatable = place.Model, place.Adapter, place.Repeatable
 	r := d.newRun(req, sink)
 	r.adopt(place)
@@ -216,7 +216,7 @@
 }
 
 // adopt restores the state of a run from an event ID.
-func (r *run) adopt(p *Place) {
+func (r *run) adopt(p *Position) {
 	r.Tracker = execution.NewSent(p.Repeatable)
 	r.attempt, r.route, r.version = p.Attempt, p.Route, p.Version
 	r.skipTo = p.Index + 1
