--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -58,7 +58,7 @@
 	planner *routing.Planner
 	gate    *Gate
 	health  HealthSink
-	alive   Alive
+	alive   Prober
 	warm    Warm
 	sealer  *Sealer
 	log     *decision.Log
@@ -76,7 +76,7 @@
 	Planner  *routing.Planner
 	Gate     *Gate
 	Health   HealthSink
-	Alive    Alive
+	Alive    Prober
 	Warm     Warm
 	Sealer   *Sealer
 	Log      *decision.Log
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -64,8 +64,8 @@
 	GapBound(r topology.Route, own *health.Gap) time.Duration
 }
 
-// Alive probes whether backend servers answer.
-type Alive interface {
+// Prober probes whether backend servers answer.
+type Prober interface {
 	// Silent returns the backend servers of the route that do not answer a probe in
 	// time.
 	Silent(ctx context.Context, r topology.Route) []string
