--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -174,7 +174,7 @@
 		if err != nil {
 			return r.handleReadError(ctx, actx, err)
 		}
-		if !r.delivery.Mine(&ev) {
+		if !r.delivery.IsCurrent(&ev) {
 			continue
 		}
 		res, done := r.handleEvent(ev)
--- a/dispatch/delivery.go
+++ b/dispatch/delivery.go
@@ -42,9 +42,9 @@
 // Next returns the index of the next token.
 func (d *Delivery) Next() int { return d.next }
 
-// Mine reports whether an event belongs to the current attempt. It counts other
+// IsCurrent reports whether an event belongs to the current attempt. It counts other
 // events as dropped.
-func (d *Delivery) Mine(ev *backend.Event) bool {
+func (d *Delivery) IsCurrent(ev *backend.Event) bool {
 	if ev.RequestID != d.requestID {
 		d.drops.Foreign++
 		return false
@@ -60,7 +60,7 @@
 // slice is valid until the next call.
 func (d *Delivery) Accept(ev backend.Event) []backend.Event {
 	d.ready = d.ready[:0]
-	if !d.Mine(&ev) {
+	if !d.IsCurrent(&ev) {
 		return nil
 	}
 	if ev.Index < d.next {
