--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -266,7 +266,7 @@
 
 // handleDone ends an attempt for which the engine reported completion.
 func (r *run) handleDone(ev backend.Event) result {
-	if !r.delivery.Whole(ev.Index) {
+	if !r.delivery.IsComplete(ev.Index) {
 		_ = r.Move(execution.Unknown)
 		return result{err: errIncomplete}
 	}
--- a/dispatch/delivery.go
+++ b/dispatch/delivery.go
@@ -100,11 +100,11 @@
 	d.held[ev.Index] = ev
 }
 
-// Whole reports whether all of an answer's count tokens have been released.
-func (d *Delivery) Whole(count int) bool { return d.next == count && len(d.held) == 0 }
+// IsComplete reports whether all of an answer's count tokens have been released.
+func (d *Delivery) IsComplete(count int) bool { return d.next == count && len(d.held) == 0 }
 
 // checkComplete asserts that an answer of count tokens is complete.
 func (d *Delivery) checkComplete(count int) error {
-	return invariant.Check(d.Whole(count), invariant.WholeOwnAnswer,
+	return invariant.Check(d.IsComplete(count), invariant.WholeOwnAnswer,
 		"request %s ended whole with %d of %d tokens", d.requestID, d.next, count)
 }
--- a/dispatch/delivery_test.go
+++ b/dispatch/delivery_test.go
@@ -41,8 +41,8 @@
 			}
 		}
 		require.Equal(t, n, out)
-		require.True(t, d.Whole(n))
-		require.False(t, d.Whole(n+1))
+		require.True(t, d.IsComplete(n))
+		require.False(t, d.IsComplete(n+1))
 		require.NoError(t, d.checkComplete(n))
 	})
 }
