--- a/admission/queue.go
+++ b/admission/queue.go
@@ -169,9 +169,9 @@
 	return ahead
 }
 
-// Modest reports whether a workspace's part of the requests waiting at a priority
+// WithinShare reports whether a workspace's part of the requests waiting at a priority
 // is within its weighted share.
-func (q *Queue) Modest(workspace string, weight float64, priority int) bool {
+func (q *Queue) WithinShare(workspace string, weight float64, priority int) bool {
 	b := q.bands[priority]
 	if b == nil || b.flows[workspace] == nil {
 		return true
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -183,7 +183,7 @@
 	}
 	ahead := q.queue.Ahead(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority)
 	margin := waitMargin
-	if q.queue.Modest(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority) {
+	if q.queue.WithinShare(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority) {
 		margin = modestMargin
 	}
 	wait := seconds(margin * float64(ahead+1) / q.rate)
