--- a/admission/heap.go
+++ b/admission/heap.go
@@ -42,14 +42,14 @@
 }
 
 // before orders the requests of one workspace by deadline, then by arrival.
-func (w *Waiting) before(o *Waiting) bool {
+func (w *Item) before(o *Item) bool {
 	if !w.Deadline.Equal(o.Deadline) {
 		return w.Deadline.Before(o.Deadline)
 	}
 	return w.seq < o.seq
 }
 
-func (w *Waiting) setIndex(index int) { w.index = index }
+func (w *Item) setIndex(index int) { w.index = index }
 
 // before orders flows by virtual time, then by workspace.
 func (f *flow) before(o *flow) bool {
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Waiting is a request in a Queue.
-type Waiting struct {
+// Item is a request in a Queue.
+type Item struct {
 	Workspace string
 	Weight    float64 // share of the workspace, above 0
 	Priority  int     // higher goes first
@@ -48,7 +48,7 @@
 	workspace string
 	start     float64
 	weight    float64
-	items     minHeap[*Waiting]
+	items     minHeap[*Item]
 	index     int
 }
 
@@ -59,7 +59,7 @@
 func (q *Queue) Len() int { return q.size }
 
 // Push puts a request into the queue.
-func (q *Queue) Push(w *Waiting) {
+func (q *Queue) Push(w *Item) {
 	b := q.bands[w.Priority]
 	if b == nil {
 		b = &band{priority: w.Priority, flows: map[string]*flow{}}
@@ -94,7 +94,7 @@
 }
 
 // Peek returns the next request, or nil.
-func (q *Queue) Peek() *Waiting {
+func (q *Queue) Peek() *Item {
 	for _, p := range q.priorities {
 		if b := q.bands[p]; len(b.active) > 0 {
 			return b.active[0].items[0]
@@ -104,7 +104,7 @@
 }
 
 // Pop removes and returns the next request, or returns nil.
-func (q *Queue) Pop() *Waiting {
+func (q *Queue) Pop() *Item {
 	w := q.Peek()
 	if w == nil {
 		return nil
@@ -121,7 +121,7 @@
 
 // Remove removes a request that is not served and reports whether it was still
 // queued. The work is not charged to its workspace.
-func (q *Queue) Remove(w *Waiting) bool {
+func (q *Queue) Remove(w *Item) bool {
 	if w.flow == nil || w.index < 0 {
 		return false
 	}
@@ -129,7 +129,7 @@
 	return true
 }
 
-func (q *Queue) detach(w *Waiting) {
+func (q *Queue) detach(w *Item) {
 	f, b := w.flow, w.band
 	heap.Remove(&f.items, w.index)
 	q.size--
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -18,7 +18,7 @@
 		counts := map[string]int{"greedy": rapid.IntRange(200, 1000).Draw(t, "greedy"), "small": 100}
 		for name, n := range counts {
 			for range n {
-				q.Push(&Waiting{Workspace: name, Weight: weights[name]})
+				q.Push(&Item{Workspace: name, Weight: weights[name]})
 			}
 		}
 		served := map[string]int{}
@@ -33,11 +33,11 @@
 func TestPriorityThenDeadline(t *testing.T) {
 	q := NewQueue()
 	now := time.Now()
-	late := &Waiting{Workspace: "w", Weight: 1, Deadline: now.Add(time.Hour)}
-	early := &Waiting{Workspace: "w", Weight: 1, Deadline: now.Add(time.Minute)}
-	alert := &Waiting{Workspace: "v", Weight: 1, Priority: 5, Deadline: now.Add(2 * time.Hour)}
-	gone := &Waiting{Workspace: "v", Weight: 1, Priority: 9}
-	for _, w := range []*Waiting{late, early, alert, gone} {
+	late := &Item{Workspace: "w", Weight: 1, Deadline: now.Add(time.Hour)}
+	early := &Item{Workspace: "w", Weight: 1, Deadline: now.Add(time.Minute)}
+	alert := &Item{Workspace: "v", Weight: 1, Priority: 5, Deadline: now.Add(2 * time.Hour)}
+	gone := &Item{Workspace: "v", Weight: 1, Priority: 9}
+	for _, w := range []*Item{late, early, alert, gone} {
 		q.Push(w)
 	}
 	require.Equal(t, 4, q.Ahead("x", 1, -1))
@@ -54,11 +54,11 @@
 func TestQueueKeepsEveryRequest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
-		in := map[*Waiting]bool{}
+		in := map[*Item]bool{}
 		for i := range rapid.IntRange(0, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0, 1:
-				w := &Waiting{Workspace: fmt.Sprint(i % 7), Weight: 1 + float64(i%3), Priority: i % 2}
+				w := &Item{Workspace: fmt.Sprint(i % 7), Weight: 1 + float64(i%3), Priority: i % 2}
 				in[w] = true
 				q.Push(w)
 			case 2:
@@ -110,7 +110,7 @@
 func BenchmarkPolicyQueue(b *testing.B) {
 	q := NewQueue()
 	for i := range 10000 {
-		q.Push(&Waiting{Workspace: fmt.Sprint(i % 1000), Weight: 1})
+		q.Push(&Item{Workspace: fmt.Sprint(i % 1000), Weight: 1})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/dispatch/waiting.go
+++ b/dispatch/waiting.go
@@ -12,7 +12,7 @@
 
 // pending is a queued request.
 type pending struct {
-	admission.Waiting
+	admission.Item
 	req     *Request
 	choose  chooseFunc
 	granted chan grant // capacity 1
@@ -31,7 +31,7 @@
 	p.Deadline = r.Deadline
 	p.Cost = float64(max(1, r.MaxTokens))
 	p.Owner = p
-	q.queue.Push(&p.Waiting)
+	q.queue.Push(&p.Item)
 	g.waiting++
 	return p
 }
@@ -78,7 +78,7 @@
 // dequeued concurrently, it returns that result instead.
 func (g *Gate) stopWaiting(q *planQueue, p *pending, since time.Time, err *apierror.Error) (*ticket, error) {
 	g.mu.Lock()
-	removed := q.queue.Remove(&p.Waiting)
+	removed := q.queue.Remove(&p.Item)
 	if removed {
 		g.waiting--
 	}
@@ -163,7 +163,7 @@
 	if gr.t != nil {
 		q.queue.Pop()
 	} else {
-		q.queue.Remove(&p.Waiting)
+		q.queue.Remove(&p.Item)
 	}
 	g.waiting--
 	p.granted <- gr
