--- a/routing/planner.go
+++ b/routing/planner.go
@@ -30,29 +30,29 @@
 }
 
 // At returns the loads at time now.
-func (b *Binding) At(now time.Time) Snapshot { return Snapshot{b: b, now: now} }
+func (b *Binding) At(now time.Time) LoadSnapshot { return LoadSnapshot{b: b, now: now} }
 
-// Snapshot implements Loads for one decision.
-type Snapshot struct {
+// LoadSnapshot implements Loads for one decision.
+type LoadSnapshot struct {
 	b   *Binding
 	now time.Time
 }
 
 // Load implements Loads.
-func (s Snapshot) Load(i int) float64 { return s.b.servers[i].Load(s.now) }
+func (s LoadSnapshot) Load(i int) float64 { return s.b.servers[i].Load(s.now) }
 
 // Usable implements Loads.
-func (s Snapshot) Usable(i int) bool { return s.b.servers[i].Usable() }
+func (s LoadSnapshot) Usable(i int) bool { return s.b.servers[i].Usable() }
 
 // Full implements Loads.
-func (s Snapshot) Full(i int) bool { return s.b.servers[i].Full() }
+func (s LoadSnapshot) Full(i int) bool { return s.b.servers[i].Full() }
 
 // Weight implements Loads.
-func (s Snapshot) Weight(i int) float64 { return s.b.servers[i].Weight() }
+func (s LoadSnapshot) Weight(i int) float64 { return s.b.servers[i].Weight() }
 
 // LinkLoad implements Loads. Only this daemon's requests on a link are known, so
 // they are scaled by the ratio of the sender's load to this daemon's part of it.
-func (s Snapshot) LinkLoad(i int) float64 {
+func (s LoadSnapshot) LinkLoad(i int) float64 {
 	own := float64(s.b.links[i].InFlight())
 	from := s.b.servers[s.b.Plan.Links[i].From]
 	if mine := float64(from.InFlight()); mine > 0 {
