--- a/client/client.go
+++ b/client/client.go
@@ -38,7 +38,7 @@
 type Reply struct {
 	RequestID  string
 	Text       string
-	Whole      bool
+	Completed      bool
 	Tokens     int
 	Kind       apierror.Kind // of the error; empty if the response is complete
 	Ran        apierror.Ran
@@ -157,7 +157,7 @@
 		return r, fmt.Errorf("client: %w", err)
 	}
 	r.add(&a)
-	r.Whole = a.Completed
+	r.Completed = a.Completed
 	return r, nil
 }
 
@@ -182,7 +182,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.Whole = true
+			r.Completed = true
 			return r, nil
 		}
 		var a response
@@ -263,7 +263,7 @@
 	r.Kind = apierror.Kind(resp.Header.Get(api.HeaderKind))
 	r.Ran = apierror.Ran(resp.Header.Get(api.HeaderRan))
 	if r.Kind == "" {
-		r.Whole = true
+		r.Completed = true
 		r.Text = string(data)
 		return r, nil
 	}
--- a/load/load.go
+++ b/load/load.go
@@ -117,7 +117,7 @@
 	case err != nil:
 		t.Broken++
 		second.Errors++
-	case reply.Whole:
+	case reply.Completed:
 		t.Whole++
 		t.Tokens += reply.Tokens
 		second.Tokens += reply.Tokens
--- a/trial/declared_test.go
+++ b/trial/declared_test.go
@@ -55,7 +55,7 @@
 			reply, err := call(n%daemons, n)
 			mu.Lock()
 			defer mu.Unlock()
-			if err == nil && reply.Whole {
+			if err == nil && reply.Completed {
 				o.complete++
 				return
 			}
--- a/trial/faults_test.go
+++ b/trial/faults_test.go
@@ -57,7 +57,7 @@
 			prompt := fmt.Sprint("p", i)
 			reply, err := w.clientOf(0, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: prompt, MaxTokens: 50, Stream: true, Repeatable: true})
 			require.NoError(t, err)
-			require.True(t, reply.Whole)
+			require.True(t, reply.Completed)
 			require.True(t, reply.Text == standin.Answer(prompt, 50), "the answer differs from the expected text")
 		}
 	})
@@ -112,7 +112,7 @@
 						prompt := fmt.Sprint("p", i)
 						reply, err := w.clientOf(0, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: prompt, MaxTokens: 80, Stream: true, Repeatable: true})
 						assert.NoError(t, err)
-						if !assert.True(t, reply.Whole, reply.Kind) {
+						if !assert.True(t, reply.Completed, reply.Kind) {
 							t.Logf("%+v", w.Daemons[0].daemon.Explain(reply.RequestID))
 						}
 						assert.True(t, reply.Text == standin.Answer(prompt, 80), "the answer differs from the expected text")
@@ -133,14 +133,14 @@
 		refuseFor(w, 100*time.Millisecond)
 		reply, err := w.clientOf(0, hc).Complete(context.Background(), r)
 		require.NoError(t, err)
-		require.True(t, reply.Whole, reply.Kind)
+		require.True(t, reply.Completed, reply.Kind)
 		refuseFor(w, 300*time.Millisecond)
 		var wg sync.WaitGroup
 		for range 12 {
 			wg.Go(func() {
 				reply, err := w.clientOf(0, hc).Complete(context.Background(), r)
 				assert.NoError(t, err)
-				if reply.Whole {
+				if reply.Completed {
 					return
 				}
 				assert.Equal(t, apierror.RanNo, reply.Ran)
@@ -167,7 +167,7 @@
 						assert.NoError(t, err)
 						runs := w.Fleet.Ledger.Executions(reply.RequestID)
 						assert.LessOrEqual(t, runs, 1)
-						if reply.Whole {
+						if reply.Completed {
 							assert.True(t, reply.Text == standin.Answer(prompt, 80), "the answer differs from the expected text")
 							return
 						}
@@ -197,7 +197,7 @@
 		next := func() *client.Client { i++; return w.clientOf(i, hc) }
 		reply, err := client.CompleteThrough(context.Background(), next, client.Request{Model: Model, Prompt: "p", MaxTokens: 60, Stream: true, Repeatable: true}, 3)
 		require.NoError(t, err)
-		require.True(t, reply.Whole, reply.Kind)
+		require.True(t, reply.Completed, reply.Kind)
 		require.True(t, reply.Text == standin.Answer("p", 60), "the answer differs from the expected text")
 		require.Positive(t, i, "the stream was not interrupted")
 		require.Zero(t, w.Fleet.Ledger.Recomputed())
@@ -235,7 +235,7 @@
 		w.Services[0].CutAfter.Store(1)
 		get, err = c.Call(ctx, http.MethodGet, Service, "/cards", nil, "")
 		require.NoError(t, err)
-		require.True(t, get.Whole)
+		require.True(t, get.Completed)
 		w.Services[0].CutAfter.Store(1)
 		w.Services[1].CutAfter.Store(1)
 		post, err := c.Call(ctx, http.MethodPost, Service, "/cards", []byte("x"), "")
@@ -247,7 +247,7 @@
 		w.Services[0].RefuseAll.Store(true)
 		post, err = c.Call(ctx, http.MethodPost, Service, "/cards", []byte("x"), "")
 		require.NoError(t, err)
-		require.True(t, post.Whole)
+		require.True(t, post.Completed)
 		w.Services[1].RefuseAll.Store(true)
 		post, err = c.Call(ctx, http.MethodPost, Service, "/cards", []byte("x"), "")
 		require.NoError(t, err)
@@ -270,7 +270,7 @@
 		for i := range 4 {
 			reply, err := w.clientOf(i%2, hc).Call(context.Background(), http.MethodPost, Service, "/cards", []byte("loss 7"), "key-7")
 			require.NoError(t, err)
-			require.True(t, reply.Whole, reply.Kind)
+			require.True(t, reply.Completed, reply.Kind)
 		}
 		require.Equal(t, 1, w.Fleet.Ledger.Calls("loss 7"))
 
@@ -283,7 +283,7 @@
 		require.True(t, strings.HasPrefix(standin.Answer("p", 300), first.Text))
 		retried, err := w.clientOf(1, hc).Complete(context.Background(), r)
 		require.NoError(t, err)
-		require.True(t, retried.Whole && retried.Text == standin.Answer("p", 300), retried.Kind)
+		require.True(t, retried.Completed && retried.Text == standin.Answer("p", 300), retried.Kind)
 		require.Equal(t, 1, w.Fleet.Ledger.Executions(first.RequestID))
 	})
 }
@@ -315,7 +315,7 @@
 							r := client.Request{Model: Model, Prompt: fmt.Sprint(i), MaxTokens: 200, Stream: true, Repeatable: true}
 							reply, err := w.clientOf(i%2, hc).Complete(context.Background(), r)
 							assert.NoError(t, err)
-							assert.True(t, reply.Whole, reply.Kind)
+							assert.True(t, reply.Completed, reply.Kind)
 							mu.Lock()
 							defer mu.Unlock()
 							longest = max(longest, slices.Max(reply.Gaps))
--- a/trial/input_test.go
+++ b/trial/input_test.go
@@ -79,7 +79,7 @@
 		for range 20 {
 			reply, err := w.clientOf(0, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: "p", MaxTokens: 2, Repeatable: true})
 			require.NoError(t, err)
-			require.True(t, reply.Whole)
+			require.True(t, reply.Completed)
 			for _, d := range w.Daemons[0].daemon.Explain(reply.RequestID) {
 				require.NotRegexp(t, "engine-(1|3|5)", d.Chosen)
 			}
@@ -118,6 +118,6 @@
 		require.Contains(t, state.Rejected, "layers: -1, write a number from 1")
 		reply, err := w.clientOf(0, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: "p", MaxTokens: 3, Repeatable: true})
 		require.NoError(t, err)
-		require.True(t, reply.Whole)
+		require.True(t, reply.Completed)
 	})
 }
--- a/trial/leave_test.go
+++ b/trial/leave_test.go
@@ -51,7 +51,7 @@
 			} else {
 				assert.NoError(t, stopped)
 				assert.NoError(t, err)
-				assert.True(t, reply.Whole)
+				assert.True(t, reply.Completed)
 				assert.Zero(t, violations)
 			}
 			hc.CloseIdleConnections()
--- a/trial/limits_test.go
+++ b/trial/limits_test.go
@@ -70,10 +70,10 @@
 		for i := range seconds * 2 * limit {
 			reply, err := c.Call(context.Background(), http.MethodGet, Service, "/cards", nil, "")
 			require.NoError(t, err)
-			if reply.Whole && i >= seconds*limit {
+			if reply.Completed && i >= seconds*limit {
 				complete++
 			}
-			if !reply.Whole {
+			if !reply.Completed {
 				require.Equal(t, apierror.WorkspaceLimit, reply.Kind)
 			}
 			time.Sleep(time.Second / (2 * limit))
--- a/trial/once.go
+++ b/trial/once.go
@@ -247,14 +247,14 @@
 		m.report.Repeated++
 	}
 	switch {
-	case err != nil && m.allowBroken && !reply.Whole:
+	case err != nil && m.allowBroken && !reply.Completed:
 		m.report.Broken++
 	case err != nil:
 		m.report.Lost++
 		m.report.Problems = append(m.report.Problems, fmt.Sprintf("%q: %v", r.Prompt, err))
-	case reply.Whole && reply.Text == want:
+	case reply.Completed && reply.Text == want:
 		m.report.Whole++
-	case reply.Whole:
+	case reply.Completed:
 		m.report.Foreign++
 		m.report.Problems = append(m.report.Problems, fmt.Sprintf("%q got %.80q", r.Prompt, reply.Text))
 	case reply.Ran == apierror.RanNo:
--- a/trial/outage_test.go
+++ b/trial/outage_test.go
@@ -27,7 +27,7 @@
 		complete := func(i int) {
 			reply, err := w.clientOf(i%3, hc).Complete(context.Background(), client.Request{Model: Model, Prompt: "p", MaxTokens: 5, Repeatable: true})
 			require.NoError(t, err)
-			require.True(t, reply.Whole, reply.Kind)
+			require.True(t, reply.Completed, reply.Kind)
 		}
 		complete(0)
 		time.Sleep(5 * time.Second)
@@ -76,7 +76,7 @@
 		time.Sleep(time.Minute)
 		reply, err = w.clientOf(1, hc).Call(ctx, http.MethodPost, Service, "/cards", []byte("report"), "key-9")
 		require.NoError(t, err)
-		require.True(t, reply.Whole, reply.Kind)
+		require.True(t, reply.Completed, reply.Kind)
 		require.Equal(t, 1, w.Fleet.Ledger.Calls("report"))
 	})
 }
--- a/trial/tls_test.go
+++ b/trial/tls_test.go
@@ -53,7 +53,7 @@
 		}
 		reply, err := complete(fleetCA.Pool())
 		require.NoError(t, err)
-		require.True(t, reply.Whole)
+		require.True(t, reply.Completed)
 		_, err = complete(otherCA.Pool())
 		require.Error(t, err)
 	})
