--- a/load/load.go
+++ b/load/load.go
@@ -30,7 +30,7 @@
 // Result holds the measurements of a load.
 type Result struct {
 	Sent     int
-	Whole    int
+	Completed    int
 	Errors   map[apierror.Kind]int // error responses by kind
 	Broken   int                   // requests whose connection failed before a complete response or an error
 	Tokens   int                   // in complete responses
@@ -118,7 +118,7 @@
 		t.Broken++
 		second.Errors++
 	case reply.Completed:
-		t.Whole++
+		t.Completed++
 		t.Tokens += reply.Tokens
 		second.Tokens += reply.Tokens
 	default:
--- a/load/report.go
+++ b/load/report.go
@@ -15,7 +15,7 @@
 // WriteTable writes a result as a table.
 func (t *Result) WriteTable(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(tw, "sent\twhole\tbroken\ttokens/s\n%d\t%d\t%d\t%.1f\n\n", t.Sent, t.Whole, t.Broken, t.Goodput())
+	fmt.Fprintf(tw, "sent\twhole\tbroken\ttokens/s\n%d\t%d\t%d\t%.1f\n\n", t.Sent, t.Completed, t.Broken, t.Goodput())
 	fmt.Fprintln(tw, "milliseconds\tp50\tp95\tp99\tmax")
 	row := func(name string, h *hdrhistogram.Histogram) {
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
