--- a/client/client.go
+++ b/client/client.go
@@ -44,7 +44,7 @@
 	Ran        apierror.Ran
 	RetryAfter time.Duration
 	EventID    string          // of the last token
-	First      time.Duration   // time to the first token
+	FirstToken      time.Duration   // time to the first token
 	Gaps       []time.Duration // between tokens
 	Took       time.Duration
 }
@@ -206,8 +206,8 @@
 func (r *Reply) recordToken(start, last time.Time) time.Time {
 	now := time.Now()
 	r.Tokens++
-	if r.First == 0 {
-		r.First = now.Sub(start)
+	if r.FirstToken == 0 {
+		r.FirstToken = now.Sub(start)
 		return now
 	}
 	r.Gaps = append(r.Gaps, now.Sub(last))
@@ -226,7 +226,7 @@
 		part.Text = total.Text + part.Text
 		part.Gaps = append(total.Gaps, part.Gaps...)
 		if total.RequestID != "" {
-			part.RequestID, part.First = total.RequestID, total.First
+			part.RequestID, part.FirstToken = total.RequestID, total.FirstToken
 			if part.EventID == "" {
 				part.EventID = total.EventID
 			}
--- a/load/load.go
+++ b/load/load.go
@@ -107,8 +107,8 @@
 		t.Timeline = append(t.Timeline, Second{})
 	}
 	second := &t.Timeline[int(at.Seconds())]
-	if reply.First > 0 {
-		_ = t.First.RecordValue(reply.First.Microseconds())
+	if reply.FirstToken > 0 {
+		_ = t.First.RecordValue(reply.FirstToken.Microseconds())
 	}
 	for _, g := range reply.Gaps {
 		_ = t.Gap.RecordValue(max(1, g.Microseconds()))
