--- a/load/load.go
+++ b/load/load.go
@@ -35,7 +35,7 @@
 	Broken   int                   // requests whose connection failed before a complete response or an error
 	Tokens   int                   // in complete responses
 	Elapsed  time.Duration
-	First    *hdrhistogram.Histogram // microseconds
+	FirstToken    *hdrhistogram.Histogram // microseconds
 	Gap      *hdrhistogram.Histogram // microseconds
 	Refusal  *hdrhistogram.Histogram // microseconds until an error of a request that did not run
 	Timeline []Second
@@ -67,7 +67,7 @@
 // Run sends the load, rotating over the clients, and waits for the responses.
 func Run(ctx context.Context, s Spec, clients []*client.Client) *Result {
 	r := &runner{spec: s, clients: clients, start: time.Now(), result: Result{
-		Errors: map[apierror.Kind]int{}, First: newHistogram(), Gap: newHistogram(), Refusal: newHistogram(),
+		Errors: map[apierror.Kind]int{}, FirstToken: newHistogram(), Gap: newHistogram(), Refusal: newHistogram(),
 	}}
 	rng := rand.New(rand.NewPCG(s.Seed, 0))
 	ctx, cancel := context.WithTimeout(ctx, s.Length+s.Timeout)
@@ -108,7 +108,7 @@
 	}
 	second := &t.Timeline[int(at.Seconds())]
 	if reply.FirstToken > 0 {
-		_ = t.First.RecordValue(reply.FirstToken.Microseconds())
+		_ = t.FirstToken.RecordValue(reply.FirstToken.Microseconds())
 	}
 	for _, g := range reply.Gaps {
 		_ = t.Gap.RecordValue(max(1, g.Microseconds()))
--- a/load/report.go
+++ b/load/report.go
@@ -21,7 +21,7 @@
 		ms := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
 		fmt.Fprintf(tw, "%s\t%.1f\t%.1f\t%.1f\t%.1f\n", name, ms(50), ms(95), ms(99), float64(h.Max())/1000)
 	}
-	row("first token", t.First)
+	row("first token", t.FirstToken)
 	row("gap", t.Gap)
 	row("refusal", t.Refusal)
 	for kind, n := range t.Errors {
