--- a/client/client.go
+++ b/client/client.go
@@ -214,11 +214,11 @@
 	return now
 }
 
-// CompleteThrough sends a streaming request and resumes it from the last event ID
+// CompleteWithResume sends a streaming request and resumes it from the last event ID
 // when the connection fails after an event, up to tries requests in total. Each
 // request goes through the client that next returns. The reply holds the text of
 // all of them.
-func CompleteThrough(ctx context.Context, next func() *Client, r Request, tries int) (Reply, error) {
+func CompleteWithResume(ctx context.Context, next func() *Client, r Request, tries int) (Reply, error) {
 	var total Reply
 	start := time.Now()
 	for i := 0; ; i++ {
--- a/trial/faults_test.go
+++ b/trial/faults_test.go
@@ -195,7 +195,7 @@
 		}()
 		i := -1
 		next := func() *client.Client { i++; return w.clientOf(i, hc) }
-		reply, err := client.CompleteThrough(context.Background(), next, client.Request{Model: Model, Prompt: "p", MaxTokens: 60, Stream: true, Repeatable: true}, 3)
+		reply, err := client.CompleteWithResume(context.Background(), next, client.Request{Model: Model, Prompt: "p", MaxTokens: 60, Stream: true, Repeatable: true}, 3)
 		require.NoError(t, err)
 		require.True(t, reply.Completed, reply.Kind)
 		require.True(t, reply.Text == standin.Answer("p", 60), "the answer differs from the expected text")
--- a/trial/once.go
+++ b/trial/once.go
@@ -194,7 +194,7 @@
 
 func (m *mix) stream(ctx context.Context, prompt string, tokens int) {
 	r := client.Request{Model: Model, Prompt: prompt, MaxTokens: tokens, Stream: true, Repeatable: true}
-	reply, err := client.CompleteThrough(ctx, m.nextClient, r, 3)
+	reply, err := client.CompleteWithResume(ctx, m.nextClient, r, 3)
 	m.record(&r, &reply, err, standin.Answer(prompt, tokens))
 }
 
