--- a/cmd/snowspoke/main.go
+++ b/cmd/snowspoke/main.go
@@ -85,7 +85,7 @@
 		return exitUsage
 	case errors.Is(err, topology.ErrInvalid), errors.Is(err, errInvalid):
 		return exitInvalid
-	case errors.Is(err, edit.ErrRaced), errors.Is(err, store.ErrConflict):
+	case errors.Is(err, edit.ErrFieldChanged), errors.Is(err, store.ErrConflict):
 		return exitConflict
 	case errors.Is(err, store.ErrNotFound), errors.Is(err, errNotFound):
 		return exitNotFound
--- a/edit/edit.go
+++ b/edit/edit.go
@@ -16,8 +16,8 @@
 
 // Errors returned by Apply.
 var (
-	// ErrRaced reports that the same field was changed concurrently.
-	ErrRaced = errors.New("edit: the field was changed concurrently")
+	// ErrFieldChanged reports that the same field was changed concurrently.
+	ErrFieldChanged = errors.New("edit: the field was changed concurrently")
 	// ErrNoField reports that objects of the kind do not have the field.
 	ErrNoField = errors.New("edit: no such field")
 )
@@ -62,7 +62,7 @@
 			return r, nil
 		}
 		if current != r.Before {
-			return r, fmt.Errorf("%w: it was %q, is %q, should be %q", ErrRaced, r.Before, current, value)
+			return r, fmt.Errorf("%w: it was %q, is %q, should be %q", ErrFieldChanged, r.Before, current, value)
 		}
 		if err := f.Set(obj, value); err != nil {
 			return r, err
--- a/edit/edit_test.go
+++ b/edit/edit_test.go
@@ -79,7 +79,7 @@
 func TestSameFieldConflicts(t *testing.T) {
 	s := &racingStore{Store: storeWithServer(t)}
 	_, err := Apply(context.Background(), s, topology.KindBackendServer, "b", Label{"kind"}, "l40s")
-	require.ErrorIs(t, err, ErrRaced)
+	require.ErrorIs(t, err, ErrFieldChanged)
 	require.Equal(t, "a100", labelsOf(t, s.Store)["kind"])
 }
 
