--- a/dispatch/policy_test.go
+++ b/dispatch/policy_test.go
@@ -20,7 +20,7 @@
 	make func() dispatch.Policy
 }{
 	{"snowspoke", nil},
-	{"first_version", func() dispatch.Policy { return baseline.First }},
+	{"first_version", func() dispatch.Policy { return baseline.WithoutLinkLoad }},
 	{"least_in_flight", func() dispatch.Policy { return baseline.LeastInFlight }},
 	{"round_robin", func() dispatch.Policy { return baseline.NewRoundRobin() }},
 	{"random", func() dispatch.Policy { return baseline.Random }},
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// First is the policy of package routing without the load of links.
-func First(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand) (routing.Choice, error) {
+// WithoutLinkLoad is the policy of package routing without the load of links.
+func WithoutLinkLoad(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand) (routing.Choice, error) {
 	return routing.Choose(p, noLinks{l}, o, r)
 }
 
