--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -19,7 +19,7 @@
 	memnet.Server
 	Ledger    *Ledger
 	RefuseAll atomic.Bool  // refuses all calls as not run
-	CutAfter  atomic.Int64 // number of next calls that run but whose connection is closed without an answer
+	CutNext  atomic.Int64 // number of next calls that run but whose connection is closed without an answer
 	Delay     atomic.Int64 // duration of a call in nanoseconds
 
 	mu       sync.Mutex
@@ -51,10 +51,10 @@
 	}
 	s.Ledger.begin(r.Header.Get(httpbackend.HeaderRequestID), string(body))
 	time.Sleep(time.Duration(s.Delay.Load()))
-	if s.CutAfter.Add(-1) >= 0 {
+	if s.CutNext.Add(-1) >= 0 {
 		panic(http.ErrAbortHandler)
 	}
-	s.CutAfter.Store(0)
+	s.CutNext.Store(0)
 	w.Header().Set("Content-Type", "text/plain")
 	_, _ = w.Write(append([]byte(r.Method+" "+r.URL.Path+" "), body...))
 }
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -134,7 +134,7 @@
 		s.net.Heal()
 	},
 	"service breaks": func(s *soak, r *rand.Rand) {
-		s.w.Services[r.IntN(len(s.w.Services))].CutAfter.Store(r.Int64N(4))
+		s.w.Services[r.IntN(len(s.w.Services))].CutNext.Store(r.Int64N(4))
 	},
 	"operators race": func(s *soak, r *rand.Rand) {
 		for i := range 6 {
