--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -160,22 +160,22 @@
 	return written, nil
 }
 
-// Copy is a snapshot of a store.
-type Copy struct {
+// Snapshot is a snapshot of a store.
+type Snapshot struct {
 	version uint64
 	objects map[store.ID]store.Object
 }
 
 // Copy returns a snapshot of the store.
-func (s *Store) Copy() *Copy {
+func (s *Store) Copy() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &Copy{version: s.version, objects: maps.Clone(s.objects)}
+	return &Snapshot{version: s.version, objects: maps.Clone(s.objects)}
 }
 
 // Restore replaces the state by that of a copy. Later writes are lost, and their
 // revisions are assigned again in a new era.
-func (s *Store) Restore(c *Copy) {
+func (s *Store) Restore(c *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era = max(s.era, 1) + 1 // a store that was never restored has era 0 here
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -40,7 +40,7 @@
 	for _, k := range ks {
 		go k.Run(ctx)
 	}
-	copies := []*memstore.Copy{s.Copy()}
+	copies := []*memstore.Snapshot{s.Copy()}
 	holderOf, highest := map[uint64]int{}, uint64(0)
 	for range 300 {
 		switch rng.IntN(25) {
