--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -166,8 +166,8 @@
 	objects map[store.ID]store.Object
 }
 
-// Copy returns a snapshot of the store.
-func (s *Store) Copy() *Snapshot {
+// Snapshot returns a snapshot of the store.
+func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &Snapshot{version: s.version, objects: maps.Clone(s.objects)}
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -40,12 +40,12 @@
 	for _, k := range ks {
 		go k.Run(ctx)
 	}
-	copies := []*memstore.Snapshot{s.Copy()}
+	copies := []*memstore.Snapshot{s.Snapshot()}
 	holderOf, highest := map[uint64]int{}, uint64(0)
 	for range 300 {
 		switch rng.IntN(25) {
 		case 0:
-			copies = append(copies, s.Copy())
+			copies = append(copies, s.Snapshot())
 		case 1:
 			s.Restore(copies[max(0, len(copies)-1-rng.IntN(3))])
 		case 2:
