--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -67,7 +67,7 @@
 	for ctx.Err() == nil {
 		store.SetFaults(memstore.Faults{
 			Outage: rand.IntN(8) == 0, LoseAnswer: rand.Float64() * 0.3, LoseWrite: rand.Float64() * 0.1,
-			Late: rand.Float64() * 0.2, Delay: time.Duration(1+rand.IntN(10)) * time.Millisecond,
+			LateWrite: rand.Float64() * 0.2, Delay: time.Duration(1+rand.IntN(10)) * time.Millisecond,
 		})
 		time.Sleep(time.Duration(rand.IntN(400)) * time.Millisecond)
 	}
--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -20,7 +20,7 @@
 	Outage     bool          // all calls fail
 	LoseAnswer float64       // probability that a write takes effect but its answer is lost
 	LoseWrite  float64       // probability that a write and its answer are lost
-	Late       float64       // probability that a write takes effect after its answer is lost
+	LateWrite       float64       // probability that a write takes effect after its answer is lost
 	Delay      time.Duration // of each call
 }
 
@@ -127,7 +127,7 @@
 	if rand.Float64() < f.LoseWrite {
 		return 0, store.ErrAmbiguous
 	}
-	if rand.Float64() < f.Late {
+	if rand.Float64() < f.LateWrite {
 		go func() {
 			time.Sleep(time.Duration(rand.IntN(300)) * time.Millisecond)
 			_, _ = s.apply(o, ifVersion)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -40,7 +40,7 @@
 			if i%40 == 0 {
 				store.SetFaults(memstore.Faults{
 					Outage: rand.IntN(4) == 0, LoseAnswer: rand.Float64() * 0.3, LoseWrite: rand.Float64() * 0.2,
-					Late: rand.Float64() * 0.2, Delay: time.Duration(rand.IntN(50)) * time.Millisecond,
+					LateWrite: rand.Float64() * 0.2, Delay: time.Duration(rand.IntN(50)) * time.Millisecond,
 				})
 			}
 			time.Sleep(50 * time.Millisecond)
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -51,7 +51,7 @@
 		case 2:
 			s.SetFaults(memstore.Faults{
 				Outage: rng.IntN(4) == 0, LoseAnswer: rng.Float64() * 0.3, LoseWrite: rng.Float64() * 0.2,
-				Late: rng.Float64() * 0.2, Delay: time.Duration(rng.IntN(50)) * time.Millisecond,
+				LateWrite: rng.Float64() * 0.2, Delay: time.Duration(rng.IntN(50)) * time.Millisecond,
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -108,7 +108,7 @@
 		s.w.Platform.Store.SetFaults(memstore.Faults{})
 	},
 	"store loses": func(s *soak, r *rand.Rand) {
-		s.w.Platform.Store.SetFaults(memstore.Faults{LoseAnswer: 0.4, LoseWrite: 0.2, Late: 0.2, Delay: 20 * time.Millisecond})
+		s.w.Platform.Store.SetFaults(memstore.Faults{LoseAnswer: 0.4, LoseWrite: 0.2, LateWrite: 0.2, Delay: 20 * time.Millisecond})
 		time.Sleep(randomDuration(r, 5*time.Second))
 		s.w.Platform.Store.SetFaults(memstore.Faults{})
 	},
