--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -118,8 +118,8 @@
 	return e.Start()
 }
 
-// Leave sets whether the engine reports that it is leaving.
-func (e *Engine) Leave(on bool) {
+// SetLeaving sets whether the engine reports that it is leaving.
+func (e *Engine) SetLeaving(on bool) {
 	e.state.Lock()
 	defer e.state.Unlock()
 	e.status.Leaving = on
--- a/trial/leave_test.go
+++ b/trial/leave_test.go
@@ -70,7 +70,7 @@
 func TestLeaving(t *testing.T) {
 	marks := map[string]func(w *World){
 		"vm list": func(w *World) { w.SetLeaving("engine-1") },
-		"status":  func(w *World) { w.Fleet.Engine("engine-1").Leave(true) },
+		"status":  func(w *World) { w.Fleet.Engine("engine-1").SetLeaving(true) },
 		"label": func(w *World) {
 			w.Platform.Set(string(topology.KindBackendServer), "engine-1", &topology.BackendServer{
 				Address: w.Fleet.Engine("engine-1").Address(), FailureDomain: "bogota-1", Labels: topology.Labels{topology.LabelDrain: "true"}})
@@ -119,7 +119,7 @@
 			first = d.Chosen
 		}
 		leaving, _, _ := strings.Cut(first, "[")
-		w.Fleet.Engine(leaving).Leave(true)
+		w.Fleet.Engine(leaving).SetLeaving(true)
 		time.Sleep(time.Second)
 		require.Zero(t, w.Fleet.Engine(leaving).InFlight(), "the stream did not move")
 		wg.Wait()
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -84,7 +84,7 @@
 		}
 		s.leaving[e.Name] = true
 		freezes, frozen := s.freezes[e.Name], e.Frozen.Load()
-		e.Leave(true)
+		e.SetLeaving(true)
 		s.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		from := time.Now()
@@ -94,7 +94,7 @@
 			s.routesAfterLeave += s.w.routesSince(e.Name, from)
 		}
 		s.leaving[e.Name] = false
-		e.Leave(false)
+		e.SetLeaving(false)
 	},
 	"slow links": func(s *soak, r *rand.Rand) {
 		a, b := engines[r.IntN(len(engines))].name, engines[r.IntN(len(engines))].name
