--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -267,7 +267,7 @@
 		time.Sleep(time.Until(done))
 		ev := backend.Event{
 			Type: backend.EventToken, RequestID: g.RequestID, Attempt: g.Attempt, Index: index,
-			Token: int32(index), Text: Word(promptOf(g), index),
+			Token: int32(index), Text: TokenText(promptOf(g), index),
 		}
 		if (index-len(g.Prior))%loadReportInterval == 0 {
 			ev.Loads = loads
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// Word returns the text of a token. It depends only on the prompt and the index, so that
+// TokenText returns the text of a token. It depends only on the prompt and the index, so that
 // foreign, lost and repeated tokens change the answer.
-func Word(prompt string, index int) string {
+func TokenText(prompt string, index int) string {
 	return fmt.Sprintf("%x.%d ", xxhash.Sum64String(prompt), index)
 }
 
@@ -103,7 +103,7 @@
 func Answer(prompt string, n int) string {
 	var b []byte
 	for i := range n {
-		b = append(b, Word(prompt, i)...)
+		b = append(b, TokenText(prompt, i)...)
 	}
 	return string(b)
 }
