--- a/trial/once.go
+++ b/trial/once.go
@@ -26,7 +26,7 @@
 	Lost     int           // no explicit answer
 	Repeated int           // not repeatable, but ran more than once
 	Foreign  int           // the answer has the wrong text
-	Untrue   int           // answered as not run, but ran
+	FalselyRefused   int           // answered as not run, but ran
 	Broken   int           // the connection broke while faults allow that
 	Recovery time.Duration // 99th percentile of the longest gap of each stream
 	Problems []string
@@ -34,7 +34,7 @@
 
 // OK reports whether all guarantees held.
 func (r *Report) OK() bool {
-	return r.Lost == 0 && r.Repeated == 0 && r.Foreign == 0 && r.Untrue == 0 && len(r.Problems) == 0
+	return r.Lost == 0 && r.Repeated == 0 && r.Foreign == 0 && r.FalselyRefused == 0 && len(r.Problems) == 0
 }
 
 // String returns the summary line of a run.
@@ -260,7 +260,7 @@
 	case reply.Ran == apierror.RanNo:
 		m.report.Refused++
 		if runs > 0 {
-			m.report.Untrue++
+			m.report.FalselyRefused++
 		}
 	default:
 		m.report.Unknown++
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -229,7 +229,7 @@
 	w.Close()
 	time.Sleep(2 * time.Minute)
 	r := &s.mix.report
-	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.Untrue, r.Problems, s.faultNames)
+	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.FalselyRefused, r.Problems, s.faultNames)
 	require.Zero(t, s.routesAfterLeave, "seed %d: routes through an engine that is leaving\nfaults %v", seed, s.faultNames)
 	require.Equal(t, before, invariant.Total(), "seed %d: invariants violated", seed)
 	require.Greater(t, r.Whole, r.Requests/3, "seed %d: %s", seed, r)
