--- a/trial/once.go
+++ b/trial/once.go
@@ -25,7 +25,7 @@
 	Unknown  int           // answered with an unknown outcome
 	Lost     int           // no explicit answer
 	Repeated int           // not repeatable, but ran more than once
-	Foreign  int           // the answer has the wrong text
+	WrongText  int           // the answer has the wrong text
 	FalselyRefused   int           // answered as not run, but ran
 	Broken   int           // the connection broke while faults allow that
 	Recovery time.Duration // 99th percentile of the longest gap of each stream
@@ -34,13 +34,13 @@
 
 // OK reports whether all guarantees held.
 func (r *Report) OK() bool {
-	return r.Lost == 0 && r.Repeated == 0 && r.Foreign == 0 && r.FalselyRefused == 0 && len(r.Problems) == 0
+	return r.Lost == 0 && r.Repeated == 0 && r.WrongText == 0 && r.FalselyRefused == 0 && len(r.Problems) == 0
 }
 
 // String returns the summary line of a run.
 func (r *Report) String() string {
 	return fmt.Sprintf("try: requests=%d whole=%d refused=%d unknown=%d lost=%d repeated=%d foreign=%d recovery_p99_ms=%d",
-		r.Requests, r.Whole, r.Refused, r.Unknown, r.Lost, r.Repeated, r.Foreign, r.Recovery.Milliseconds())
+		r.Requests, r.Whole, r.Refused, r.Unknown, r.Lost, r.Repeated, r.WrongText, r.Recovery.Milliseconds())
 }
 
 // mix is one run of requests against a world.
@@ -255,7 +255,7 @@
 	case reply.Completed && reply.Text == want:
 		m.report.Whole++
 	case reply.Completed:
-		m.report.Foreign++
+		m.report.WrongText++
 		m.report.Problems = append(m.report.Problems, fmt.Sprintf("%q got %.80q", r.Prompt, reply.Text))
 	case reply.Ran == apierror.RanNo:
 		m.report.Refused++
@@ -265,7 +265,7 @@
 	default:
 		m.report.Unknown++
 		if !strings.HasPrefix(want, reply.Text) {
-			m.report.Foreign++
+			m.report.WrongText++
 		}
 	}
 }
