--- a/trial/once.go
+++ b/trial/once.go
@@ -20,7 +20,7 @@
 // Report holds the counters of a run of mixed requests.
 type Report struct {
 	Requests int
-	Whole    int
+	Completed    int
 	Refused  int           // answered as not run
 	Unknown  int           // answered with an unknown outcome
 	Lost     int           // no explicit answer
@@ -40,7 +40,7 @@
 // String returns the summary line of a run.
 func (r *Report) String() string {
 	return fmt.Sprintf("try: requests=%d whole=%d refused=%d unknown=%d lost=%d repeated=%d foreign=%d recovery_p99_ms=%d",
-		r.Requests, r.Whole, r.Refused, r.Unknown, r.Lost, r.Repeated, r.WrongText, r.Recovery.Milliseconds())
+		r.Requests, r.Completed, r.Refused, r.Unknown, r.Lost, r.Repeated, r.WrongText, r.Recovery.Milliseconds())
 }
 
 // mix is one run of requests against a world.
@@ -253,7 +253,7 @@
 		m.report.Lost++
 		m.report.Problems = append(m.report.Problems, fmt.Sprintf("%q: %v", r.Prompt, err))
 	case reply.Completed && reply.Text == want:
-		m.report.Whole++
+		m.report.Completed++
 	case reply.Completed:
 		m.report.WrongText++
 		m.report.Problems = append(m.report.Problems, fmt.Sprintf("%q got %.80q", r.Prompt, reply.Text))
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -201,7 +201,7 @@
 
 func (r *Report) add(o *Report) {
 	r.Requests += o.Requests
-	r.Whole += o.Whole
+	r.Completed += o.Completed
 	r.Refused += o.Refused
 	r.Unknown += o.Unknown
 	r.Broken += o.Broken
@@ -232,7 +232,7 @@
 	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.FalselyRefused, r.Problems, s.faultNames)
 	require.Zero(t, s.routesAfterLeave, "seed %d: routes through an engine that is leaving\nfaults %v", seed, s.faultNames)
 	require.Equal(t, before, invariant.Total(), "seed %d: invariants violated", seed)
-	require.Greater(t, r.Whole, r.Requests/3, "seed %d: %s", seed, r)
+	require.Greater(t, r.Completed, r.Requests/3, "seed %d: %s", seed, r)
 	return r
 }
 
