--- a/cmd/snowspoke/try.go
+++ b/cmd/snowspoke/try.go
@@ -105,7 +105,7 @@
 func (t *tryCmd) runOnce(w *trial.World) error {
 	ctx, cancel := context.WithTimeout(context.Background(), onceTimeout)
 	defer cancel()
-	report := trial.Once(ctx, w, t.Faults, func(s string) { fmt.Println("try:", s) })
+	report := trial.RunMix(ctx, w, t.Faults, func(s string) { fmt.Println("try:", s) })
 	for _, p := range report.Problems {
 		fmt.Println("try: problem:", p)
 	}
--- a/trial/once.go
+++ b/trial/once.go
@@ -62,10 +62,10 @@
 	longTokens  = 400
 )
 
-// Once sends mixed requests while a stage is killed in mid-stream, a backend server
+// RunMix sends mixed requests while a stage is killed in mid-stream, a backend server
 // is drained and a daemon restarts. With faults the store fails and an engine freezes
 // too. Each event is passed to progress.
-func Once(ctx context.Context, w *World, faults bool, progress func(string)) *Report {
+func RunMix(ctx context.Context, w *World, faults bool, progress func(string)) *Report {
 	m := newMix(w)
 	events := m.events(progress)
 	if faults {
--- a/trial/once_test.go
+++ b/trial/once_test.go
@@ -28,7 +28,7 @@
 			w.Close()
 			time.Sleep(time.Minute)
 		}()
-		r := Once(context.Background(), w, faults, func(string) {})
+		r := RunMix(context.Background(), w, faults, func(string) {})
 		require.Empty(t, r.Problems)
 		require.True(t, r.OK(), r.String())
 		if !faults {
