--- a/cmd/snowspoke/try.go
+++ b/cmd/snowspoke/try.go
@@ -87,7 +87,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), onceTimeout)
 	defer cancel()
-	summary, problems, err := trial.OnceOnSite(ctx, logs, func(s string) { fmt.Println("try:", s) })
+	summary, problems, err := trial.RunOnSite(ctx, logs, func(s string) { fmt.Println("try:", s) })
 	if err != nil {
 		return err
 	}
--- a/trial/site.go
+++ b/trial/site.go
@@ -24,11 +24,11 @@
 	siteReadyTimeout = 10 * time.Second
 )
 
-// OnceOnSite runs a stand-in site of the platform and daemons in this process. It
+// RunOnSite runs a stand-in site of the platform and daemons in this process. It
 // sends mixed requests while a head is killed, answers fail, the store is
 // unavailable and a daemon is stopped gracefully. Each event is passed to progress.
 // It returns the counters of the run and the guarantees that were violated.
-func OnceOnSite(ctx context.Context, logs io.Writer, progress func(string)) (summary string, problems []string, err error) {
+func RunOnSite(ctx context.Context, logs io.Writer, progress func(string)) (summary string, problems []string, err error) {
 	s := sitetrial.New([]string{"a", "b"}, 2, 2, 2)
 	defer s.Close()
 	for _, p := range s.Servers() {
--- a/trial/site_test.go
+++ b/trial/site_test.go
@@ -9,7 +9,7 @@
 
 // A run on a stand-in site violates no guarantee.
 func TestOnceOnSite(t *testing.T) {
-	summary, problems, err := OnceOnSite(t.Context(), io.Discard, func(s string) { t.Log(s) })
+	summary, problems, err := RunOnSite(t.Context(), io.Discard, func(s string) { t.Log(s) })
 	require.NoError(t, err)
 	require.Empty(t, problems)
 	t.Log(summary)
