--- a/client/client.go
+++ b/client/client.go
@@ -38,13 +38,13 @@
 type Reply struct {
 	RequestID  string
 	Text       string
-	Whole      bool
+	Completed      bool
 	Tokens     int
 	Kind       apierror.Kind // of the error; empty if the response is complete
 	Ran        apierror.Ran
 	RetryAfter time.Duration
 	EventID    string          // of the last token
-	First      time.Duration   // time to the first token
+	FirstToken      time.Duration   // time to the first token
 	Gaps       []time.Duration // between tokens
 	Took       time.Duration
 }
@@ -157,7 +157,7 @@
 		return r, fmt.Errorf("client: %w", err)
 	}
 	r.add(&a)
-	r.Whole = a.Completed
+	r.Completed = a.Completed
 	return r, nil
 }
 
@@ -182,7 +182,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.Whole = true
+			r.Completed = true
 			return r, nil
 		}
 		var a response
@@ -206,19 +206,19 @@
 func (r *Reply) recordToken(start, last time.Time) time.Time {
 	now := time.Now()
 	r.Tokens++
-	if r.First == 0 {
-		r.First = now.Sub(start)
+	if r.FirstToken == 0 {
+		r.FirstToken = now.Sub(start)
 		return now
 	}
 	r.Gaps = append(r.Gaps, now.Sub(last))
 	return now
 }
 
-// CompleteThrough sends a streaming request and resumes it from the last event ID
+// CompleteWithResume sends a streaming request and resumes it from the last event ID
 // when the connection fails after an event, up to tries requests in total. Each
 // request goes through the client that next returns. The reply holds the text of
 // all of them.
-func CompleteThrough(ctx context.Context, next func() *Client, r Request, tries int) (Reply, error) {
+func CompleteWithResume(ctx context.Context, next func() *Client, r Request, tries int) (Reply, error) {
 	var total Reply
 	start := time.Now()
 	for i := 0; ; i++ {
@@ -226,7 +226,7 @@
 		part.Text = total.Text + part.Text
 		part.Gaps = append(total.Gaps, part.Gaps...)
 		if total.RequestID != "" {
-			part.RequestID, part.First = total.RequestID, total.First
+			part.RequestID, part.FirstToken = total.RequestID, total.FirstToken
 			if part.EventID == "" {
 				part.EventID = total.EventID
 			}
@@ -263,7 +263,7 @@
 	r.Kind = apierror.Kind(resp.Header.Get(api.HeaderKind))
 	r.Ran = apierror.Ran(resp.Header.Get(api.HeaderRan))
 	if r.Kind == "" {
-		r.Whole = true
+		r.Completed = true
 		r.Text = string(data)
 		return r, nil
 	}
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -90,7 +90,7 @@
 func (r *run) beginAttempt() error {
 	r.delivery.Begin(r.attempt)
 	r.produced = false
-	sealed, err := r.d.sealer.Attempt(&Place{
+	sealed, err := r.d.sealer.Attempt(&Position{
 		Workspace: r.req.Workspace.Name, RequestID: r.req.ID, Attempt: r.attempt, Model: r.model.Name,
 		Version: r.version, Adapter: r.req.Adapter, Route: r.route, BodyHash: r.req.BodyHash, Repeatable: r.Repeatable(),
 	})
@@ -174,7 +174,7 @@
 		if err != nil {
 			return r.handleReadError(ctx, actx, err)
 		}
-		if !r.delivery.Mine(&ev) {
+		if !r.delivery.IsCurrent(&ev) {
 			continue
 		}
 		res, done := r.handleEvent(ev)
@@ -266,7 +266,7 @@
 
 // handleDone ends an attempt for which the engine reported completion.
 func (r *run) handleDone(ev backend.Event) result {
-	if !r.delivery.Whole(ev.Index) {
+	if !r.delivery.IsComplete(ev.Index) {
 		_ = r.Move(execution.Unknown)
 		return result{err: errIncomplete}
 	}
--- a/dispatch/delivery.go
+++ b/dispatch/delivery.go
@@ -42,9 +42,9 @@
 // Next returns the index of the next token.
 func (d *Delivery) Next() int { return d.next }
 
-// Mine reports whether an event belongs to the current attempt. It counts other
+// IsCurrent reports whether an event belongs to the current attempt. It counts other
 // events as dropped.
-func (d *Delivery) Mine(ev *backend.Event) bool {
+func (d *Delivery) IsCurrent(ev *backend.Event) bool {
 	if ev.RequestID != d.requestID {
 		d.drops.Foreign++
 		return false
@@ -60,7 +60,7 @@
 // slice is valid until the next call.
 func (d *Delivery) Accept(ev backend.Event) []backend.Event {
 	d.ready = d.ready[:0]
-	if !d.Mine(&ev) {
+	if !d.IsCurrent(&ev) {
 		return nil
 	}
 	if ev.Index < d.next {
@@ -100,11 +100,11 @@
 	d.held[ev.Index] = ev
 }
 
-// Whole reports whether all of an answer's count tokens have been released.
-func (d *Delivery) Whole(count int) bool { return d.next == count && len(d.held) == 0 }
+// IsComplete reports whether all of an answer's count tokens have been released.
+func (d *Delivery) IsComplete(count int) bool { return d.next == count && len(d.held) == 0 }
 
 // checkComplete asserts that an answer of count tokens is complete.
 func (d *Delivery) checkComplete(count int) error {
-	return invariant.Check(d.Whole(count), invariant.WholeOwnAnswer,
+	return invariant.Check(d.IsComplete(count), invariant.WholeOwnAnswer,
 		"request %s ended whole with %d of %d tokens", d.requestID, d.next, count)
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -58,7 +58,7 @@
 	planner *routing.Planner
 	gate    *Gate
 	health  HealthSink
-	alive   Alive
+	alive   Prober
 	warm    Warm
 	sealer  *Sealer
 	log     *decision.Log
@@ -76,7 +76,7 @@
 	Planner  *routing.Planner
 	Gate     *Gate
 	Health   HealthSink
-	Alive    Alive
+	Alive    Prober
 	Warm     Warm
 	Sealer   *Sealer
 	Log      *decision.Log
@@ -111,7 +111,7 @@
 func (d *Dispatcher) newRun(req *Request, sink Sink) *run {
 	return &run{
 		d: d, req: req, sink: sink, began: d.clock(),
-		Life:     execution.New(req.Repeatable),
+		Tracker:     execution.New(req.Repeatable),
 		delivery: NewDelivery(req.ID, 0),
 		avoid:    map[string]bool{},
 	}
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -70,7 +70,7 @@
 	err := c.run(ctx)
 	kind := "whole"
 	if err != nil {
-		e := c.Truth(err)
+		e := c.Answer(err)
 		kind, err = string(e.Kind), e
 		s.log.Add(decision.Record{
 			Time: s.clock(), Kind: decision.Refuse, RequestID: req.Call.RequestID, Attempt: c.attempt,
@@ -83,7 +83,7 @@
 
 // call is the state of one call. It implements execution.Sender.
 type call struct {
-	execution.Life
+	execution.Tracker
 	s       *Services
 	req     *ServiceRequest
 	svc     *topology.Service
@@ -100,12 +100,12 @@
 	if err := c.s.gate.CheckService(c.req.Workspace); err != nil {
 		return err
 	}
-	c.Life = execution.New(c.req.Repeatable && c.svc.IsRepeatable(c.req.Call.Method, trimQuery(c.req.Call.Path)))
+	c.Tracker = execution.New(c.req.Repeatable && c.svc.IsRepeatable(c.req.Call.Method, trimQuery(c.req.Call.Path)))
 	return c.Run(ctx, c)
 }
 
 // Send implements execution.Sender.
-func (c *call) Send(ctx context.Context) (execution.Verdict, error) {
+func (c *call) Send(ctx context.Context) (execution.Result, error) {
 	e, err := c.acquireEndpoint(ctx)
 	if err != nil {
 		return execution.Answered, err
@@ -145,7 +145,7 @@
 
 // Retry implements execution.Sender. It takes a retry out of the budget only if
 // another endpoint is left.
-func (c *call) Retry(context.Context, execution.Verdict) bool {
+func (c *call) Retry(context.Context, execution.Result) bool {
 	if c.attempt+1 >= maxServiceAttempts || c.s.pickEndpoint(c.svc, c.tried) == nil || !c.s.gate.SpendRetry(c.req.Workspace.Name, c.svc.Name) {
 		return false
 	}
@@ -186,7 +186,7 @@
 		return reply, c.Move(execution.Delivered)
 	}
 	c.s.callEnded(k, errors.Is(err, execution.ErrRefused))
-	if verr := c.Move(execution.After(err)); verr != nil {
+	if verr := c.Move(execution.StateAfter(err)); verr != nil {
 		return nil, verr
 	}
 	return nil, err
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -15,7 +15,7 @@
 // scriptedSender is a Sender whose sends return the given errors. It ends its
 // context after endAt sends.
 type scriptedSender struct {
-	life    *Life
+	life    *Tracker
 	sends   []error // nil means a complete answer
 	retries int
 	cancel  context.CancelFunc
@@ -24,7 +24,7 @@
 	ran     int // sends that may have run
 }
 
-func (s *scriptedSender) Send(context.Context) (Verdict, error) {
+func (s *scriptedSender) Send(context.Context) (Result, error) {
 	err := s.sends[min(s.made, len(s.sends)-1)]
 	s.made++
 	if s.made == s.endAt {
@@ -38,7 +38,7 @@
 		s.life.MarkRan()
 		return Answered, s.life.Move(Delivered)
 	}
-	if verr := s.life.Move(After(err)); verr != nil {
+	if verr := s.life.Move(StateAfter(err)); verr != nil {
 		return Answered, verr
 	}
 	if s.life.State().NotRun() {
@@ -48,7 +48,7 @@
 	return MayHaveRun, err
 }
 
-func (s *scriptedSender) Retry(context.Context, Verdict) bool {
+func (s *scriptedSender) Retry(context.Context, Result) bool {
 	s.retries--
 	return s.retries >= 0
 }
@@ -99,7 +99,7 @@
 	fresh := New(true)
 	for _, c := range []struct {
 		ctx  context.Context
-		life Life
+		life Tracker
 		want apierror.Kind
 	}{
 		{passed, fresh, apierror.DeadlinePassed},
--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -20,7 +20,7 @@
 	Outage     bool          // all calls fail
 	LoseAnswer float64       // probability that a write takes effect but its answer is lost
 	LoseWrite  float64       // probability that a write and its answer are lost
-	Late       float64       // probability that a write takes effect after its answer is lost
+	LateWrite       float64       // probability that a write takes effect after its answer is lost
 	Delay      time.Duration // of each call
 }
 
@@ -127,7 +127,7 @@
 	if rand.Float64() < f.LoseWrite {
 		return 0, store.ErrAmbiguous
 	}
-	if rand.Float64() < f.Late {
+	if rand.Float64() < f.LateWrite {
 		go func() {
 			time.Sleep(time.Duration(rand.IntN(300)) * time.Millisecond)
 			_, _ = s.apply(o, ifVersion)
@@ -160,22 +160,22 @@
 	return written, nil
 }
 
-// Copy is a snapshot of a store.
-type Copy struct {
+// Snapshot is a snapshot of a store.
+type Snapshot struct {
 	version uint64
 	objects map[store.ID]store.Object
 }
 
-// Copy returns a snapshot of the store.
-func (s *Store) Copy() *Copy {
+// Snapshot returns a snapshot of the store.
+func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return &Copy{version: s.version, objects: maps.Clone(s.objects)}
+	return &Snapshot{version: s.version, objects: maps.Clone(s.objects)}
 }
 
 // Restore replaces the state by that of a copy. Later writes are lost, and their
 // revisions are assigned again in a new era.
-func (s *Store) Restore(c *Copy) {
+func (s *Store) Restore(c *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era = max(s.era, 1) + 1 // a store that was never restored has era 0 here
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -118,8 +118,8 @@
 	return e.Start()
 }
 
-// Leave sets whether the engine reports that it is leaving.
-func (e *Engine) Leave(on bool) {
+// SetLeaving sets whether the engine reports that it is leaving.
+func (e *Engine) SetLeaving(on bool) {
 	e.state.Lock()
 	defer e.state.Unlock()
 	e.status.Leaving = on
@@ -267,7 +267,7 @@
 		time.Sleep(time.Until(done))
 		ev := backend.Event{
 			Type: backend.EventToken, RequestID: g.RequestID, Attempt: g.Attempt, Index: index,
-			Token: int32(index), Text: Word(promptOf(g), index),
+			Token: int32(index), Text: TokenText(promptOf(g), index),
 		}
 		if (index-len(g.Prior))%loadReportInterval == 0 {
 			ev.Loads = loads
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -40,18 +40,18 @@
 	for _, k := range ks {
 		go k.Run(ctx)
 	}
-	copies := []*memstore.Copy{s.Copy()}
+	copies := []*memstore.Snapshot{s.Snapshot()}
 	holderOf, highest := map[uint64]int{}, uint64(0)
 	for range 300 {
 		switch rng.IntN(25) {
 		case 0:
-			copies = append(copies, s.Copy())
+			copies = append(copies, s.Snapshot())
 		case 1:
 			s.Restore(copies[max(0, len(copies)-1-rng.IntN(3))])
 		case 2:
 			s.SetFaults(memstore.Faults{
 				Outage: rng.IntN(4) == 0, LoseAnswer: rng.Float64() * 0.3, LoseWrite: rng.Float64() * 0.2,
-				Late: rng.Float64() * 0.2, Delay: time.Duration(rng.IntN(50)) * time.Millisecond,
+				LateWrite: rng.Float64() * 0.2, Delay: time.Duration(rng.IntN(50)) * time.Millisecond,
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
--- a/load/load.go
+++ b/load/load.go
@@ -30,12 +30,12 @@
 // Result holds the measurements of a load.
 type Result struct {
 	Sent     int
-	Whole    int
+	Completed    int
 	Errors   map[apierror.Kind]int // error responses by kind
 	Broken   int                   // requests whose connection failed before a complete response or an error
 	Tokens   int                   // in complete responses
 	Elapsed  time.Duration
-	First    *hdrhistogram.Histogram // microseconds
+	FirstToken    *hdrhistogram.Histogram // microseconds
 	Gap      *hdrhistogram.Histogram // microseconds
 	Refusal  *hdrhistogram.Histogram // microseconds until an error of a request that did not run
 	Timeline []Second
@@ -67,7 +67,7 @@
 // Run sends the load, rotating over the clients, and waits for the responses.
 func Run(ctx context.Context, s Spec, clients []*client.Client) *Result {
 	r := &runner{spec: s, clients: clients, start: time.Now(), result: Result{
-		Errors: map[apierror.Kind]int{}, First: newHistogram(), Gap: newHistogram(), Refusal: newHistogram(),
+		Errors: map[apierror.Kind]int{}, FirstToken: newHistogram(), Gap: newHistogram(), Refusal: newHistogram(),
 	}}
 	rng := rand.New(rand.NewPCG(s.Seed, 0))
 	ctx, cancel := context.WithTimeout(ctx, s.Length+s.Timeout)
@@ -107,8 +107,8 @@
 		t.Timeline = append(t.Timeline, Second{})
 	}
 	second := &t.Timeline[int(at.Seconds())]
-	if reply.First > 0 {
-		_ = t.First.RecordValue(reply.First.Microseconds())
+	if reply.FirstToken > 0 {
+		_ = t.FirstToken.RecordValue(reply.FirstToken.Microseconds())
 	}
 	for _, g := range reply.Gaps {
 		_ = t.Gap.RecordValue(max(1, g.Microseconds()))
@@ -117,8 +117,8 @@
 	case err != nil:
 		t.Broken++
 		second.Errors++
-	case reply.Whole:
-		t.Whole++
+	case reply.Completed:
+		t.Completed++
 		t.Tokens += reply.Tokens
 		second.Tokens += reply.Tokens
 	default:
--- a/trial/once.go
+++ b/trial/once.go
@@ -20,13 +20,13 @@
 // Report holds the counters of a run of mixed requests.
 type Report struct {
 	Requests int
-	Whole    int
+	Completed    int
 	Refused  int           // answered as not run
 	Unknown  int           // answered with an unknown outcome
 	Lost     int           // no explicit answer
 	Repeated int           // not repeatable, but ran more than once
-	Foreign  int           // the answer has the wrong text
-	Untrue   int           // answered as not run, but ran
+	WrongText  int           // the answer has the wrong text
+	FalselyRefused   int           // answered as not run, but ran
 	Broken   int           // the connection broke while faults allow that
 	Recovery time.Duration // 99th percentile of the longest gap of each stream
 	Problems []string
@@ -34,13 +34,13 @@
 
 // OK reports whether all guarantees held.
 func (r *Report) OK() bool {
-	return r.Lost == 0 && r.Repeated == 0 && r.Foreign == 0 && r.Untrue == 0 && len(r.Problems) == 0
+	return r.Lost == 0 && r.Repeated == 0 && r.WrongText == 0 && r.FalselyRefused == 0 && len(r.Problems) == 0
 }
 
 // String returns the summary line of a run.
 func (r *Report) String() string {
 	return fmt.Sprintf("try: requests=%d whole=%d refused=%d unknown=%d lost=%d repeated=%d foreign=%d recovery_p99_ms=%d",
-		r.Requests, r.Whole, r.Refused, r.Unknown, r.Lost, r.Repeated, r.Foreign, r.Recovery.Milliseconds())
+		r.Requests, r.Completed, r.Refused, r.Unknown, r.Lost, r.Repeated, r.WrongText, r.Recovery.Milliseconds())
 }
 
 // mix is one run of requests against a world.
@@ -62,10 +62,10 @@
 	longTokens  = 400
 )
 
-// Once sends mixed requests while a stage is killed in mid-stream, a backend server
+// RunMix sends mixed requests while a stage is killed in mid-stream, a backend server
 // is drained and a daemon restarts. With faults the store fails and an engine freezes
 // too. Each event is passed to progress.
-func Once(ctx context.Context, w *World, faults bool, progress func(string)) *Report {
+func RunMix(ctx context.Context, w *World, faults bool, progress func(string)) *Report {
 	m := newMix(w)
 	events := m.events(progress)
 	if faults {
@@ -194,7 +194,7 @@
 
 func (m *mix) stream(ctx context.Context, prompt string, tokens int) {
 	r := client.Request{Model: Model, Prompt: prompt, MaxTokens: tokens, Stream: true, Repeatable: true}
-	reply, err := client.CompleteThrough(ctx, m.nextClient, r, 3)
+	reply, err := client.CompleteWithResume(ctx, m.nextClient, r, 3)
 	m.record(&r, &reply, err, standin.Answer(prompt, tokens))
 }
 
@@ -247,25 +247,25 @@
 		m.report.Repeated++
 	}
 	switch {
-	case err != nil && m.allowBroken && !reply.Whole:
+	case err != nil && m.allowBroken && !reply.Completed:
 		m.report.Broken++
 	case err != nil:
 		m.report.Lost++
 		m.report.Problems = append(m.report.Problems, fmt.Sprintf("%q: %v", r.Prompt, err))
-	case reply.Whole && reply.Text == want:
-		m.report.Whole++
-	case reply.Whole:
-		m.report.Foreign++
+	case reply.Completed && reply.Text == want:
+		m.report.Completed++
+	case reply.Completed:
+		m.report.WrongText++
 		m.report.Problems = append(m.report.Problems, fmt.Sprintf("%q got %.80q", r.Prompt, reply.Text))
 	case reply.Ran == apierror.RanNo:
 		m.report.Refused++
 		if runs > 0 {
-			m.report.Untrue++
+			m.report.FalselyRefused++
 		}
 	default:
 		m.report.Unknown++
 		if !strings.HasPrefix(want, reply.Text) {
-			m.report.Foreign++
+			m.report.WrongText++
 		}
 	}
 }
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -84,7 +84,7 @@
 		}
 		s.leaving[e.Name] = true
 		freezes, frozen := s.freezes[e.Name], e.Frozen.Load()
-		e.Leave(true)
+		e.SetLeaving(true)
 		s.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		from := time.Now()
@@ -94,7 +94,7 @@
 			s.routesAfterLeave += s.w.routesSince(e.Name, from)
 		}
 		s.leaving[e.Name] = false
-		e.Leave(false)
+		e.SetLeaving(false)
 	},
 	"slow links": func(s *soak, r *rand.Rand) {
 		a, b := engines[r.IntN(len(engines))].name, engines[r.IntN(len(engines))].name
@@ -108,7 +108,7 @@
 		s.w.Platform.Store.SetFaults(memstore.Faults{})
 	},
 	"store loses": func(s *soak, r *rand.Rand) {
-		s.w.Platform.Store.SetFaults(memstore.Faults{LoseAnswer: 0.4, LoseWrite: 0.2, Late: 0.2, Delay: 20 * time.Millisecond})
+		s.w.Platform.Store.SetFaults(memstore.Faults{LoseAnswer: 0.4, LoseWrite: 0.2, LateWrite: 0.2, Delay: 20 * time.Millisecond})
 		time.Sleep(randomDuration(r, 5*time.Second))
 		s.w.Platform.Store.SetFaults(memstore.Faults{})
 	},
@@ -134,7 +134,7 @@
 		s.net.Heal()
 	},
 	"service breaks": func(s *soak, r *rand.Rand) {
-		s.w.Services[r.IntN(len(s.w.Services))].CutAfter.Store(r.Int64N(4))
+		s.w.Services[r.IntN(len(s.w.Services))].CutNext.Store(r.Int64N(4))
 	},
 	"operators race": func(s *soak, r *rand.Rand) {
 		for i := range 6 {
@@ -201,7 +201,7 @@
 
 func (r *Report) add(o *Report) {
 	r.Requests += o.Requests
-	r.Whole += o.Whole
+	r.Completed += o.Completed
 	r.Refused += o.Refused
 	r.Unknown += o.Unknown
 	r.Broken += o.Broken
@@ -229,10 +229,10 @@
 	w.Close()
 	time.Sleep(2 * time.Minute)
 	r := &s.mix.report
-	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.Untrue, r.Problems, s.faultNames)
+	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.FalselyRefused, r.Problems, s.faultNames)
 	require.Zero(t, s.routesAfterLeave, "seed %d: routes through an engine that is leaving\nfaults %v", seed, s.faultNames)
 	require.Equal(t, before, invariant.Total(), "seed %d: invariants violated", seed)
-	require.Greater(t, r.Whole, r.Requests/3, "seed %d: %s", seed, r)
+	require.Greater(t, r.Completed, r.Requests/3, "seed %d: %s", seed, r)
 	return r
 }
 
