--- a/api/operators.go
+++ b/api/operators.go
@@ -23,7 +23,7 @@
 	Revision       store.Position        `json:"revision"`
 	Digest         string                `json:"digest"`
 	StoreBehind    bool                  `json:"storeBehind,omitempty"`
-	Rejected       []catalog.Result     `json:"rejected,omitempty"`
+	Rejected       []catalog.Result      `json:"rejected,omitempty"`
 	Running        int                   `json:"running"`
 	Waiting        int                   `json:"waiting"`
 	Violations     int64                 `json:"invariantViolations"`
--- a/client/client.go
+++ b/client/client.go
@@ -38,13 +38,13 @@
 type Reply struct {
 	RequestID  string
 	Text       string
-	Completed      bool
+	Completed  bool
 	Tokens     int
 	Kind       apierror.Kind // of the error; empty if the response is complete
 	Ran        apierror.Ran
 	RetryAfter time.Duration
 	EventID    string          // of the last token
-	FirstToken      time.Duration   // time to the first token
+	FirstToken time.Duration   // time to the first token
 	Gaps       []time.Duration // between tokens
 	Took       time.Duration
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -111,7 +111,7 @@
 func (d *Dispatcher) newRun(req *Request, sink Sink) *run {
 	return &run{
 		d: d, req: req, sink: sink, began: d.clock(),
-		Tracker:     execution.New(req.Repeatable),
+		Tracker:  execution.New(req.Repeatable),
 		delivery: NewDelivery(req.ID, 0),
 		avoid:    map[string]bool{},
 	}
--- a/execution/run.go
+++ b/execution/run.go
@@ -13,8 +13,8 @@
 // The verdicts.
 const (
 	Answered   Result = iota // final: the caller has an answer, or gets the error
-	NotRunHere                // did not run; may be sent elsewhere
-	MayHaveRun                // may be sent again only if the request is repeatable
+	NotRunHere               // did not run; may be sent elsewhere
+	MayHaveRun               // may be sent again only if the request is repeatable
 )
 
 // Sender performs the sends of one request.
--- a/forward/backend.go
+++ b/forward/backend.go
@@ -35,7 +35,7 @@
 	Priority  int    // 0 is the most urgent
 	Fresh     bool   // use a new connection, or one that was used recently
 	Permitted bool   // the permit has counted the call already
-	MaxIdle  int    // maximum number of idle connections kept to the backend server
+	MaxIdle   int    // maximum number of idle connections kept to the backend server
 }
 
 // MaxIdle bounds the idle connections of one daemon to one backend server.
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -111,8 +111,8 @@
 func (noObserver) FirstEvent(time.Duration)        {}
 func (noObserver) LoadsAge(time.Duration)          {}
 func (noObserver) LoadsRefused(int)                {}
-func (noObserver) ServerEnded()                     {}
-func (noObserver) Quarantined()                       {}
+func (noObserver) ServerEnded()                    {}
+func (noObserver) Quarantined()                    {}
 func (noObserver) Limits(int)                      {}
 func (noObserver) LimitReached()                   {}
 func (noObserver) Recovered(string, time.Duration) {}
--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -20,7 +20,7 @@
 	Outage     bool          // all calls fail
 	LoseAnswer float64       // probability that a write takes effect but its answer is lost
 	LoseWrite  float64       // probability that a write and its answer are lost
-	LateWrite       float64       // probability that a write takes effect after its answer is lost
+	LateWrite  float64       // probability that a write takes effect after its answer is lost
 	Delay      time.Duration // of each call
 }
 
--- a/load/load.go
+++ b/load/load.go
@@ -29,16 +29,16 @@
 
 // Result holds the measurements of a load.
 type Result struct {
-	Sent     int
-	Completed    int
-	Errors   map[apierror.Kind]int // error responses by kind
-	Broken   int                   // requests whose connection failed before a complete response or an error
-	Tokens   int                   // in complete responses
-	Elapsed  time.Duration
-	FirstToken    *hdrhistogram.Histogram // microseconds
-	Gap      *hdrhistogram.Histogram // microseconds
-	Refusal  *hdrhistogram.Histogram // microseconds until an error of a request that did not run
-	Timeline []Second
+	Sent       int
+	Completed  int
+	Errors     map[apierror.Kind]int // error responses by kind
+	Broken     int                   // requests whose connection failed before a complete response or an error
+	Tokens     int                   // in complete responses
+	Elapsed    time.Duration
+	FirstToken *hdrhistogram.Histogram // microseconds
+	Gap        *hdrhistogram.Histogram // microseconds
+	Refusal    *hdrhistogram.Histogram // microseconds until an error of a request that did not run
+	Timeline   []Second
 }
 
 // Second holds the results of requests that ended in one second of a load.
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -17,11 +17,11 @@
 // Frame is a message on a link. Empty fields are omitted.
 type Frame struct {
 	Hello    *Hello           `cbor:"1,keyasint,omitempty"`
-	Beat     *Heartbeat            `cbor:"2,keyasint,omitempty"`
+	Beat     *Heartbeat       `cbor:"2,keyasint,omitempty"`
 	Members  []Member         `cbor:"3,keyasint,omitempty"`
 	Objects  []store.Object   `cbor:"4,keyasint,omitempty"`
 	Statuses []backend.Status `cbor:"5,keyasint,omitempty"`
-	Want     *ConfigRequest            `cbor:"6,keyasint,omitempty"`
+	Want     *ConfigRequest   `cbor:"6,keyasint,omitempty"`
 	Snapshot []byte           `cbor:"7,keyasint,omitempty"` // gzip of CBOR of objects
 	VMs      *VMList          `cbor:"8,keyasint,omitempty"`
 }
--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -10,9 +10,9 @@
 
 // ServerState is a backend server with its state as placement uses it.
 type ServerState struct {
-	Server  *site.BackendServer
+	Server   *site.BackendServer
 	Assigned site.Range // layers that it holds, or will hold once the pending order is carried out
-	Busy    bool       // an order is pending, or one was sent without an answer
+	Busy     bool       // an order is pending, or one was sent without an answer
 	// Fresh is set for a short time after an empty server registers. In a rolling
 	// replacement the new server starts before the old one drains, and is reserved
 	// for the layers of that one.
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -60,9 +60,9 @@
 
 // Entry is the evidence against one request.
 type Entry struct {
-	Fingerprint   Fingerprint
-	Ends    []End     // since it was last served, sorted by time
-	TriedAt time.Time // of the last trial, the zero time for none
+	Fingerprint Fingerprint
+	Ends        []End     // since it was last served, sorted by time
+	TriedAt     time.Time // of the last trial, the zero time for none
 	// ServedAt is when a backend server last served it without ending, the zero time for
 	// never.
 	ServedAt time.Time
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -62,9 +62,9 @@
 // limitState is the known state of one backend server's limit.
 type limitState struct {
 	limit   Limit
-	named   bool      // the limit is in force
-	sentAt  time.Time // of the request whose answer stated it last
-	endedBy LimitReport      // the zero Word if it has never ended
+	named   bool        // the limit is in force
+	sentAt  time.Time   // of the request whose answer stated it last
+	endedBy LimitReport // the zero Word if it has never ended
 	version uint64
 }
 
--- a/relay/condition.go
+++ b/relay/condition.go
@@ -7,9 +7,9 @@
 
 // Condition is the state that a backend server reports.
 type Condition struct {
-	Slowdown float64 // ratio of current to baseline latency
-	MemoryUsed     float64 // share of memory in use
-	Waiting  int     // queued requests
+	Slowdown   float64 // ratio of current to baseline latency
+	MemoryUsed float64 // share of memory in use
+	Waiting    int     // queued requests
 }
 
 // ConditionReader queries backend servers for their condition.
--- a/site/config.go
+++ b/site/config.go
@@ -68,9 +68,9 @@
 
 // Workspace is a customer, identified by the API keys that callers present.
 type Workspace struct {
-	Name     string
-	Priority int // overrides the route's if Ranked is set
-	HasPriority   bool
+	Name        string
+	Priority    int // overrides the route's if Ranked is set
+	HasPriority bool
 }
 
 // Limits bound the size of requests and the time that callers may take.
--- a/site/engine.go
+++ b/site/engine.go
@@ -4,35 +4,35 @@
 
 // Accelerator describes a kind of accelerator.
 type Accelerator struct {
-	MemoryMB float64
-	Pace     float64 // factor on the times of token steps and context, 1 for the reference
+	MemoryMB    float64
+	Pace        float64 // factor on the times of token steps and context, 1 for the reference
 	PrefillPace float64 // factor on the time of prefill
 }
 
 // Engine describes how the backend servers of a service run a model. Times are for all
 // layers on an accelerator of Pace 1, and scale with the share of layers.
 type Engine struct {
-	Slots         int // requests that a backend server runs as the head of a path
-	Layers        int
-	LayerMB       float64
-	KVTokenBytes  float64 // KV cache of one token in all layers
-	StepMS        float64 // of one token step
-	PerRequestMS  float64 // added for each request in the step
-	ContextPerKMS float64 // added for each request and 1,000 tokens of its context
+	Slots            int // requests that a backend server runs as the head of a path
+	Layers           int
+	LayerMB          float64
+	KVTokenBytes     float64 // KV cache of one token in all layers
+	StepMS           float64 // of one token step
+	PerRequestMS     float64 // added for each request in the step
+	ContextPerKMS    float64 // added for each request and 1,000 tokens of its context
 	PrefillPerSecond float64 // prompt tokens of prefill
 	PrefillPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
 	PrefillChunk     int     // maximum of prompt tokens in a prefill step
-	Stride        int     // token steps in a pass
-	Prompt        int     // mean tokens of a prompt
-	Answer        int     // mean tokens of an answer
-	ActBytes      float64 // activations sent to the next hop for each token
-	LinkMbps      float64
-	PipeMbps      float64 // of a cross-domain link
-	LoadsAtOnce   int     // concurrent loads of weights without mutual slowdown
-	ReportLag     time.Duration
-	Kinds         map[string]Accelerator
-	Models        []EngineModel
-	Delays        map[[2]string]time.Duration // one way between failure domains
+	Stride           int     // token steps in a pass
+	Prompt           int     // mean tokens of a prompt
+	Answer           int     // mean tokens of an answer
+	ActBytes         float64 // activations sent to the next hop for each token
+	LinkMbps         float64
+	PipeMbps         float64 // of a cross-domain link
+	LoadsAtOnce      int     // concurrent loads of weights without mutual slowdown
+	ReportLag        time.Duration
+	Kinds            map[string]Accelerator
+	Models           []EngineModel
+	Delays           map[[2]string]time.Duration // one way between failure domains
 }
 
 // EngineModel is a model that the engine can load.
--- a/site/settings.go
+++ b/site/settings.go
@@ -27,7 +27,7 @@
 	RetryRatio   float64       // retries per request, over all daemons
 	RetrySlack   float64       // retries beyond the ratio in a window, over all daemons
 	RetryWindow  time.Duration
-	StallTimeout     time.Duration // after which an engine ends a stalled stream
+	StallTimeout time.Duration // after which an engine ends a stalled stream
 	Fenced       bool          // backend servers check fencing tokens
 }
 
--- a/topology/snapshot.go
+++ b/topology/snapshot.go
@@ -12,14 +12,14 @@
 // Snapshot is an immutable view of the configuration in force. The maps must
 // not be changed after the snapshot is published.
 type Snapshot struct {
-	Revision       uint64 // highest object version applied
-	RoutingRevision        uint64 // Revision at the last change that routes depend on
-	BackendServers map[string]*BackendServer
-	Models         map[string]*Model
-	Stages         map[string][]*Stage // by model, ordered by first layer and name
-	Workspaces     map[string]*Workspace
-	Rules          []*RoutingRule // ordered by name
-	Services       map[string]*Service
+	Revision        uint64 // highest object version applied
+	RoutingRevision uint64 // Revision at the last change that routes depend on
+	BackendServers  map[string]*BackendServer
+	Models          map[string]*Model
+	Stages          map[string][]*Stage // by model, ordered by first layer and name
+	Workspaces      map[string]*Workspace
+	Rules           []*RoutingRule // ordered by name
+	Services        map[string]*Service
 
 	tokens map[[sha256.Size]byte]*Workspace
 }
--- a/trial/once.go
+++ b/trial/once.go
@@ -19,17 +19,17 @@
 
 // Report holds the counters of a run of mixed requests.
 type Report struct {
-	Requests int
-	Completed    int
-	Refused  int           // answered as not run
-	Unknown  int           // answered with an unknown outcome
-	Lost     int           // no explicit answer
-	Repeated int           // not repeatable, but ran more than once
-	WrongText  int           // the answer has the wrong text
-	FalselyRefused   int           // answered as not run, but ran
-	Broken   int           // the connection broke while faults allow that
-	Recovery time.Duration // 99th percentile of the longest gap of each stream
-	Problems []string
+	Requests       int
+	Completed      int
+	Refused        int           // answered as not run
+	Unknown        int           // answered with an unknown outcome
+	Lost           int           // no explicit answer
+	Repeated       int           // not repeatable, but ran more than once
+	WrongText      int           // the answer has the wrong text
+	FalselyRefused int           // answered as not run, but ran
+	Broken         int           // the connection broke while faults allow that
+	Recovery       time.Duration // 99th percentile of the longest gap of each stream
+	Problems       []string
 }
 
 // OK reports whether all guarantees held.
