--- a/claims/bench_test.go
+++ b/claims/bench_test.go
@@ -34,15 +34,15 @@
 func claimAt(rate int) (writesPerClaim float64, took []time.Duration) {
 	store := memstore.New()
 	store.SetFaults(memstore.Faults{Delay: 5 * time.Millisecond})
-	books, _ := newTestBooks(store, 8, 0)
+	registries, _ := newTestRegistries(store, 8, 0)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	const claims = 2000
 	for i := range claims {
-		book := books[fmt.Sprint("d", rand.IntN(8))]
+		registry := registries[fmt.Sprint("d", rand.IntN(8))]
 		wg.Go(func() {
 			start := time.Now()
-			_, err := book.Once(context.Background(), Use{Workspace: "w", Key: fmt.Sprint(i), RequestID: fmt.Sprint(i)}, ok("x"))
+			_, err := registry.Once(context.Background(), Use{Workspace: "w", Key: fmt.Sprint(i), RequestID: fmt.Sprint(i)}, ok("x"))
 			if err != nil {
 				panic(err)
 			}
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -25,8 +25,8 @@
 
 var window = Window{Retention: time.Hour, Skew: time.Minute}
 
-// input and output are those of the model: a key is a register that keeps the
-// first value written.
+// input and output are the operations of the model, in which a key is a register
+// that keeps the first value written.
 type input struct {
 	key     KeyHash
 	request string
@@ -95,14 +95,14 @@
 						in := input{request: fmt.Sprintf("%d-%d-%d", d, c, n)}
 						in.key[0], in.key[1] = byte(n), byte(n>>8)
 						call := time.Now().UnixNano()
-						v, err := shard.Propose(context.Background(), Record{Key: in.key, RequestID: in.request, At: time.Now().UnixMilli()})
+						result, err := shard.Propose(context.Background(), Record{Key: in.key, RequestID: in.request, At: time.Now().UnixMilli()})
 						if err != nil {
 							t.Errorf("propose: %v", err)
 							return
 						}
 						mu.Lock()
 						history = append(history, porcupine.Operation{
-							ClientId: d*8 + c, Input: in, Call: call, Output: output{v.Won, v.Held.RequestID}, Return: time.Now().UnixNano(),
+							ClientId: d*8 + c, Input: in, Call: call, Output: output{result.Won, result.Held.RequestID}, Return: time.Now().UnixNano(),
 						})
 						mu.Unlock()
 					}
@@ -122,7 +122,7 @@
 // taking effect.
 type testPeers struct {
 	self        string
-	books       map[string]*Registry
+	registries  map[string]*Registry
 	names       []string
 	down        map[string]bool
 	failureRate float64
@@ -130,37 +130,37 @@
 
 var errUnreachable = errors.New("unreachable")
 
-func (m *testPeers) Writer(shard int) string { return m.names[shard%len(m.names)] }
+func (p *testPeers) Writer(shard int) string { return p.names[shard%len(p.names)] }
 
-func (m *testPeers) Propose(ctx context.Context, daemon string, r Record) (Result, error) {
-	if m.down[daemon] {
+func (p *testPeers) Propose(ctx context.Context, daemon string, r Record) (Result, error) {
+	if p.down[daemon] {
 		return Result{}, errUnreachable
 	}
-	v, err := m.books[daemon].Serve(ctx, r)
-	if rand.Float64() < m.failureRate {
+	result, err := p.registries[daemon].Serve(ctx, r)
+	if rand.Float64() < p.failureRate {
 		return Result{}, errUnreachable
 	}
-	return v, err
+	return result, err
 }
 
-func (m *testPeers) Answer(ctx context.Context, daemon string, k KeyHash, requestID string) (*Answer, error) {
-	if m.down[daemon] {
+func (p *testPeers) Answer(ctx context.Context, daemon string, k KeyHash, requestID string) (*Answer, error) {
+	if p.down[daemon] {
 		return nil, errUnreachable
 	}
-	return m.books[daemon].ServeAnswer(ctx, k, requestID)
+	return p.registries[daemon].ServeAnswer(ctx, k, requestID)
 }
 
-func newTestBooks(store Store, n int, failureRate float64) (map[string]*Registry, map[string]bool) {
-	books, down := map[string]*Registry{}, map[string]bool{}
+func newTestRegistries(store Store, n int, failureRate float64) (map[string]*Registry, map[string]bool) {
+	registries, down := map[string]*Registry{}, map[string]bool{}
 	var names []string
 	for i := range n {
 		names = append(names, fmt.Sprint("d", i))
 	}
 	for _, name := range names {
-		m := &testPeers{self: name, books: books, names: names, down: down, failureRate: failureRate}
-		books[name] = NewRegistry(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, m, time.Now)
+		p := &testPeers{self: name, registries: registries, names: names, down: down, failureRate: failureRate}
+		registries[name] = NewRegistry(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, p, time.Now)
 	}
-	return books, down
+	return registries, down
 }
 
 func ok(body string) func() (*Answer, error) {
@@ -168,11 +168,11 @@
 }
 
 // Under faults and retries on any daemon, every key runs at most once, and every
-// answer is that of its key.
+// caller gets the answer of its own key.
 func TestKeysRunAtMostOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		books, _ := newTestBooks(store, 4, 0.2)
+		registries, _ := newTestRegistries(store, 4, 0.2)
 		ctx, cancel := context.WithCancel(context.Background())
 		go injectFaults(ctx, store)
 		var mu sync.Mutex
@@ -185,7 +185,7 @@
 					key := fmt.Sprintf("key-%d", n)
 					cctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 					request := fmt.Sprintf("%d-%d", c, n)
-					a, err := books[fmt.Sprint("d", rand.IntN(4))].Once(cctx, Use{Workspace: "w", Key: key, BodyHash: 1, RequestID: request}, func() (*Answer, error) {
+					a, err := registries[fmt.Sprint("d", rand.IntN(4))].Once(cctx, Use{Workspace: "w", Key: key, BodyHash: 1, RequestID: request}, func() (*Answer, error) {
 						time.Sleep(time.Duration(rand.IntN(50)) * time.Millisecond)
 						if rand.IntN(10) == 0 {
 							return nil, apierror.New(apierror.Overloaded, "not run")
@@ -221,7 +221,7 @@
 			if runs[key] > 0 {
 				continue
 			}
-			a, err := books["d1"].Once(context.Background(), Use{Workspace: "w", Key: key, BodyHash: 1, RequestID: "late-" + key}, ok(key))
+			a, err := registries["d1"].Once(context.Background(), Use{Workspace: "w", Key: key, BodyHash: 1, RequestID: "late-" + key}, ok(key))
 			require.NoError(t, err, key)
 			require.Equal(t, key, string(a.Body))
 		}
@@ -232,16 +232,16 @@
 func TestReuseOfKey(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		books, down := newTestBooks(store, 3, 0)
+		registries, down := newTestRegistries(store, 3, 0)
 		ctx := context.Background()
 		use := Use{Workspace: "w", Key: "k", BodyHash: 1, RequestID: "r1"}
 		mustNotRun := func() (*Answer, error) { t.Error("ran twice"); return nil, nil }
-		a, err := books["d0"].Once(ctx, use, ok("first"))
+		a, err := registries["d0"].Once(ctx, use, ok("first"))
 		require.NoError(t, err)
 		// Every daemon returns the stored answer.
 		for i := range 3 {
 			use.RequestID = fmt.Sprint("again", i)
-			again, err := books[fmt.Sprint("d", i)].Once(ctx, use, mustNotRun)
+			again, err := registries[fmt.Sprint("d", i)].Once(ctx, use, mustNotRun)
 			require.NoError(t, err)
 			require.Equal(t, a, again)
 		}
@@ -249,21 +249,21 @@
 		other := use
 		other.BodyHash = 2
 		for _, d := range []string{"d0", "d1"} {
-			_, err = books[d].Once(ctx, other, mustNotRun)
+			_, err = registries[d].Once(ctx, other, mustNotRun)
 			require.True(t, apierror.Is(err, apierror.KeyReused), err)
 		}
 		// The same key of another workspace is independent.
 		other.Workspace = "v"
-		_, err = books["d1"].Once(ctx, other, ok("theirs"))
+		_, err = registries["d1"].Once(ctx, other, ok("theirs"))
 		require.NoError(t, err)
 		// Without the daemon that holds the answer, a daemon that has not seen the
 		// key returns InProgress.
 		use.Key, use.RequestID = "k2", "r2"
-		_, err = books["d0"].Once(ctx, use, ok("x"))
+		_, err = registries["d0"].Once(ctx, use, ok("x"))
 		require.NoError(t, err)
 		down["d0"] = true
 		use.RequestID = "r3"
-		_, err = books["d2"].Once(ctx, use, mustNotRun)
+		_, err = registries["d2"].Once(ctx, use, mustNotRun)
 		require.True(t, apierror.Is(err, apierror.InProgress), err)
 		time.Sleep(time.Minute)
 	})
@@ -272,12 +272,12 @@
 // The claim of a request that did not run is released, so that a retry runs.
 func TestRelease(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		books, _ := newTestBooks(memstore.New(), 2, 0)
+		registries, _ := newTestRegistries(memstore.New(), 2, 0)
 		use := Use{Workspace: "w", Key: "k", BodyHash: 1, RequestID: "r1"}
-		_, err := books["d0"].Once(context.Background(), use, func() (*Answer, error) { return nil, apierror.New(apierror.Overloaded, "full") })
+		_, err := registries["d0"].Once(context.Background(), use, func() (*Answer, error) { return nil, apierror.New(apierror.Overloaded, "full") })
 		require.True(t, apierror.Is(err, apierror.Overloaded))
 		use.RequestID = "r2"
-		a, err := books["d1"].Once(context.Background(), use, ok("ran"))
+		a, err := registries["d1"].Once(context.Background(), use, ok("ran"))
 		require.NoError(t, err)
 		require.Equal(t, "ran", string(a.Body))
 		time.Sleep(time.Minute)
@@ -289,19 +289,19 @@
 func TestStoreOutage(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		books, _ := newTestBooks(store, 1, 0)
+		registries, _ := newTestRegistries(store, 1, 0)
 		store.SetFaults(memstore.Faults{Outage: true})
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
 		use := Use{Workspace: "w", Key: "k", BodyHash: 1, RequestID: "r1"}
 		start := time.Now()
-		_, err := books["d0"].Once(ctx, use, ok("x"))
+		_, err := registries["d0"].Once(ctx, use, ok("x"))
 		require.True(t, apierror.Is(err, apierror.StoreUnavailable), err)
 		require.Equal(t, 3*time.Second, time.Since(start))
 		store.SetFaults(memstore.Faults{})
 		time.Sleep(40 * time.Second)
 		use.RequestID = "r2"
-		a, err := books["d0"].Once(context.Background(), use, ok("ran"))
+		a, err := registries["d0"].Once(context.Background(), use, ok("ran"))
 		require.NoError(t, err)
 		require.Equal(t, "ran", string(a.Body))
 		time.Sleep(time.Minute)
@@ -337,9 +337,9 @@
 		var wg sync.WaitGroup
 		for i := range n {
 			wg.Go(func() {
-				v, err := first.Propose(ctx, record(i, "first"))
-				if err != nil || !v.Won {
-					t.Errorf("%v %v", v, err)
+				result, err := first.Propose(ctx, record(i, "first"))
+				if err != nil || !result.Won {
+					t.Errorf("%v %v", result, err)
 				}
 			})
 			time.Sleep(time.Millisecond)
@@ -348,15 +348,15 @@
 		require.GreaterOrEqual(t, len(first.head.Segments), 3)
 		second := NewShard(0, store, window)
 		for _, i := range []int{0, n / 2, n - 1} {
-			v, err := second.Propose(ctx, record(i, "second"))
+			result, err := second.Propose(ctx, record(i, "second"))
 			require.NoError(t, err)
-			require.False(t, v.Won)
-			require.Equal(t, "first", v.Held.RequestID)
+			require.False(t, result.Won)
+			require.Equal(t, "first", result.Held.RequestID)
 		}
 		time.Sleep(window.Retention + 3*window.Skew)
-		v, err := second.Propose(ctx, record(0, "third"))
+		result, err := second.Propose(ctx, record(0, "third"))
 		require.NoError(t, err)
-		require.True(t, v.Won)
+		require.True(t, result.Won)
 		require.Empty(t, second.head.Segments)
 		segments, _, err := store.List(ctx, KindSegment)
 		require.NoError(t, err)
--- a/claims/key.go
+++ b/claims/key.go
@@ -9,7 +9,7 @@
 	"golang.org/x/crypto/blake2b"
 )
 
-// Errors of ParseKey and CheckAge.
+// Errors of ParseKey and Key.CheckAge.
 var (
 	ErrBadKey  = errors.New("claims: key is empty, too long or too far in the future")
 	ErrExpired = errors.New("claims: key is older than the retention window")
@@ -27,7 +27,8 @@
 
 // ParseKey validates a key of a workspace. A time-ordered key (UUID version 7)
 // carries its age, so that old segments of the log can be dropped safely. For an
-// opaque key the window starts at its first use.
+// opaque key the window starts at its first use. It returns ErrBadKey or
+// ErrExpired.
 func ParseKey(workspace, key string, w Window, now time.Time) (Key, error) {
 	if key == "" || len(key) > maxKeyBytes {
 		return Key{}, ErrBadKey
@@ -40,8 +41,9 @@
 	return k, k.CheckAge(w, now)
 }
 
-// CheckAge returns an error if a timed key is too old or too far in the future. It
-// is called again after the commit, during which the key may have expired.
+// CheckAge returns ErrExpired for a timed key that is too old and ErrBadKey for one
+// too far in the future. It is called again after the commit, because the key may
+// have expired in the meantime.
 func (k Key) CheckAge(w Window, now time.Time) error {
 	if !k.Timed {
 		return nil
@@ -55,7 +57,7 @@
 	return nil
 }
 
-// time returns the value of Record.At.
+// time returns the value of Record.At for the key, in Unix milliseconds.
 func (k Key) time(now time.Time) int64 {
 	if k.Timed {
 		return k.At.UnixMilli()
@@ -63,7 +65,8 @@
 	return now.UnixMilli()
 }
 
-// hashKey uses a collision-resistant hash: a collision would refuse a request.
+// hashKey uses a collision-resistant hash, because a collision of two keys would
+// refuse a valid request.
 func hashKey(workspace, key string) KeyHash {
 	sum := blake2b.Sum256([]byte(workspace + "\x00" + key))
 	return KeyHash(sum[:16])
--- a/claims/log.go
+++ b/claims/log.go
@@ -51,9 +51,9 @@
 	Segments []SegmentRef `cbor:"2,keyasint"` // oldest first
 }
 
-// maxHeadRecords is the number of records beyond which batches move from the head
-// to a segment. A group commit adds at most a few thousand records, which is far
-// below the store's limit of a value.
+// maxHeadRecords is the number of records above which batches are moved from the
+// head to a segment. A group commit adds at most a few thousand records, far less
+// than the store's size limit for a value.
 const maxHeadRecords = 512
 
 func encode(v any) []byte {
@@ -114,7 +114,7 @@
 
 // apply applies a batch unless it has been applied before. A release removes only
 // the claim of its own request. apply returns an error if a claim would replace
-// another one in force, which would let a request run twice.
+// another claim in force, because a request might then run twice.
 func (x *Index) apply(b Batch, w Window) error {
 	if _, done := x.batches[b.ID]; done {
 		return nil
@@ -166,7 +166,8 @@
 }
 
 // Oldest returns the time before which claims are dropped, in Unix milliseconds.
-// A key that old is refused for any caller's clock within the allowed skew.
+// A key from before that time is refused whatever the caller's clock shows within
+// the allowed skew.
 func (w Window) Oldest(now time.Time) int64 {
 	return now.Add(-w.Retention - 2*w.Skew).UnixMilli()
 }
--- a/claims/registry.go
+++ b/claims/registry.go
@@ -37,7 +37,7 @@
 	Answer(ctx context.Context, daemon string, key KeyHash, requestID string) (*Answer, error)
 }
 
-// Options are the settings of a Book.
+// Options are the settings of a Registry.
 type Options struct {
 	Self      string
 	Shards    int
@@ -57,9 +57,9 @@
 	entries     map[KeyHash]*entry
 	finished    []KeyHash // keys of finished entries, oldest first
 	storedBytes int64
-	// releasing holds the IDs of requests of this daemon that did not run and whose
-	// claims are being released or were within releaseTimeout: other daemons may
-	// still ask for their answers.
+	// releasing holds the IDs of requests of this daemon that did not run, from the
+	// start of the release of their claims until releaseTimeout after it. Other
+	// daemons may request their answers during that time.
 	releasing map[string]bool
 }
 
@@ -72,29 +72,34 @@
 	size   int64
 }
 
-// NewRegistry returns a Book whose claims are kept in store.
+// NewRegistry returns a Registry that keeps its claims in store.
 func NewRegistry(o Options, store Store, peers Peers, now func() time.Time) *Registry {
-	b := &Registry{opts: o, peers: peers, now: now, entries: map[KeyHash]*entry{}, releasing: map[string]bool{}}
+	reg := &Registry{opts: o, peers: peers, now: now, entries: map[KeyHash]*entry{}, releasing: map[string]bool{}}
 	for i := range o.Shards {
-		b.shards = append(b.shards, NewShard(i, store, o.Window))
+		reg.shards = append(reg.shards, NewShard(i, store, o.Window))
 	}
-	return b
+	return reg
 }
 
 // Once calls run for the first use of a key in the fleet, and otherwise returns
 // the answer of the first use. The kind of run's error must state correctly
 // whether the request ran.
-func (b *Registry) Once(ctx context.Context, u Use, run func() (*Answer, error)) (*Answer, error) {
-	k, err := ParseKey(u.Workspace, u.Key, b.opts.Window, b.now())
+//
+// Errors are of package apierror: BadKey and KeyExpired for a key that is not
+// valid, KeyReused for a key that was used with another body, InProgress while the
+// first use runs, StoreUnavailable if the key could not be claimed, OutcomeUnknown
+// if the answer of the first use is lost, and the errors of run.
+func (reg *Registry) Once(ctx context.Context, u Use, run func() (*Answer, error)) (*Answer, error) {
+	k, err := ParseKey(u.Workspace, u.Key, reg.opts.Window, reg.now())
 	if err != nil {
 		return nil, keyError(err)
 	}
-	e, first := b.getOrCreate(k.Hash, u)
+	e, first := reg.getOrCreate(k.Hash, u)
 	if !first {
-		return b.await(ctx, e, u)
+		return reg.await(ctx, e, u)
 	}
-	answer, ran, err := b.claimAndRun(ctx, k, u, run)
-	b.finish(k.Hash, e, answer, err, ran)
+	answer, ran, err := reg.claimAndRun(ctx, k, u, run)
+	reg.finish(k.Hash, e, answer, err, ran)
 	return answer, err
 }
 
@@ -106,19 +111,19 @@
 }
 
 // getOrCreate returns the entry of a key, and whether it was created.
-func (b *Registry) getOrCreate(k KeyHash, u Use) (*entry, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.entries[k]; e != nil {
+func (reg *Registry) getOrCreate(k KeyHash, u Use) (*entry, bool) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if e := reg.entries[k]; e != nil {
 		return e, false
 	}
 	e := &entry{use: u, done: make(chan struct{})}
-	b.entries[k] = e
+	reg.entries[k] = e
 	return e, true
 }
 
 // await waits for the answer of an entry of this daemon.
-func (b *Registry) await(ctx context.Context, e *entry, u Use) (*Answer, error) {
+func (reg *Registry) await(ctx context.Context, e *entry, u Use) (*Answer, error) {
 	if e.use.BodyHash != u.BodyHash {
 		return nil, apierror.New(apierror.KeyReused, "the key was used with another body")
 	}
@@ -132,43 +137,43 @@
 
 // claimAndRun claims the key and calls run if it won. It returns the answer, and
 // whether the request ran here.
-func (b *Registry) claimAndRun(ctx context.Context, k Key, u Use, run func() (*Answer, error)) (a *Answer, ran bool, err error) {
-	r := Record{Key: k.Hash, BodyHash: u.BodyHash, RequestID: u.RequestID, Daemon: b.opts.Self, At: k.time(b.now())}
-	v, err := b.propose(ctx, r)
+func (reg *Registry) claimAndRun(ctx context.Context, k Key, u Use, run func() (*Answer, error)) (a *Answer, ran bool, err error) {
+	r := Record{Key: k.Hash, BodyHash: u.BodyHash, RequestID: u.RequestID, Daemon: reg.opts.Self, At: k.time(reg.now())}
+	result, err := reg.propose(ctx, r)
 	if err != nil {
-		go b.release(r) // the claim may have been committed nevertheless
+		go reg.release(r) // the claim may have been committed nevertheless
 		return nil, false, apierror.New(apierror.StoreUnavailable, "the key could not be claimed: %v", err)
 	}
-	if !v.Won {
-		a, err = b.answerFromHolder(ctx, u, v.Held)
+	if !result.Won {
+		a, err = reg.answerFromHolder(ctx, u, result.Held)
 		return a, false, err
 	}
 	// The key may have expired during the commit, and other daemons may have
 	// dropped its claim: the request must not run.
-	if err := k.CheckAge(b.opts.Window, b.now()); err != nil {
-		go b.release(r)
+	if err := k.CheckAge(reg.opts.Window, reg.now()); err != nil {
+		go reg.release(r)
 		return nil, false, keyError(err)
 	}
 	a, err = run()
 	if err != nil && apierror.From(err).NotRun() {
-		b.release(r)
+		reg.release(r)
 	}
 	return a, true, err
 }
 
 // propose commits a record through the shard's preferred writer, or locally if
 // that daemon does not answer. The preferred writer only reduces conflicts.
-func (b *Registry) propose(ctx context.Context, r Record) (Result, error) {
-	i := ShardOf(r.Key, b.opts.Shards)
-	if w := b.peers.Writer(i); w != "" && w != b.opts.Self {
+func (reg *Registry) propose(ctx context.Context, r Record) (Result, error) {
+	i := ShardOf(r.Key, reg.opts.Shards)
+	if w := reg.peers.Writer(i); w != "" && w != reg.opts.Self {
 		forwardCtx, cancel := context.WithTimeout(ctx, forwardTimeout)
-		v, err := b.peers.Propose(forwardCtx, w, r)
+		result, err := reg.peers.Propose(forwardCtx, w, r)
 		cancel()
 		if err == nil {
-			return v, nil
+			return result, nil
 		}
 	}
-	return b.shards[i].Propose(ctx, r)
+	return reg.shards[i].Propose(ctx, r)
 }
 
 // forwardTimeout limits the wait for the preferred writer. A second proposal here
@@ -181,44 +186,45 @@
 
 // release releases the claim of a request that did not run, so that a retry can
 // run.
-func (b *Registry) release(r Record) {
-	b.setReleasing(r.RequestID, true)
-	defer time.AfterFunc(releaseTimeout, func() { b.setReleasing(r.RequestID, false) })
+func (reg *Registry) release(r Record) {
+	reg.setReleasing(r.RequestID, true)
+	defer time.AfterFunc(releaseTimeout, func() { reg.setReleasing(r.RequestID, false) })
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	r.Release = true
-	_, _ = b.propose(ctx, r)
+	_, _ = reg.propose(ctx, r)
 }
 
-func (b *Registry) setReleasing(requestID string, on bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (reg *Registry) setReleasing(requestID string, on bool) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	if on {
-		b.releasing[requestID] = true
+		reg.releasing[requestID] = true
 		return
 	}
-	delete(b.releasing, requestID)
+	delete(reg.releasing, requestID)
 }
 
-// missingEntryError returns the error for a claim of this daemon without an entry.
-func (b *Registry) missingEntryError(requestID string) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.releasing[requestID] {
+// missingEntryError returns the error for a request that this daemon has claimed a
+// key for but has no entry of.
+func (reg *Registry) missingEntryError(requestID string) error {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if reg.releasing[requestID] {
 		return apierror.New(apierror.StoreUnavailable, "request %s did not run, its claim is released", requestID)
 	}
 	return apierror.New(apierror.OutcomeUnknown, "the key is claimed by request %s, of which nothing more is known", requestID)
 }
 
 // answerFromHolder answers a use of a key that is claimed by another request.
-func (b *Registry) answerFromHolder(ctx context.Context, u Use, held Record) (*Answer, error) {
+func (reg *Registry) answerFromHolder(ctx context.Context, u Use, held Record) (*Answer, error) {
 	if held.BodyHash != u.BodyHash {
 		return nil, apierror.New(apierror.KeyReused, "the key was used with another body")
 	}
-	if held.Daemon == b.opts.Self {
-		return nil, b.missingEntryError(held.RequestID)
+	if held.Daemon == reg.opts.Self {
+		return nil, reg.missingEntryError(held.RequestID)
 	}
-	a, err := b.peers.Answer(ctx, held.Daemon, held.Key, held.RequestID)
+	a, err := reg.peers.Answer(ctx, held.Daemon, held.Key, held.RequestID)
 	var known *apierror.Error
 	if err == nil || errors.As(err, &known) {
 		return a, err
@@ -226,55 +232,55 @@
 	return nil, apierror.New(apierror.InProgress, "request %s on daemon %s, which does not answer", held.RequestID, held.Daemon)
 }
 
-// finish completes an entry. It stores an answer, or the error of a request that
-// ran here at least in part, for later uses of the key. It removes the entry after
-// other errors: of requests that did not run, and those returned by another daemon.
-func (b *Registry) finish(k KeyHash, e *entry, a *Answer, err error, ran bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// finish completes an entry. It keeps an answer, or the error of a request that ran
+// here at least in part, for later uses of the key. After any other error (the
+// request did not run, or another daemon returned the error) it removes the entry.
+func (reg *Registry) finish(k KeyHash, e *entry, a *Answer, err error, ran bool) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	e.answer, e.err = a, err
 	close(e.done)
 	if err != nil && (!ran || apierror.From(err).NotRun()) {
-		delete(b.entries, k)
+		delete(reg.entries, k)
 		return
 	}
 	e.size = entryOverhead
 	if a != nil {
 		e.size += int64(len(a.Body))
 	}
-	b.storedBytes += e.size
-	b.finished = append(b.finished, k)
-	b.evict()
+	reg.storedBytes += e.size
+	reg.finished = append(reg.finished, k)
+	reg.evict()
 }
 
 // entryOverhead is the estimated size of a stored entry without its body, in bytes.
 const entryOverhead = 512
 
 // evict removes the oldest finished entries beyond the memory limit. The caller
-// holds b.mu.
-func (b *Registry) evict() {
-	for b.storedBytes > b.opts.KeepBytes && len(b.finished) > 0 {
-		k := b.finished[0]
-		b.finished = b.finished[1:]
-		if e := b.entries[k]; e != nil {
-			b.storedBytes -= e.size
-			delete(b.entries, k)
+// holds reg.mu.
+func (reg *Registry) evict() {
+	for reg.storedBytes > reg.opts.KeepBytes && len(reg.finished) > 0 {
+		k := reg.finished[0]
+		reg.finished = reg.finished[1:]
+		if e := reg.entries[k]; e != nil {
+			reg.storedBytes -= e.size
+			delete(reg.entries, k)
 		}
 	}
 }
 
 // Serve handles Peers.Propose of another daemon.
-func (b *Registry) Serve(ctx context.Context, r Record) (Result, error) {
-	return b.shards[ShardOf(r.Key, b.opts.Shards)].ProposeFor(ctx, r)
+func (reg *Registry) Serve(ctx context.Context, r Record) (Result, error) {
+	return reg.shards[ShardOf(r.Key, reg.opts.Shards)].ProposeFor(ctx, r)
 }
 
 // ServeAnswer handles Peers.Answer of another daemon.
-func (b *Registry) ServeAnswer(ctx context.Context, k KeyHash, requestID string) (*Answer, error) {
-	b.mu.Lock()
-	e := b.entries[k]
-	b.mu.Unlock()
+func (reg *Registry) ServeAnswer(ctx context.Context, k KeyHash, requestID string) (*Answer, error) {
+	reg.mu.Lock()
+	e := reg.entries[k]
+	reg.mu.Unlock()
 	if e == nil || e.use.RequestID != requestID {
-		return nil, b.missingEntryError(requestID)
+		return nil, reg.missingEntryError(requestID)
 	}
-	return b.await(ctx, e, e.use)
+	return reg.await(ctx, e, e.use)
 }
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -21,7 +21,7 @@
 	KindSegment = string(topology.KindClaimSegment)
 )
 
-// Result is the result of a proposed claim.
+// Result is the outcome of a proposed record.
 type Result struct {
 	Won  bool   // the proposer holds the claim
 	Held Record // the claim in force
@@ -48,12 +48,12 @@
 	waiting []*proposal
 	writing bool
 
-	// The following fields are used by the writer goroutine only.
+	// Only the writer goroutine uses the following fields.
 	version store.Position
 	head    Head
 	loaded  map[string]bool // segments in the index, by name
 	index   *Index
-	current bool // whether the log was read after the last failed attempt
+	current bool // the log has been read since the last failed attempt
 }
 
 type proposal struct {
@@ -84,9 +84,9 @@
 	return &Shard{name: fmt.Sprintf("shard-%d", i), store: store, window: w, loaded: map[string]bool{}, index: newIndex()}
 }
 
-// Propose commits a record of this daemon together with other waiting ones. After
-// an error the request must not run; if the claim is committed nevertheless, it is
-// released.
+// Propose commits a record of this daemon, together with other waiting records. It
+// returns the cause of the context's end if that comes first. After an error the
+// request must not run; a claim that is committed nevertheless is released.
 func (s *Shard) Propose(ctx context.Context, r Record) (Result, error) {
 	return s.submit(&proposal{record: r, result: make(chan outcome, 1), ctx: ctx, own: true})
 }
@@ -209,9 +209,9 @@
 }
 
 // releaseAbandoned queues the release of a claim that was committed after its
-// proposer stopped waiting; the request of such a claim never runs. The writer
-// processes it after the commit; a release by the proposer might precede the
-// commit.
+// proposer stopped waiting. The request of such a claim never runs. The writer
+// queues the release itself, because a release by the proposer might be committed
+// before the claim.
 func (s *Shard) releaseAbandoned(r Record) {
 	r.Release = true
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
@@ -229,8 +229,8 @@
 }
 
 // decide returns the batch of records to write and, by index in the group, the
-// conflicting claim of each proposal that loses: a claim in force, or one earlier
-// in the group.
+// claim that each losing proposal conflicts with: a claim in force, or a claim
+// earlier in the group.
 func (s *Shard) decide(group []*proposal) (Batch, map[int]Record) {
 	batch := Batch{ID: rand.Uint64()}
 	oldest := s.window.Oldest(time.Now())
@@ -284,8 +284,8 @@
 }
 
 // roll moves all batches except the new one to a segment. Each attempt uses a new
-// name, so that a segment that an earlier head write may refer to is never
-// overwritten.
+// segment name: a head written by an earlier attempt may refer to the previous one,
+// which must not be overwritten.
 func (s *Shard) roll(ctx context.Context, h *Head, b Batch) (Head, error) {
 	old := h.Batches[:len(h.Batches)-1]
 	ref := SegmentRef{Name: fmt.Sprintf("%s-%016x", s.name, rand.Uint64()), Newest: newestTime(old)}
@@ -295,7 +295,8 @@
 	return Head{Batches: []Batch{b}, Segments: append(append([]SegmentRef(nil), h.Segments...), ref)}, nil
 }
 
-// splitExpired separates the segments to keep from those whose keys have all expired.
+// splitExpired separates the segments to keep from the segments in which all keys
+// have expired.
 func (s *Shard) splitExpired(refs []SegmentRef) (keep, drop []SegmentRef) {
 	oldest := s.window.Oldest(time.Now())
 	for _, r := range refs {
