--- a/permit/allocator.go
+++ b/permit/allocator.go
@@ -14,8 +14,8 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// ServeHTTP serves the link of a daemon that contributes its part, until the link ends. It
-// implements http.Handler.
+// ServeHTTP implements http.Handler. It serves the link of a daemon that contributes its
+// part, until the link ends.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	name := r.URL.Query().Get(nameParam)
 	if name == "" {
@@ -68,8 +68,8 @@
 	}
 }
 
-// returnPart returns the part when this daemon stops. Otherwise no daemon could use it until
-// the contribution expires.
+// returnPart returns the part when this daemon stops. Without that no daemon could use the
+// part until the contribution expires.
 func (l *contributor) returnPart(ctx context.Context) {
 	l.node.opts.Pool.Withdraw(l.name)
 	err := writeFrame(context.WithoutCancel(ctx), l.conn, &frame{Poll: &poll{Returned: true}})
@@ -90,8 +90,8 @@
 // sinceStart returns the nanoseconds from processStart to t.
 func sinceStart(t time.Time) int64 { return int64(t.Sub(processStart)) }
 
-// read handles parts, permit requests and limit reports. A part counts from the time of the
-// poll that it answers, which is before the daemon contributed it.
+// read handles parts, permit requests and limit reports. The time of a contribution starts
+// when the poll was sent, which is before the daemon contributed its part.
 func (l *contributor) read(ctx context.Context) {
 	pool := l.node.opts.Pool
 	for {
@@ -112,8 +112,8 @@
 	}
 }
 
-func (l *contributor) decide(ctx context.Context, a *permitRequest) error {
-	request := quota.PermitRequest{Servers: a.Servers, Class: quota.Class{Priority: a.Priority, Workspace: a.Workspace}}
+func (l *contributor) decide(ctx context.Context, in *permitRequest) error {
+	request := quota.PermitRequest{Servers: in.Servers, Class: quota.Class{Priority: in.Priority, Workspace: in.Workspace}}
 	d := l.node.opts.Pool.Decide(l.name, request, boottime.Now())
-	return writeFrame(ctx, l.conn, &frame{Decision: &decision{Number: a.Number, Granted: d.Granted, Server: d.Server, After: d.After, Back: d.Back}})
+	return writeFrame(ctx, l.conn, &frame{Decision: &decision{Number: in.Number, Granted: d.Granted, Server: d.Server, After: d.After, RetryAfter: d.Back}})
 }
--- a/permit/fleet_test.go
+++ b/permit/fleet_test.go
@@ -44,7 +44,7 @@
 		node := New(Options{
 			Name: daemonName(i), Members: func() []Member { return f.all }, Client: network.Client(here, 1), Scheme: "http",
 			Limits: limits, Sends: sends, Pool: quota.NewPool(daemonName(i), limits, sends), Logger: log.NewNopLogger(),
-			ApplyLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
+			ApplyLimit: func(r quota.LimitReport, _ string) { limits.Apply(r) },
 		})
 		f.nodes, f.limits = append(f.nodes, node), append(f.limits, limits)
 		server := &memnet.Server{Net: hostNet{here, f.all[i].Address}, Handler: node}
@@ -110,8 +110,8 @@
 	}
 }
 
-// A limit that one daemon learns of is known to all within half a second. The daemons use
-// it and do not exceed it, also while the allocator is isolated and after it is back.
+// A limit reported to one daemon is known to all within half a second. The daemons use the
+// limit and do not exceed it, also while the allocator is isolated and after it returns.
 func TestFleetKeepsALimitWhileItsAllocatorIsIsolated(t *testing.T) {
 	const rate = 8.0
 	for _, c := range []struct {
@@ -122,15 +122,15 @@
 			virtual.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				f := newVirtualFleet(t, ctx, c.daemons)
-				time.Sleep(2*preferredCheckInterval + time.Second) // all have found the first one
-				began := time.Now()
+				time.Sleep(2*preferredCheckInterval + time.Second) // all daemons have linked to the first one
+				start := time.Now()
 				now := boottime.Now()
 				f.limits[c.daemons/2].Apply(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now, At: now})
-				for f.countKnown() < c.daemons && time.Since(began) < time.Second {
+				for f.countKnown() < c.daemons && time.Since(start) < time.Second {
 					time.Sleep(time.Millisecond)
 				}
-				t.Logf("known to all after %s", time.Since(began))
-				assert.LessOrEqual(t, time.Since(began), 500*time.Millisecond)
+				t.Logf("known to all after %s", time.Since(start))
+				assert.LessOrEqual(t, time.Since(start), 500*time.Millisecond)
 
 				var callers sync.WaitGroup
 				callers.Go(func() { f.call(ctx, 3*rate, rand.New(rand.NewPCG(uint64(c.daemons), 5))) })
@@ -147,12 +147,12 @@
 				t.Logf("used %.2f of the limit, %.2f without the allocator", used, isolated)
 				assert.GreaterOrEqual(t, used, c.minUsed)
 				assert.GreaterOrEqual(t, isolated, 0.5, "the others have a common allocator again")
-				most := 0
+				maxCalls := 0
 				for _, end := range f.calls {
-					most = max(most, f.between(end.Add(-quota.Window), end))
+					maxCalls = max(maxCalls, f.between(end.Add(-quota.Window), end))
 				}
-				t.Logf("%d calls in four seconds at most", most)
-				assert.LessOrEqual(t, float64(most), 1.5*rate*quota.Window.Seconds()+5)
+				t.Logf("%d calls in four seconds at most", maxCalls)
+				assert.LessOrEqual(t, float64(maxCalls), 1.5*rate*quota.Window.Seconds()+5)
 				time.Sleep(time.Second)
 			})
 		})
--- a/permit/follow.go
+++ b/permit/follow.go
@@ -18,15 +18,15 @@
 
 // Timing of the link to an allocator.
 const (
-	// preferredCheckInterval is how often a preferred allocator is looked for, and
-	// reconnectDelay the pause after a link has ended or could not be opened.
+	// preferredCheckInterval is the period of the checks for a preferred allocator.
+	// reconnectDelay is the pause after a link has ended or could not be opened.
 	preferredCheckInterval = 2 * time.Second
 	reconnectDelay         = 200 * time.Millisecond
-	// fleetInterval is how often the pool's list of daemons is updated.
+	// fleetInterval is the period at which the pool's list of daemons is updated.
 	fleetInterval = time.Second
 	// dialTimeout bounds the opening of a link.
 	dialTimeout = 400 * time.Millisecond
-	// watchInterval is how often the time since the last poll is checked.
+	// watchInterval is the period at which the time since the last poll is checked.
 	watchInterval = 100 * time.Millisecond
 )
 
@@ -49,8 +49,8 @@
 	polledAt time.Time // when the allocator last polled
 }
 
-// Run keeps a link to the allocator until ctx ends. A daemon that precedes all daemons it
-// can reach is its own allocator.
+// Run keeps a link to the allocator until ctx ends. A daemon that comes before all daemons
+// that it can reach is its own allocator.
 func (n *Node) Run(ctx context.Context) {
 	defer n.stopServing()
 	go n.runFleetUpdates(ctx)
@@ -64,7 +64,7 @@
 }
 
 // awaitLimit waits until a limit is known. Daemons that do not exchange limits need no link
-// before.
+// until then.
 func (n *Node) awaitLimit(ctx context.Context) {
 	for {
 		changed := n.opts.Limits.Changed()
@@ -88,7 +88,7 @@
 	}
 }
 
-// updateFleet updates the pool's list of daemons.
+// updateFleet updates the pool's list of daemons once.
 func (n *Node) updateFleet() {
 	all := n.opts.Members()
 	names := make([]string, len(all))
@@ -125,8 +125,8 @@
 }
 
 // anyReachable reports whether any of the daemons accepts a link.
-func (n *Node) anyReachable(ctx context.Context, of []Member) bool {
-	for _, m := range of {
+func (n *Node) anyReachable(ctx context.Context, members []Member) bool {
+	for _, m := range members {
 		if c, err := n.dialAllocator(ctx, m); err == nil {
 			_ = c.CloseNow()
 			return true
@@ -171,11 +171,11 @@
 	_ = level.Info(n.opts.Logger).Log("msg", "allocator left", "name", m.Name, "err", err)
 }
 
-// watch ends the link when no poll arrives although a limit is known. An idle link may
-// have failed unnoticed.
+// watch ends the link when no poll arrives within pollTimeout while a limit is known. A
+// link may have failed unnoticed while it was idle.
 func (a *allocator) watch(ctx context.Context, leave context.CancelCauseFunc) {
 	n := a.node
-	known := boottime.Now() // since when a limit is known
+	knownSince := boottime.Now() // when a limit became known
 	for ctx.Err() == nil {
 		changed, now := n.opts.Limits.Changed(), boottime.Now()
 		if n.opts.Limits.Size() == 0 {
@@ -183,11 +183,11 @@
 			case <-ctx.Done():
 			case <-changed:
 			}
-			known = boottime.Now()
+			knownSince = boottime.Now()
 			continue
 		}
 		a.mu.Lock()
-		since := boottime.Later(a.polledAt, known)
+		since := boottime.Later(a.polledAt, knownSince)
 		a.mu.Unlock()
 		if now.Sub(since)-n.opts.Stalls.StallTime(since, now) > pollTimeout {
 			leave(errNotPolled)
@@ -217,9 +217,9 @@
 	}
 }
 
-// polled contributes the own part, unless another allocator still holds it. Here the part
-// counts as lent from the receipt of the poll, so for longer than at the allocator, which
-// counts from sending it.
+// polled contributes this daemon's own part, unless another allocator still holds it. This
+// daemon counts partTTL from the receipt of the poll and the allocator from sending it, so
+// the allocator's time ends first.
 func (a *allocator) polled(ctx context.Context, p *poll) error {
 	pool, now := a.node.opts.Pool, boottime.Now()
 	if p.Returned {
@@ -278,8 +278,8 @@
 	return quota.Decision{Server: r.Servers[0], After: decisionTimeout, Back: decisionTimeout}
 }
 
-// decided handles a decision. Granted calls count as sent from now, before the next poll
-// can be answered. They do not count if the request has timed out.
+// decided handles a decision. Granted calls count as sent at once, so that the answer to
+// the next poll includes them. They do not count if the request has timed out.
 func (a *allocator) decided(d *decision) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -294,5 +294,5 @@
 			a.node.opts.Sends.Add(server, now)
 		}
 	}
-	q.decided <- quota.Decision{Granted: d.Granted, Server: d.Server, After: d.After, Back: d.Back}
+	q.decided <- quota.Decision{Granted: d.Granted, Server: d.Server, After: d.After, Back: d.RetryAfter}
 }
--- a/permit/node.go
+++ b/permit/node.go
@@ -1,14 +1,14 @@
 // Package permit enforces limits of backend servers across the daemons of a fleet.
 //
-// One daemon, the allocator, grants the calls to a backend server; the others contribute
-// their parts to it (package quota). Each daemon keeps a link to the first daemon that it
-// can reach, in an order computed from the list of daemons. Changes of limits are sent
-// over these links at once in both directions; while no limit is known the links are
-// idle. Correctness does not depend on equal lists: several allocators each grant only
-// what was contributed to them.
+// One daemon, the allocator, grants the calls to all backend servers with a limit. The other
+// daemons contribute their parts to it (see package quota). All daemons order the fleet in
+// the same way, and each keeps a link to the first daemon in that order that it can reach.
+// Changes of limits are sent over these links at once, in both directions. While no limit
+// is known the links are idle. Correctness does not depend on equal lists of daemons: if
+// there are several allocators, each grants only what was contributed to it.
 //
-// Both interfaces use the package: the platform's for limits stated by backend servers,
-// our own for limits declared in its configuration.
+// There are two kinds of limits: on the platform's interface the backend servers state
+// them, and on the router's own interface its configuration declares them.
 package permit
 
 import (
@@ -28,8 +28,8 @@
 	"github.com/snowspoke/snowspoke/stall"
 )
 
-// Path is where a daemon serves the links of contributing daemons. The query parameter
-// nameParam holds the name of the contributing daemon.
+// Path is the URL path at which a daemon accepts the links of contributing daemons. The
+// query parameter nameParam holds the name of the contributing daemon.
 const (
 	Path      = "/permits"
 	nameParam = "name"
@@ -46,8 +46,8 @@
 	pollTimeout = 1200 * time.Millisecond
 	// decisionTimeout bounds the wait for a decision.
 	decisionTimeout = 250 * time.Millisecond
-	// reportSlack is subtracted from the time at which a limit is reported to have ended,
-	// to make up for the report's transmission delay.
+	// reportSlack is subtracted from the send time in a report that ends a limit, to make
+	// up for the report's transmission delay.
 	reportSlack = 100 * time.Millisecond
 )
 
@@ -66,9 +66,9 @@
 	Limits *quota.Limits
 	Pool   *quota.Pool
 	Sends  *quota.Sends
-	// ApplyLimit receives limit reports of other daemons. It is nil where daemons do not
-	// exchange limits since each knows all of them from another source.
-	ApplyLimit func(w quota.LimitReport, from string)
+	// ApplyLimit receives limit reports of other daemons. It is nil if daemons do not
+	// exchange limits because each knows all limits from another source.
+	ApplyLimit func(r quota.LimitReport, from string)
 	// Client opens links with URLs of Scheme, "http" or "https", and with Header.
 	Client *http.Client
 	Scheme string
@@ -93,8 +93,8 @@
 	return &Node{opts: o, serving: serving, stopServing: stop}
 }
 
-// Permit requests one call to each of some backend servers with limits. Granted calls count
-// as sent.
+// Permit requests permits for one call to each of the backend servers of r. Granted calls
+// count as sent.
 func (n *Node) Permit(ctx context.Context, r quota.PermitRequest) quota.Decision {
 	now := boottime.Now()
 	a := n.allocator.Load()
@@ -104,8 +104,8 @@
 	return a.requestPermits(ctx, r)
 }
 
-// maxAllocators bounds the daemons that are tried. A daemon that reaches none of them
-// decides alone.
+// maxAllocators bounds the daemons that are tried as allocators. A daemon that reaches none
+// of these decides alone.
 const maxAllocators = 8
 
 // allocators returns the candidates in the order in which all daemons try them.
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -33,18 +33,18 @@
 }
 
 func newRealFleet(t *testing.T, daemons int) *realFleet {
-	l := &realFleet{}
+	f := &realFleet{}
 	servers := make([]*httptest.Server, daemons)
 	for i := range daemons {
 		servers[i] = httptest.NewUnstartedServer(nil)
-		l.all = append(l.all, Member{Name: daemonName(i), Address: servers[i].Listener.Addr().String()})
+		f.all = append(f.all, Member{Name: daemonName(i), Address: servers[i].Listener.Addr().String()})
 	}
 	for i := range daemons {
 		limits, sends := quota.NewLimits(), quota.NewSends()
 		node := New(Options{
-			Name: daemonName(i), Members: func() []Member { return l.all }, Client: http.DefaultClient, Scheme: "http",
+			Name: daemonName(i), Members: func() []Member { return f.all }, Client: http.DefaultClient, Scheme: "http",
 			Limits: limits, Sends: sends, Pool: quota.NewPool(daemonName(i), limits, sends), Logger: log.NewNopLogger(),
-			ApplyLimit: func(w quota.LimitReport, _ string) { limits.Apply(w) },
+			ApplyLimit: func(r quota.LimitReport, _ string) { limits.Apply(r) },
 		})
 		servers[i].Config.Handler = node
 		servers[i].Start()
@@ -61,24 +61,24 @@
 			servers[i].Close()
 		})
 		t.Cleanup(stop)
-		l.nodes, l.stop, l.limits, l.sends = append(l.nodes, node), append(l.stop, stop), append(l.limits, limits), append(l.sends, sends)
+		f.nodes, f.stop, f.limits, f.sends = append(f.nodes, node), append(f.stop, stop), append(f.limits, limits), append(f.sends, sends)
 	}
-	return l
+	return f
 }
 
 // first returns the daemon that all prefer as their allocator.
-func (l *realFleet) first() int {
-	name := l.nodes[0].allocators()[0].Name
-	return slices.IndexFunc(l.all, func(m Member) bool { return m.Name == name })
+func (f *realFleet) first() int {
+	name := f.nodes[0].allocators()[0].Name
+	return slices.IndexFunc(f.all, func(m Member) bool { return m.Name == name })
 }
 
-// linked waits until all running daemons but to are linked to it.
-func (l *realFleet) linked(t *testing.T, to int, running []int) {
+// waitForLinks waits until all other running daemons are linked to a daemon.
+func (f *realFleet) waitForLinks(t *testing.T, to int, running []int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		for _, i := range running {
-			a := l.nodes[i].allocator.Load()
-			if i != to && (a == nil || a.name != l.all[to].Name) {
+			a := f.nodes[i].allocator.Load()
+			if i != to && (a == nil || a.name != f.all[to].Name) {
 				return false
 			}
 		}
@@ -86,20 +86,21 @@
 	}, 5*time.Second, 5*time.Millisecond)
 }
 
-func (l *realFleet) name(daemon int, rate float64) {
+// stateLimit reports a limit to one daemon.
+func (f *realFleet) stateLimit(daemon int, rate float64) {
 	now := boottime.Now()
-	l.limits[daemon].Apply(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
+	f.limits[daemon].Apply(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
 }
 
 // take requests permits at some daemons repeatedly for a time, and returns how many were
 // granted.
-func (l *realFleet) take(daemons []int, length time.Duration) (granted int64) {
+func (f *realFleet) take(daemons []int, length time.Duration) (granted int64) {
 	var n atomic.Int64
 	var wg sync.WaitGroup
 	for _, i := range daemons {
 		wg.Go(func() {
 			for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-				if l.nodes[i].Permit(context.Background(), quota.PermitRequest{Servers: []string{"s"}, Class: quota.Class{Workspace: "w"}}).Granted {
+				if f.nodes[i].Permit(context.Background(), quota.PermitRequest{Servers: []string{"s"}, Class: quota.Class{Workspace: "w"}}).Granted {
 					n.Add(1)
 				}
 			}
@@ -109,52 +110,52 @@
 	return n.Load()
 }
 
-// A limit that one daemon learns of is soon known to all, and so is its end. Together the
+// A limit reported to one daemon, and later its end, are soon known to all. Together the
 // daemons use the limit and do not exceed it, also after the allocator has stopped.
 func TestLimitIsKnownToAllAndKeptThroughTheLossOfTheAllocator(t *testing.T) {
 	t.Parallel()
 	const rate = 20
-	l := newRealFleet(t, 6)
+	f := newRealFleet(t, 6)
 	running := []int{0, 1, 2, 3, 4, 5}
-	first := l.first()
-	l.linked(t, first, running)
+	first := f.first()
+	f.waitForLinks(t, first, running)
 	informed := (first + 1) % 6
-	l.name(informed, rate)
+	f.stateLimit(informed, rate)
 	allKnow := func(known int, daemons []int) func() bool {
 		return func() bool {
-			return !slices.ContainsFunc(daemons, func(i int) bool { return l.limits[i].Size() != known })
+			return !slices.ContainsFunc(daemons, func(i int) bool { return f.limits[i].Size() != known })
 		}
 	}
 	require.Eventually(t, allKnow(1, running), 500*time.Millisecond, time.Millisecond)
 	time.Sleep(pollInterval) // the parts are contributed
-	got := l.take(running, 4*time.Second)
+	got := f.take(running, 4*time.Second)
 	require.LessOrEqual(t, got, int64(rate*4+5))
 	require.GreaterOrEqual(t, got, int64(0.8*rate*4))
 
-	l.stop[first]()
+	f.stop[first]()
 	running = slices.DeleteFunc(running, func(i int) bool { return i == first })
-	got = l.take(running, 4*time.Second)
+	got = f.take(running, 4*time.Second)
 	require.LessOrEqual(t, got, int64(rate*4+5))
 	require.GreaterOrEqual(t, got, int64(0.5*rate*4), "five parts of six, less the time until they have a common allocator")
 
 	now := boottime.Now()
-	l.limits[informed].Apply(quota.LimitReport{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
+	f.limits[informed].Apply(quota.LimitReport{Server: "s", SentAt: now.Add(-time.Millisecond), At: now})
 	require.Eventually(t, allKnow(0, running), 500*time.Millisecond, time.Millisecond)
 }
 
-// A daemon whose allocator stops polling uses its own part again, and no more.
+// A daemon whose allocator has stopped polling uses only its own part.
 func TestDaemonWithSilentAllocatorUsesItsPart(t *testing.T) {
 	t.Parallel()
 	const rate = 60
-	l := newRealFleet(t, 3)
-	first := l.first()
-	l.linked(t, first, []int{0, 1, 2})
+	f := newRealFleet(t, 3)
+	first := f.first()
+	f.waitForLinks(t, first, []int{0, 1, 2})
 	other := (first + 1) % 3
-	l.name(other, rate)
+	f.stateLimit(other, rate)
 	time.Sleep(2 * pollInterval)
-	l.nodes[other].opts.Pool.Lend("gone", boottime.Now().Add(partTTL), boottime.Now())
-	require.Zero(t, l.take([]int{other}, partTTL/2), "its part is lent to a daemon that does not answer")
-	got := l.take([]int{other}, 2*time.Second)
+	f.nodes[other].opts.Pool.Lend("gone", boottime.Now().Add(partTTL), boottime.Now())
+	require.Zero(t, f.take([]int{other}, partTTL/2), "its part is lent to a daemon that does not answer")
+	got := f.take([]int{other}, 2*time.Second)
 	require.LessOrEqual(t, got, int64(rate*2+5))
 }
 
@@ -163,20 +164,20 @@
 		now := boottime.Now()
 		sent := time.Duration(rapid.IntRange(0, 5000).Draw(t, "sent")) * time.Millisecond
 		received := time.Duration(rapid.IntRange(0, int(sent.Milliseconds())).Draw(t, "came")) * time.Millisecond
-		w := quota.LimitReport{
+		report := quota.LimitReport{
 			Server: rapid.String().Draw(t, "server"), Named: rapid.Bool().Draw(t, "named"),
 			Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), SentAt: now.Add(-sent), At: now.Add(-received),
 		}
-		data, err := cbor.Marshal(&frame{Reports: packReports([]quota.LimitReport{w}, now)})
+		data, err := cbor.Marshal(&frame{Reports: packReports([]quota.LimitReport{report}, now)})
 		require.NoError(t, err)
 		var f frame
 		require.NoError(t, cbor.Unmarshal(data, &f))
 		require.True(t, f.Reports[0].valid())
 		got := f.Reports[0].unpack(now)
-		if !w.Named {
+		if !report.Named {
 			got.SentAt = got.SentAt.Add(reportSlack)
 		}
-		require.Equal(t, w, got)
+		require.Equal(t, report, got)
 	})
 }
 
@@ -199,7 +200,7 @@
 	id := "i-7a8aaead84"
 	poll := size(&frame{Poll: &poll{Number: 1000}}) + size(&frame{Part: &part{Number: 1000, Sent: map[string]int{id: 12}}})
 	decided := size(&frame{Request: &permitRequest{Number: 1000, Servers: []string{id}, Workspace: "workspace-17"}}) +
-		size(&frame{Decision: &decision{Number: 1000, Server: id, After: time.Second, Back: 5 * time.Second}})
+		size(&frame{Decision: &decision{Number: 1000, Server: id, After: time.Second, RetryAfter: 5 * time.Second}})
 	perSecond := float64(poll) * float64(time.Second) / float64(pollInterval)
 	t.Logf("%.0f bytes a second a daemon and %d bytes a request; the allocator of 8 daemons %.0f bytes a second, of 300 %.0f", perSecond, decided, 7*perSecond, 299*perSecond)
 	require.Less(t, perSecond, 150.0)
--- a/permit/wire.go
+++ b/permit/wire.go
@@ -10,12 +10,12 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// packedReport is a quota.Word on a link. It holds ages instead of times since the clocks of
-// two daemons are unrelated.
+// packedReport is a quota.LimitReport on a link. It holds ages instead of times because the
+// clocks of two daemons are unrelated.
 type packedReport struct {
 	_       struct{} `cbor:",toarray"`
 	Server  string
-	Named   bool
+	Stated  bool
 	Rate    float64
 	SentAge time.Duration
 	Age     time.Duration
@@ -25,22 +25,22 @@
 // step back by a microsecond, so ages are at least zero.
 func packReports(reports []quota.LimitReport, now time.Time) []packedReport {
 	out := make([]packedReport, len(reports))
-	for i, w := range reports {
-		age := max(0, now.Sub(w.At))
-		out[i] = packedReport{Server: w.Server, Named: w.Named, Rate: w.Rate, SentAge: max(age, now.Sub(w.SentAt)), Age: age}
+	for i, r := range reports {
+		age := max(0, now.Sub(r.At))
+		out[i] = packedReport{Server: r.Server, Stated: r.Named, Rate: r.Rate, SentAge: max(age, now.Sub(r.SentAt)), Age: age}
 	}
 	return out
 }
 
 func (p *packedReport) unpack(now time.Time) quota.LimitReport {
-	w := quota.LimitReport{Server: p.Server, Named: p.Named, Rate: p.Rate, SentAt: now.Add(-p.SentAge), At: now.Add(-p.Age)}
-	if !w.Named {
-		w.SentAt = w.SentAt.Add(-reportSlack)
+	r := quota.LimitReport{Server: p.Server, Named: p.Stated, Rate: p.Rate, SentAt: now.Add(-p.SentAge), At: now.Add(-p.Age)}
+	if !r.Named {
+		r.SentAt = r.SentAt.Add(-reportSlack)
 	}
-	return w
+	return r
 }
 
-// valid reports whether a backend server can have sent the report.
+// valid reports whether the values of a report are possible.
 func (p *packedReport) valid() bool {
 	return p.Rate >= 0 && p.SentAge >= p.Age && p.Age >= 0 // false also for a NaN
 }
@@ -58,7 +58,7 @@
 // poll requests a daemon's part.
 type poll struct {
 	Number uint64 `cbor:"1,keyasint"`
-	// Returned says that the allocator stops and the part is the daemon's own again.
+	// Returned is set when the allocator stops: the daemon holds its part again.
 	Returned bool `cbor:"2,keyasint,omitempty"`
 }
 
@@ -78,11 +78,11 @@
 
 // decision answers the permitRequest with the same number.
 type decision struct {
-	Number  uint64        `cbor:"1,keyasint"`
-	Granted bool          `cbor:"2,keyasint,omitempty"`
-	Server  string        `cbor:"3,keyasint,omitempty"`
-	After   time.Duration `cbor:"4,keyasint,omitempty"`
-	Back    time.Duration `cbor:"5,keyasint,omitempty"`
+	Number     uint64        `cbor:"1,keyasint"`
+	Granted    bool          `cbor:"2,keyasint,omitempty"`
+	Server     string        `cbor:"3,keyasint,omitempty"`
+	After      time.Duration `cbor:"4,keyasint,omitempty"`
+	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
 // writeFrame sends one message.
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -21,8 +21,8 @@
 	// maxCredit and minCredit bound the credit of a class, in calls.
 	maxCredit = 3.0
 	minCredit = -1.0
-	// maxClasses bounds the classes of a bucket; the least recently active one is
-	// removed.
+	// maxClasses bounds the classes of a bucket. The least recently active class is
+	// removed first.
 	maxClasses = 64
 	// eps absorbs rounding errors of accrued calls.
 	eps = 1e-9
@@ -32,14 +32,14 @@
 const (
 	minWait = 20 * time.Millisecond
 	maxDue  = 500 * time.Millisecond
-	// maxBack is short since the limit may end at any time.
-	maxBack = 5 * time.Second
+	// maxRetryAfter is short because the limit may end at any time.
+	maxRetryAfter = 5 * time.Second
 )
 
 // bucket is a token bucket for the calls to one backend server. Calls accrue at the rate
 // of the held parts and are credited to the active classes: to the most urgent priority
-// first, evenly among its workspaces. A class takes a call with its own credit, or
-// without credit when there are calls that no class has saved.
+// first, evenly among its workspaces. A class makes a call with its own credit, or without
+// credit while the bucket holds calls that no class has saved.
 type bucket struct {
 	updatedAt time.Time // of the last accrual
 	rate      float64   // calls a second
@@ -58,8 +58,8 @@
 
 func newBucket(calls float64, now time.Time) *bucket { return &bucket{updatedAt: now, calls: calls} }
 
-// accrue adds the calls due since the last accrual, or since the parts are held if that
-// is later.
+// accrue adds the calls due since the last accrual, or since held, the time from which
+// this daemon holds its own part, if that is later.
 func (b *bucket) accrue(limit, share float64, held, now time.Time) {
 	b.rate = rateUse * share * max(limit, minRate)
 	b.burst = burstOf(b.rate)
@@ -69,8 +69,8 @@
 	b.credit(due, now)
 }
 
-// burstOf returns the maximum of saved calls: the first call, the credit that one class
-// may save (less at low rates), and a tenth of a second at the rate.
+// burstOf returns the maximum number of saved calls: one call, the credit that one class
+// may save (less at low rates), and the calls of a tenth of a second.
 func burstOf(rate float64) float64 { return 1 + min(maxCredit, rate/2) + rate/10 }
 
 // credit distributes calls over the active classes by priority.
@@ -88,7 +88,7 @@
 	}
 }
 
-// distribute credits calls evenly and returns those left when all credits are full.
+// distribute credits calls evenly and returns the calls left when all credits are full.
 func distribute(active []*credit, calls float64) (left float64) {
 	slices.SortFunc(active, func(x, y *credit) int { return cmp.Compare(y.calls, x.calls) })
 	for i, c := range active {
@@ -148,7 +148,7 @@
 	b.credits = slices.Delete(b.credits, oldest, oldest+1)
 }
 
-// take makes a call for a class that allows has admitted.
+// take removes one call for a class for which allows returned true.
 func (b *bucket) take(c Class) {
 	b.calls--
 	s := b.of(c, b.updatedAt)
@@ -157,21 +157,23 @@
 
 func (b *bucket) deny(c Class, now time.Time) { b.of(c, now).denied.add(now) }
 
-// due returns the time until a class may make a call while all active classes continue
-// to request calls.
+// due returns the time until a class may make a call if all active classes continue to
+// request calls.
 func (b *bucket) due(c Class, now time.Time) time.Duration {
 	s := b.of(c, now)
 	wait := max((1-b.calls)/b.rate, (1-s.calls)/b.rateOf(c, now))
 	return bounded(wait, minWait, maxDue)
 }
 
-// back returns the same for a caller queued behind the recently denied ones of its class.
-func (b *bucket) back(c Class, now time.Time) time.Duration {
+// retryAfter returns the time until a caller may make a call after all recently denied calls
+// of its class.
+func (b *bucket) retryAfter(c Class, now time.Time) time.Duration {
 	s := b.of(c, now)
-	return bounded((1-s.calls+float64(s.denied.sum(now)))/b.rateOf(c, now), minWait, maxBack)
+	return bounded((1-s.calls+float64(s.denied.sum(now)))/b.rateOf(c, now), minWait, maxRetryAfter)
 }
 
-// rateOf returns the rate of a class while all classes at least as urgent are active.
+// rateOf returns the rate of a class, in calls a second, while all active classes of the
+// same or a more urgent priority request calls.
 func (b *bucket) rateOf(c Class, now time.Time) float64 {
 	n := 0
 	for _, s := range b.credits {
@@ -182,9 +184,9 @@
 	return b.rate / float64(max(1, n))
 }
 
-func bounded(seconds float64, minUsed, most time.Duration) time.Duration {
-	if seconds >= most.Seconds() {
-		return most
+func bounded(seconds float64, lower, upper time.Duration) time.Duration {
+	if seconds >= upper.Seconds() {
+		return upper
 	}
-	return max(minUsed, time.Duration(seconds*float64(time.Second)))
+	return max(lower, time.Duration(seconds*float64(time.Second)))
 }
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -16,8 +16,8 @@
 	limitSeeds = flag.Uint64("limit-seeds", 1000, "number of simulated fleets")
 )
 
-// Maximum of calls to a backend server with a limit within a Window: allowedFactor times the
-// limit, plus allowedSlack.
+// A backend server with a limit may receive, within a Window, allowedFactor times its limit
+// plus allowedSlack calls.
 const (
 	allowedFactor = 1.5
 	allowedSlack  = 5
@@ -27,9 +27,9 @@
 const (
 	step         = 20 * time.Millisecond
 	pollInterval = 500 * time.Millisecond
-	lentFor      = 1500 * time.Millisecond
+	partTTL      = 1500 * time.Millisecond
 	pollTimeout  = 1200 * time.Millisecond
-	newsDelay    = 100 * time.Millisecond
+	reportDelay  = 100 * time.Millisecond
 )
 
 // limitedFleet simulates daemons in front of one backend server with a limit. Each
@@ -78,7 +78,7 @@
 	for _, d := range f.daemons {
 		d.demand *= demand / sum // uneven, as with callers distributed by hash
 	}
-	f.list()
+	f.updateFleet()
 	return f
 }
 
@@ -89,8 +89,8 @@
 	return d
 }
 
-// list updates the fleet in the pools of all daemons.
-func (f *limitedFleet) list() {
+// updateFleet updates the names of the daemons in all pools.
+func (f *limitedFleet) updateFleet() {
 	var names []string
 	for _, d := range f.daemons {
 		if !d.removed {
@@ -102,14 +102,13 @@
 	}
 }
 
-// name has the backend server state its limit to one daemon; the others learn of it after
-// newsDelay.
-func (f *limitedFleet) name() {
+// stateLimit reports the limit to one daemon at once and to the others after reportDelay.
+func (f *limitedFleet) stateLimit() {
 	first := f.daemons[f.rng.IntN(len(f.daemons))]
 	for _, d := range f.daemons {
 		at := f.now
 		if d != first {
-			at = at.Add(newsDelay)
+			at = at.Add(reportDelay)
 		}
 		d.limitAt = at
 	}
@@ -117,7 +116,7 @@
 
 func (d *limitedDaemon) up() bool { return !d.removed && !d.paused }
 
-// reaches reports whether a daemon gets answers from another.
+// reaches reports whether a daemon receives answers from another.
 func (d *limitedDaemon) reaches(o *limitedDaemon) bool { return o.up() && !d.isolated && !o.isolated }
 
 func (f *limitedFleet) tick() {
@@ -157,8 +156,8 @@
 	if to := d.pool.LentTo(f.now); to != "" && to != o.name {
 		return
 	}
-	d.pool.Lend(o.name, f.now.Add(lentFor), f.now)
-	o.pool.Contribute(d.name, f.now.Add(lentFor), map[string]int{limitedServer: d.sends.Recent(limitedServer, f.now)})
+	d.pool.Lend(o.name, f.now.Add(partTTL), f.now)
+	o.pool.Contribute(d.name, f.now.Add(partTTL), map[string]int{limitedServer: d.sends.Recent(limitedServer, f.now)})
 }
 
 // call makes the calls that are due from a daemon's callers.
@@ -196,11 +195,11 @@
 	}
 }
 
-// over returns by how many calls the allowed number is exceeded at worst, in windows that
-// end at from or later, by daemons that have known the limit for half a second. Calls made
-// before a daemon knew the limit count in full; where these alone exceed what is allowed,
-// no other call may follow in that window.
-func (f *limitedFleet) over(from time.Time) float64 {
+// maxExcess returns the maximum number of calls above the allowed number, over all windows
+// that end at from or later. It counts daemons that have known the limit for half a second.
+// Calls that a daemon made before it knew the limit reduce the allowed number, to no less
+// than zero.
+func (f *limitedFleet) maxExcess(from time.Time) float64 {
 	worst := -1e9
 	for end := from; !end.After(f.now); end = end.Add(100 * time.Millisecond) {
 		before, after := 0, 0
@@ -221,7 +220,7 @@
 	return worst
 }
 
-// used returns the fraction of the limit that was used since from.
+// used returns the fraction of the limit that was used after from.
 func (f *limitedFleet) used(from time.Time) float64 {
 	n := 0
 	for _, c := range f.calls {
@@ -245,12 +244,12 @@
 		t.Run(fmt.Sprintf("daemons=%d/limit=%g", c.daemons, c.limit), func(t *testing.T) {
 			f := newLimitedFleet(uint64(c.daemons), c.daemons, c.limit, 3*c.limit, anyClass)
 			f.run(5 * time.Second)
-			f.name()
-			named := f.now
+			f.stateLimit()
+			stated := f.now
 			f.run(40 * time.Second)
-			used := f.used(named.Add(5 * time.Second))
-			t.Logf("used %.3f of the limit, %+.1f over what is allowed", used, f.over(named.Add(3*time.Second)))
-			require.LessOrEqual(t, f.over(named.Add(3*time.Second)), 0.0)
+			used := f.used(stated.Add(5 * time.Second))
+			t.Logf("used %.3f of the limit, %+.1f over what is allowed", used, f.maxExcess(stated.Add(3*time.Second)))
+			require.LessOrEqual(t, f.maxExcess(stated.Add(3*time.Second)), 0.0)
 			require.GreaterOrEqual(t, used, c.minUsed)
 			require.LessOrEqual(t, used, 1.02)
 		})
@@ -279,13 +278,13 @@
 	limit := []float64{0, 0.3, 1, 3.6, 7.4, 30}[rng.IntN(6)]
 	f := newLimitedFleet(seed, daemons, limit, 3*limit+1, anyClass)
 	f.run(4 * time.Second)
-	f.name()
-	named := f.now
+	f.stateLimit()
+	stated := f.now
 	for range 8 {
 		f.injectFaults(rng)
 		f.run(time.Duration(200+rng.IntN(2500)) * time.Millisecond)
 	}
-	require.LessOrEqual(t, f.over(named.Add(3*time.Second)), 0.0, "seed %d: %d daemons, limit %g", seed, daemons, limit)
+	require.LessOrEqual(t, f.maxExcess(stated.Add(3*time.Second)), 0.0, "seed %d: %d daemons, limit %g", seed, daemons, limit)
 }
 
 // injectFaults changes the state of some daemons.
@@ -303,10 +302,10 @@
 			d.removed = true
 		case 4:
 			n := f.add(fmt.Sprintf("e%03d", len(f.daemons)), d.demand, d.classes)
-			n.limitAt = f.now.Add(newsDelay)
+			n.limitAt = f.now.Add(reportDelay)
 			rng.Shuffle(len(f.daemons), func(i, j int) { f.daemons[i], f.daemons[j] = f.daemons[j], f.daemons[i] })
 		case 5:
-			f.list() // until then new daemons are unknown to the others
+			f.updateFleet() // until then new daemons are unknown to the others
 		}
 	}
 }
@@ -315,13 +314,13 @@
 func TestPermitsAreGrantedByPriorityThenEvenlyToWorkspaces(t *testing.T) {
 	classes := []Class{{0, "a"}, {0, "b"}, {0, "b"}, {0, "b"}, {0, "c"}, {0, "c"}, {1, "d"}, {1, "d"}}
 	f := newLimitedFleet(1, 8, 6, 40, classes)
-	f.name()
+	f.stateLimit()
 	f.run(60 * time.Second)
 	total := 0
 	for _, n := range f.granted {
 		total += n
 	}
-	t.Logf("asked %v, granted %v", f.requested, f.granted)
+	t.Logf("requested %v, granted %v", f.requested, f.granted)
 	for _, w := range []string{"a", "b", "c"} {
 		require.InDelta(t, float64(total)/3, f.granted[Class{0, w}], 0.05*float64(total), w)
 	}
@@ -332,9 +331,9 @@
 func TestCallsUnusedByUrgentClassAreGranted(t *testing.T) {
 	classes := []Class{{0, "a"}, {1, "b"}, {1, "b"}, {1, "b"}, {1, "b"}, {1, "c"}, {1, "c"}, {1, "c"}, {1, "c"}, {1, "c"}}
 	f := newLimitedFleet(2, 8, 6, 30, classes)
-	f.name()
+	f.stateLimit()
 	f.run(60 * time.Second)
-	t.Logf("asked %v, granted %v", f.requested, f.granted)
+	t.Logf("requested %v, granted %v", f.requested, f.granted)
 	a, b, c := f.granted[classes[0]], f.granted[classes[1]], f.granted[classes[5]]
 	require.GreaterOrEqual(t, float64(a), 0.9*float64(f.requested[classes[0]]))
 	require.InDelta(t, b, c, 0.05*float64(a+b+c))
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// LimitReport is what one answer of a backend server reports about its limit on requests, which
-// applies to all daemons together. Times are of the clock of package boottime.
+// LimitReport is the report of a backend server, in one answer, on its limit of requests.
+// The limit applies to all daemons together. Times are of the clock of package boottime.
 type LimitReport struct {
-	Server string  // incarnation
-	Named  bool    // the answer states a limit
-	Rate   float64 // the limit in requests a second, if stated
-	SentAt time.Time
+	Server string    // incarnation
+	Named  bool      // the answer states a limit
+	Rate   float64   // the limit in requests a second, if stated
+	SentAt time.Time // when the request of the answer was sent
 	At     time.Time // when the answer was received
 }
 
@@ -22,11 +22,11 @@
 type Limit struct {
 	Server string
 	Rate   float64   // requests a second
-	Since  time.Time // when it was first stated; changes of its rate do not count
+	Since  time.Time // when it was first stated; a change of the rate does not reset it
 	At     time.Time // when it was last stated
 }
 
-// Change is the effect of a report.
+// Change is the effect of a report on the known limit.
 type Change uint8
 
 // The changes.
@@ -49,22 +49,22 @@
 // Limits holds the limits that backend servers have stated. Daemons exchange the changes,
 // so that all tables converge. It is safe for concurrent use.
 //
-// Answers over different connections may be reordered. A limit therefore ends only by an
-// answer to a request that was sent after the limit was last stated.
+// Answers over different connections may be reordered. Only an answer to a request that
+// was sent after the limit was last stated can therefore end the limit.
 type Limits struct {
 	mu      sync.Mutex
 	states  map[string]*limitState // by incarnation
-	known   int                    // limits in force among them
+	known   int                    // number of limits in force
 	version uint64                 // of the last change
-	changed chan struct{}          // closed at the next one
+	changed chan struct{}          // closed at the next change
 }
 
 // limitState is the known state of one backend server's limit.
 type limitState struct {
 	limit   Limit
-	named   bool        // the limit is in force
+	stated  bool        // the limit is in force
 	sentAt  time.Time   // of the request whose answer stated it last
-	endedBy LimitReport // the zero Word if it has never ended
+	endedBy LimitReport // the zero report if the limit has never ended
 	version uint64
 }
 
@@ -73,57 +73,57 @@
 	return &Limits{states: map[string]*limitState{}, changed: make(chan struct{})}
 }
 
-// Apply applies a report and returns its effect, with the limit before and after.
-func (b *Limits) Apply(w LimitReport) (c Change, before, now Limit) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	h := b.states[w.Server]
-	if h == nil {
-		if !w.Named {
+// Apply applies a report and returns its effect, with the limit before and after it.
+func (l *Limits) Apply(r LimitReport) (c Change, before, now Limit) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.states[r.Server]
+	if s == nil {
+		if !r.Named {
 			return Unchanged, Limit{}, Limit{}
 		}
-		h = &limitState{}
-		b.states[w.Server] = h
+		s = &limitState{}
+		l.states[r.Server] = s
 	}
-	before = h.limit
-	if w.Named {
-		c = h.setNamed(w)
+	before = s.limit
+	if r.Named {
+		c = s.setLimit(r)
 	} else {
-		c = h.setUnnamed(w)
+		c = s.endLimit(r)
 	}
-	b.recordChange(h, c)
-	return c, before, h.limit
+	l.recordChange(s, c)
+	return c, before, s.limit
 }
 
-// recordChange counts a change and notifies waiters.
-func (b *Limits) recordChange(h *limitState, c Change) {
+// recordChange updates the number of limits in force and notifies waiters.
+func (l *Limits) recordChange(s *limitState, c Change) {
 	switch c {
 	case Unchanged:
 		return
 	case Learnt:
-		b.known++
+		l.known++
 	case Ended:
-		b.known--
+		l.known--
 	}
-	b.touch(h)
+	l.touch(s)
 }
 
 // Declare sets all limits at once, in requests a second by backend server, and returns
 // the changes. A backend server without an entry has no limit. The limits of one table
-// come either from Declare or from Hear.
-func (b *Limits) Declare(rates map[string]float64, now time.Time) []Declared {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// come either from Declare or from Apply.
+func (l *Limits) Declare(rates map[string]float64, now time.Time) []Declared {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var out []Declared
 	for server, rate := range rates {
-		if b.states[server] == nil {
-			b.states[server] = &limitState{}
+		if l.states[server] == nil {
+			l.states[server] = &limitState{}
 		}
-		out = b.declare(out, server, true, rate, now)
+		out = l.declare(out, server, true, rate, now)
 	}
-	for server, h := range b.states {
-		if _, still := rates[server]; !still && h.named {
-			out = b.declare(out, server, false, 0, now)
+	for server, s := range l.states {
+		if _, still := rates[server]; !still && s.stated {
+			out = l.declare(out, server, false, 0, now)
 		}
 	}
 	return out
@@ -136,147 +136,147 @@
 	Rate   float64 // the new rate
 }
 
-func (b *Limits) declare(out []Declared, server string, named bool, rate float64, now time.Time) []Declared {
-	h := b.states[server]
+func (l *Limits) declare(out []Declared, server string, stated bool, rate float64, now time.Time) []Declared {
+	s := l.states[server]
 	c := Unchanged
 	switch {
-	case named && !h.named:
+	case stated && !s.stated:
 		c = Learnt
-		h.limit = Limit{Server: server, Rate: rate, Since: now, At: now}
-	case named && h.limit.Rate != rate:
+		s.limit = Limit{Server: server, Rate: rate, Since: now, At: now}
+	case stated && s.limit.Rate != rate:
 		c = Changed
-		h.limit.Rate, h.limit.At = rate, now
-	case !named:
+		s.limit.Rate, s.limit.At = rate, now
+	case !stated:
 		c = Ended
-		h.limit, h.endedBy = Limit{}, LimitReport{Server: server, SentAt: now, At: now}
+		s.limit, s.endedBy = Limit{}, LimitReport{Server: server, SentAt: now, At: now}
 	}
-	h.named = named
-	b.recordChange(h, c)
+	s.stated = stated
+	l.recordChange(s, c)
 	if c == Unchanged {
 		return out
 	}
 	return append(out, Declared{Server: server, Change: c, Rate: rate})
 }
 
-// Retell publishes a limit in force again, for a daemon that takes it to have ended and
-// missed a later report.
-func (b *Limits) Retell(server string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h := b.states[server]; h != nil && h.named {
-		b.touch(h)
+// Retell publishes a limit in force again, for a daemon that considers it ended because
+// it has missed a later report.
+func (l *Limits) Retell(server string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s := l.states[server]; s != nil && s.stated {
+		l.touch(s)
 	}
 }
 
-// setNamed applies a report that states a limit.
-func (h *limitState) setNamed(w LimitReport) Change {
-	if w.At.Before(h.limit.At) || !w.At.After(h.endedBy.SentAt) {
+// setLimit applies a report that states a limit.
+func (s *limitState) setLimit(r LimitReport) Change {
+	if r.At.Before(s.limit.At) || !r.At.After(s.endedBy.SentAt) {
 		return Unchanged // older than the known state
 	}
-	before, was := h.limit, h.named
-	h.limit = Limit{Server: w.Server, Rate: w.Rate, Since: w.At, At: w.At}
-	h.named, h.sentAt = true, w.SentAt
+	before, was := s.limit, s.stated
+	s.limit = Limit{Server: r.Server, Rate: r.Rate, Since: r.At, At: r.At}
+	s.stated, s.sentAt = true, r.SentAt
 	switch {
 	case !was:
 		return Learnt
-	case w.Rate != before.Rate:
-		h.limit.Since = before.Since
+	case r.Rate != before.Rate:
+		s.limit.Since = before.Since
 		return Changed
 	}
-	h.limit.Since = before.Since
+	s.limit.Since = before.Since
 	return Unchanged
 }
 
-// setUnnamed applies a report that states no limit.
-func (h *limitState) setUnnamed(w LimitReport) Change {
-	if !h.named || !w.SentAt.After(h.limit.At) {
+// endLimit applies a report that states no limit.
+func (s *limitState) endLimit(r LimitReport) Change {
+	if !s.stated || !r.SentAt.After(s.limit.At) {
 		return Unchanged
 	}
-	h.limit, h.named, h.endedBy = Limit{}, false, w
+	s.limit, s.stated, s.endedBy = Limit{}, false, r
 	return Ended
 }
 
-// touch assigns a new version to a changed entry and wakes those that wait for changes.
-func (b *Limits) touch(h *limitState) {
-	b.version++
-	h.version = b.version
-	close(b.changed)
-	b.changed = make(chan struct{})
+// touch assigns a new version to a changed entry and wakes the waiters of Changed.
+func (l *Limits) touch(s *limitState) {
+	l.version++
+	s.version = l.version
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// Of returns the limit of a backend server, false if none is known.
-func (b *Limits) Of(server string) (Limit, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if h := b.states[server]; h != nil && h.named {
-		return h.limit, true
+// Of returns the limit of a backend server, and whether one is known.
+func (l *Limits) Of(server string) (Limit, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s := l.states[server]; s != nil && s.stated {
+		return s.limit, true
 	}
 	return Limit{}, false
 }
 
 // Size returns the number of limits in force.
-func (b *Limits) Size() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.known
+func (l *Limits) Size() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.known
 }
 
 // All returns the limits in force, sorted by backend server.
-func (b *Limits) All() []Limit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *Limits) All() []Limit {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var out []Limit
-	for _, h := range b.states {
-		if h.named {
-			out = append(out, h.limit)
+	for _, s := range l.states {
+		if s.stated {
+			out = append(out, s.limit)
 		}
 	}
 	slices.SortFunc(out, func(x, y Limit) int { return cmp.Compare(x.Server, y.Server) })
 	return out
 }
 
-// Since returns the reports that changed something after a version, oldest change first,
+// Since returns a report for each limit that changed after a version, oldest change first,
 // and the version to pass to the next call.
-func (b *Limits) Since(version uint64) (words []LimitReport, next uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if version == b.version {
+func (l *Limits) Since(version uint64) (reports []LimitReport, next uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if version == l.version {
 		return nil, version
 	}
-	var news []*limitState
-	for _, h := range b.states {
-		if h.version > version {
-			news = append(news, h)
+	var changed []*limitState
+	for _, s := range l.states {
+		if s.version > version {
+			changed = append(changed, s)
 		}
 	}
-	slices.SortFunc(news, func(x, y *limitState) int { return cmp.Compare(x.version, y.version) })
-	for _, h := range news {
-		if h.named {
-			words = append(words, LimitReport{Server: h.limit.Server, Named: true, Rate: h.limit.Rate, SentAt: h.sentAt, At: h.limit.At})
+	slices.SortFunc(changed, func(x, y *limitState) int { return cmp.Compare(x.version, y.version) })
+	for _, s := range changed {
+		if s.stated {
+			reports = append(reports, LimitReport{Server: s.limit.Server, Named: true, Rate: s.limit.Rate, SentAt: s.sentAt, At: s.limit.At})
 		} else {
-			words = append(words, h.endedBy)
+			reports = append(reports, s.endedBy)
 		}
 	}
-	return words, b.version
+	return reports, l.version
 }
 
 // Changed returns a channel that is closed at the next change.
-func (b *Limits) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+func (l *Limits) Changed() <-chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.changed
 }
 
-// Forget removes the limits of backend servers that are gone, and those that ended more
-// than endedRetention ago.
-func (b *Limits) Forget(known func(server string) bool, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	maps.DeleteFunc(b.states, func(server string, h *limitState) bool {
+// Forget removes the limits of unknown backend servers, and limits that ended more than
+// endedRetention ago.
+func (l *Limits) Forget(known func(server string) bool, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	maps.DeleteFunc(l.states, func(server string, s *limitState) bool {
 		removed := !known(server)
-		if removed && h.named {
-			b.known--
+		if removed && s.stated {
+			l.known--
 		}
-		return removed || !h.named && now.Sub(h.endedBy.At) > endedRetention
+		return removed || !s.stated && now.Sub(s.endedBy.At) > endedRetention
 	})
 }
--- a/quota/limits_test.go
+++ b/quota/limits_test.go
@@ -9,9 +9,9 @@
 
 func TestLimitEndsOnlyByALaterRequest(t *testing.T) {
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	b := NewLimits()
-	observe := func(named bool, rate float64, sent, received int) Change {
-		c, _, _ := b.Apply(LimitReport{Server: "s", Named: named, Rate: rate, SentAt: at(sent), At: at(received)})
+	limits := NewLimits()
+	observe := func(stated bool, rate float64, sent, received int) Change {
+		c, _, _ := limits.Apply(LimitReport{Server: "s", Named: stated, Rate: rate, SentAt: at(sent), At: at(received)})
 		return c
 	}
 	require.Equal(t, Unchanged, observe(false, 0, 0, 10), "no limit was stated")
@@ -19,14 +19,14 @@
 	require.Equal(t, Unchanged, observe(false, 0, 15, 30), "the request was sent before the limit was stated")
 	require.Equal(t, Unchanged, observe(true, 4, 25, 40))
 	require.Equal(t, Changed, observe(true, 0, 30, 50), "zero is a limit")
-	l, known := b.Of("s")
+	l, known := limits.Of("s")
 	require.True(t, known)
 	require.Equal(t, Limit{Server: "s", Rate: 0, Since: at(20), At: at(50)}, l)
 	require.Equal(t, Ended, observe(false, 0, 51, 60))
 	require.Equal(t, Learnt, observe(true, 1, 60, 70))
-	require.Equal(t, 1, b.Size())
-	b.Forget(func(string) bool { return false }, t0)
-	require.Zero(t, b.Size())
+	require.Equal(t, 1, limits.Size())
+	limits.Forget(func(string) bool { return false }, t0)
+	require.Zero(t, limits.Size())
 }
 
 func TestSendsWithinTheWindow(t *testing.T) {
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -11,9 +11,9 @@
 //
 // Each daemon owns an even part of every limit. It contributes its part to the pool of one
 // daemon, the allocator, for a bounded time, and requests a permit there before each call.
-// A contribution expires; after that the daemon decides alone on its own part. Each
-// allocator grants only what was contributed to it, so the granted parts never exceed the
-// limit, whichever daemons are partitioned, paused or new, and even with several
+// After the contribution has expired, the daemon decides alone on its own part. Each
+// allocator grants only the parts contributed to it. The granted parts therefore never
+// exceed the limit, even if daemons are partitioned, paused or new, or if there are several
 // allocators. All times are of the clock of package boottime, so that a suspended VM
 // grants nothing from contributions that expired during the suspension.
 
@@ -22,8 +22,9 @@
 	// rateUse is the fraction of a limit that is granted, to allow for differences of
 	// clocks and of call latencies.
 	rateUse = 0.95
-	// minRate is the least rate in calls a second, used even for lower limits: only the
-	// answers of a backend server show that its limit has ended.
+	// minRate is the rate, in calls a second, that is used for lower limits too. Some
+	// calls are always needed, because only the answers of a backend server show that
+	// its limit has ended.
 	minRate = 0.75
 	// windowFactor and windowSlack bound the calls of all daemons within a Window: the
 	// limit plus the excess of the counts, which cover up to a slot and a poll more than
@@ -32,14 +33,14 @@
 	windowFactor = 1.1875
 	windowSlack  = 2.0
 	// lowRateFactor and lowRateSlack bound the same for very low limits. They are two
-	// calls below the permitted maximum, since a daemon that decides alone may make one
-	// call however small its part is.
+	// calls below the permitted maximum, because a daemon that decides alone may make
+	// one call even if its part is very small.
 	lowRateFactor = 1.5
 	lowRateSlack  = 3.0
 	// assumedDaemons is the number of daemons assumed to share a limit while the fleet
 	// is unknown. It is high so that the assumed share is small.
 	assumedDaemons = 100
-	// windowRetryInterval is the wait after a denial because of the window.
+	// windowRetryInterval is the wait after a call was denied by the bound of the window.
 	windowRetryInterval = slot
 )
 
@@ -52,9 +53,9 @@
 // Decision answers a permit request.
 type Decision struct {
 	Granted bool
-	Server  string        // that denies it
-	After   time.Duration // until a call of the class is due there
-	Back    time.Duration // the same behind those denied before
+	Server  string        // the backend server whose limit denies the request
+	After   time.Duration // time until a permit may be requested again
+	Back    time.Duration // time until a refused caller may retry
 }
 
 // Pool grants permits from the parts contributed to it. It is safe for concurrent use.
@@ -65,7 +66,7 @@
 
 	mu        sync.Mutex
 	fleet     []string             // names of all daemons, sorted; empty while not known
-	departed  map[string]time.Time // when a former daemon was last in the fleet
+	departed  map[string]time.Time // when a daemon was found to have left the fleet
 	lentTo    string               // the daemon that the own part was last contributed to
 	lentUntil time.Time
 	parts     map[string]*contribution // by contributing daemon
@@ -102,9 +103,9 @@
 	maps.DeleteFunc(p.departed, func(name string, at time.Time) bool { return p.listed(name) || now.Sub(at) > Window })
 }
 
-// Lend records that the own part is contributed to another daemon's pool until then. Saved
-// calls are discarded: otherwise many daemons that decide alone repeatedly for a moment
-// could spend all their saved calls at the same time.
+// Lend records that this daemon's own part is contributed to another daemon's pool until
+// the given time. Saved calls are discarded: otherwise many daemons that decide alone for
+// short times could spend all their saved calls together.
 func (p *Pool) Lend(to string, until, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,7 +115,7 @@
 	p.lentTo, p.lentUntil = to, until
 }
 
-// LentTo returns the daemon to whose pool the own part is contributed, "" for none.
+// LentTo returns the daemon to whose pool the own part is contributed, or "".
 func (p *Pool) LentTo(now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,8 +139,8 @@
 	clear(c.sinceLastPoll)
 }
 
-// Contribute adds another daemon's part until then, with the calls it has sent within the
-// window to backend servers with a limit.
+// Contribute adds another daemon's part until the given time, with the calls that it has
+// sent within the window to backend servers with a limit.
 func (p *Pool) Contribute(daemon string, until time.Time, sent map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,8 +159,8 @@
 	delete(p.parts, daemon)
 }
 
-// Decide answers a daemon's request, or this daemon's own under its own name. Calls granted
-// to this daemon count as sent.
+// Decide answers a permit request of another daemon or, under its own name, of this daemon.
+// Calls granted to this daemon count as sent.
 func (p *Pool) Decide(daemon string, r PermitRequest, now time.Time) Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,11 +196,11 @@
 	}
 	if sent := p.sent(server, now); float64(sent+1) > max(1, share*windowOf(limit)) {
 		b.deny(c, now)
-		return Decision{Server: server, After: windowRetryInterval, Back: max(windowRetryInterval, b.back(c, now))}
+		return Decision{Server: server, After: windowRetryInterval, Back: max(windowRetryInterval, b.retryAfter(c, now))}
 	}
 	if !b.allows(c, now) {
 		b.deny(c, now)
-		return Decision{Server: server, After: b.due(c, now), Back: b.back(c, now)}
+		return Decision{Server: server, After: b.due(c, now), Back: b.retryAfter(c, now)}
 	}
 	return Decision{Granted: true}
 }
@@ -236,8 +237,9 @@
 	return float64(held) / float64(max(1, daemons+unlisted, held))
 }
 
-// heldSince returns since when the own part is held, the zero time if it is not. Calls that
-// accrued before were granted by the pool that it was contributed to.
+// heldSince returns the time from which this daemon holds its own part, or the zero time
+// while the part is contributed. Calls that accrued earlier were granted by the pool that
+// it was contributed to.
 func (p *Pool) heldSince(now time.Time) time.Time {
 	if now.Before(p.lentUntil) {
 		return time.Time{}
@@ -250,7 +252,8 @@
 	return found
 }
 
-// sent returns the calls within the window of the daemons whose parts this pool holds.
+// sent returns the number of calls to a backend server within the window, sent by the
+// daemons whose parts this pool holds.
 func (p *Pool) sent(server string, now time.Time) int {
 	n := 0
 	if !now.Before(p.lentUntil) {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -32,38 +32,39 @@
 	Rate      float64 `cbor:"2,keyasint"` // arrived requests per second
 }
 
-// Grant is an owner's answer.
+// Grant is the share of a workspace's limit that an owner grants to one daemon.
 type Grant struct {
 	Workspace string  `cbor:"1,keyasint"`
-	Share     float64 `cbor:"2,keyasint"`
+	Share     float64 `cbor:"2,keyasint"` // fraction of the limit
 }
 
-// Owner grants shares. It is not safe for concurrent use.
+// Owner grants shares of the limits of workspaces. It is not safe for concurrent use.
 type Owner struct {
-	demands map[string]map[string]*requested
+	demands map[string]map[string]*demandEntry
 }
 
-type requested struct {
-	rate    float64
-	granted float64
+// demandEntry is the latest demand of one daemon for a workspace.
+type demandEntry struct {
+	rate    float64 // requests per second
+	granted float64 // share granted by demand, without the even share
 	at      time.Time
 }
 
 // NewOwner returns an owner without demands.
-func NewOwner() *Owner { return &Owner{demands: map[string]map[string]*requested{}} }
+func NewOwner() *Owner { return &Owner{demands: map[string]map[string]*demandEntry{}} }
 
-// Grant records a daemon's demand and returns its share among n daemons. Shares of other
-// daemons are reduced only at their next request, so a grant never exceeds the ungranted
-// rest.
+// Grant records a daemon's demand and returns its share among n daemons. The shares of
+// other daemons are reduced only at their next request, so a grant never exceeds what is
+// not granted to others.
 func (o *Owner) Grant(daemon string, d Demand, n int, now time.Time) Grant {
 	entries := o.demands[d.Workspace]
 	if entries == nil {
-		entries = map[string]*requested{}
+		entries = map[string]*demandEntry{}
 		o.demands[d.Workspace] = entries
 	}
 	own := entries[daemon]
 	if own == nil {
-		own = &requested{}
+		own = &demandEntry{}
 		entries[daemon] = own
 	}
 	own.rate, own.at = d.Rate, now
@@ -78,15 +79,15 @@
 }
 
 // sums returns the demand of all daemons and the shares granted to the others by demand.
-func (o *Owner) sums(entries map[string]*requested, daemon string, now time.Time) (total, others float64) {
-	for name, a := range entries {
-		if now.Sub(a.at) > GrantFor {
+func (o *Owner) sums(entries map[string]*demandEntry, daemon string, now time.Time) (total, others float64) {
+	for name, e := range entries {
+		if now.Sub(e.at) > GrantFor {
 			delete(entries, name)
 			continue
 		}
-		total += a.rate
+		total += e.rate
 		if name != daemon {
-			others += a.granted
+			others += e.granted
 		}
 	}
 	return total, others
@@ -114,8 +115,8 @@
 // limit among n daemons.
 func (t *Tracker) Share(workspace string, n int, now time.Time) float64 {
 	t.counts[workspace]++
-	if h, ok := t.grants[workspace]; ok && now.Before(h.until) {
-		return h.share
+	if g, ok := t.grants[workspace]; ok && now.Before(g.until) {
+		return g.share
 	}
 	return 1 / float64(max(1, n))
 }
@@ -128,11 +129,11 @@
 	for w, n := range t.counts {
 		out = append(out, Demand{Workspace: w, Rate: float64(n) / seconds})
 	}
-	for w, h := range t.grants {
+	for w, g := range t.grants {
 		if t.counts[w] == 0 {
 			out = append(out, Demand{Workspace: w})
 		}
-		if !now.Before(h.until) {
+		if !now.Before(g.until) {
 			delete(t.grants, w)
 		}
 	}
--- a/quota/sends.go
+++ b/quota/sends.go
@@ -9,7 +9,7 @@
 // Window is the period over which calls to a backend server are counted.
 const Window = 4 * time.Second
 
-// The window is divided into slots. One extra slot is kept since the current one is
+// The window is divided into slots. One extra slot is kept because the current slot is
 // incomplete.
 const (
 	slot      = 250 * time.Millisecond
@@ -19,7 +19,7 @@
 // slidingCount counts events within the window and up to one slot more.
 type slidingCount struct {
 	counts [slotsKept]uint32
-	slot   int64 // of the last count, since the Unix epoch
+	slot   int64 // number of the newest slot since the Unix epoch
 }
 
 // advance clears the slots that have left the window.
@@ -77,7 +77,7 @@
 	return 0
 }
 
-// Forget removes the counts of backend servers that are gone.
+// Forget removes the counts of unknown backend servers.
 func (s *Sends) Forget(known func(server string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
