--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// waitForAgreement waits until agree holds and panics if it does not.
+// waitForAgreement waits until agree returns true and panics after a minute.
 func (f *testFleet) waitForAgreement() {
 	if _, ok := within(time.Minute, f.agree); !ok {
 		panic("no agreement")
@@ -58,30 +58,31 @@
 }
 
 // BenchmarkControl reports the cost of the control plane per virtual second: bytes
-// sent, processor time and heap of one daemon, and store calls of the whole fleet.
+// sent, processor time and heap of one daemon, and store calls of the fleet.
 // The fleet is idle or processes controlChanges changes.
 func BenchmarkControl(b *testing.B) {
 	for _, n := range []int{8, 32, 128} {
 		for _, changes := range []int{0, controlChanges} {
 			b.Run(fmt.Sprintf("daemons=%d/changes=%d", n, changes), func(b *testing.B) {
 				for b.Loop() {
-					var r controlCost
-					virtual.Run(b, func() { r = measureControl(n, changes, 200) })
-					r.report(b)
+					var cost controlCost
+					virtual.Run(b, func() { cost = measureControl(n, changes, 200) })
+					cost.report(b)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkWorkspaces reports the same costs by the number of workspaces.
+// BenchmarkWorkspaces reports the same costs as BenchmarkControl, by the number of
+// workspaces.
 func BenchmarkWorkspaces(b *testing.B) {
 	for _, w := range []int{1000, 5000, 19000} {
 		b.Run(fmt.Sprintf("workspaces=%d", w), func(b *testing.B) {
 			for b.Loop() {
-				var r controlCost
-				virtual.Run(b, func() { r = measureControl(3, 20, w) })
-				r.report(b)
+				var cost controlCost
+				virtual.Run(b, func() { cost = measureControl(3, 20, w) })
+				cost.report(b)
 			}
 		})
 	}
@@ -97,11 +98,11 @@
 	sent, cpu, calls, heap float64
 }
 
-func (r controlCost) report(b *testing.B) {
-	b.ReportMetric(r.sent, "bytes/s")
-	b.ReportMetric(r.cpu*1e6, "cpu_us/s")
-	b.ReportMetric(r.calls, "store_calls/s")
-	b.ReportMetric(r.heap/1e6, "heap_MB")
+func (cost controlCost) report(b *testing.B) {
+	b.ReportMetric(cost.sent, "bytes/s")
+	b.ReportMetric(cost.cpu*1e6, "cpu_us/s")
+	b.ReportMetric(cost.calls, "store_calls/s")
+	b.ReportMetric(cost.heap/1e6, "heap_MB")
 }
 
 // measureControl runs a fleet for controlLength seconds and returns the cost of
--- a/peer/demand.go
+++ b/peer/demand.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// PathDemand is the path that returns the demand of a daemon's callers by model.
+// PathDemand is the path that returns the demand of a daemon's callers, by model.
 const PathDemand = "/peer/v1/demand"
 
 // ModelDemand is the demand for one model.
@@ -21,8 +21,9 @@
 // maxDemandCalls limits the concurrent demand calls.
 const maxDemandCalls = 16
 
-// Demands queries every daemon and returns the demand of the whole fleet by
-// model, in tokens per second. Daemons that do not answer are left out.
+// Demands queries all other daemons and returns the demand of the fleet by model,
+// in tokens per second, including this daemon's own. Daemons that do not answer are
+// left out.
 func (n *Node) Demands(ctx context.Context, own []ModelDemand) map[string]float64 {
 	sum := map[string]float64{}
 	var mu sync.Mutex
@@ -55,7 +56,7 @@
 	return sum
 }
 
-// ServeDemand adds the handler that returns this daemon's demands.
+// ServeDemand adds the handler that returns this daemon's demands to mux.
 func (n *Node) ServeDemand(mux *http.ServeMux, own func() []ModelDemand) {
 	mux.HandleFunc("POST "+PathDemand, func(w http.ResponseWriter, r *http.Request) {
 		var in demandRequest
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -40,7 +40,7 @@
 	done    sync.WaitGroup
 }
 
-// statuses records the statuses that it takes.
+// statuses implements Statuses in memory.
 type statuses struct {
 	mu    sync.Mutex
 	known map[string]backend.Status
@@ -141,7 +141,7 @@
 	return limit, false
 }
 
-// agree reports whether the working set of every daemon is the running daemons.
+// agree reports whether the working members of every daemon are the running daemons.
 func (f *testFleet) agree() bool {
 	for _, d := range f.daemons {
 		w := d.node.working()
@@ -165,11 +165,12 @@
 	return f.store.Set(string(topology.KindModel), "m", spec)
 }
 
-// inForce reports whether every daemon has the version in force.
+// inForce reports whether every daemon has a version of the model in force that is at
+// least the given one.
 func (f *testFleet) inForce(version store.Position) bool {
 	for _, d := range f.daemons {
-		v, ok := d.catalog.Result(string(topology.KindModel), "m")
-		if !ok || v.InForce < version {
+		result, ok := d.catalog.Result(string(topology.KindModel), "m")
+		if !ok || result.InForce < version {
 			return false
 		}
 	}
@@ -198,7 +199,7 @@
 	})
 }
 
-// A daemon that leaves is removed from all working sets at once.
+// A daemon that leaves is removed from the working members of all daemons at once.
 func TestLeave(t *testing.T) {
 	runFleet(t, 8, func(f *testFleet) {
 		d := f.daemons["daemon-002"]
@@ -213,8 +214,8 @@
 	})
 }
 
-// After a partition of minutes heals, members agree again and the configuration
-// that changed meanwhile is in force on all daemons.
+// After a partition of several minutes, all daemons agree on the members again, and
+// the configuration that changed meanwhile is in force on all of them.
 func TestPartition(t *testing.T) {
 	runFleet(t, 12, func(f *testFleet) {
 		v := f.setModel(4)
@@ -306,13 +307,13 @@
 				owners++
 			}
 		}
-		require.Equal(t, 8, received, "all but the one that read it")
+		require.Equal(t, 8, received, "all daemons except the one that read it")
 		require.Equal(t, ownersPerServer, owners)
 	})
 }
 
-// A changed VM list that one watcher read reaches all daemons, and a watcher that
-// still reads the old list does not restore it.
+// A changed VM list that one watcher read reaches all daemons. A watcher that still
+// reads the old list does not restore it.
 func TestVMListPropagation(t *testing.T) {
 	runFleet(t, 9, func(f *testFleet) {
 		var mu sync.Mutex
--- a/peer/follow.go
+++ b/peer/follow.go
@@ -10,8 +10,9 @@
 // should follow the store itself.
 const followCheckInterval = 250 * time.Millisecond
 
-// Follow calls run, which follows the store until its context ends, while
-// ShouldFollow returns true. It returns when ctx ends.
+// Follow calls run whenever ShouldFollow returns true, and cancels its context when
+// ShouldFollow returns false. run follows the store until its context ends. Follow
+// returns when ctx ends.
 func (n *Node) Follow(ctx context.Context, run func(context.Context)) {
 	t := time.NewTicker(followCheckInterval)
 	defer t.Stop()
--- a/peer/link.go
+++ b/peer/link.go
@@ -14,7 +14,7 @@
 )
 
 // maxLinkQueue is the number of frames that may wait on a link. A link whose
-// queue is full is closed; the next one resynchronizes the peer.
+// queue is full is closed; the next link to the peer sends it the whole state again.
 const maxLinkQueue = 512
 
 // link is a WebSocket connection to another daemon.
@@ -38,9 +38,9 @@
 	}
 }
 
-func (l *link) close(why string) {
+func (l *link) close(reason string) {
 	l.once.Do(func() {
-		_ = level.Debug(l.node.logger).Log("msg", "link closed", "peer", l.peer.Name, "reason", why)
+		_ = level.Debug(l.node.logger).Log("msg", "link closed", "peer", l.peer.Name, "reason", reason)
 		l.cancel()
 	})
 }
@@ -66,7 +66,8 @@
 	n.unregister(l, err)
 }
 
-// exchangeHellos sends this daemon's hello and returns the member in the peer's.
+// exchangeHellos sends this daemon's hello and returns the member in the peer's
+// hello.
 func (n *Node) exchangeHellos(ctx context.Context, c *websocket.Conn) (Member, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -94,8 +95,8 @@
 	return f.Hello.Self, nil
 }
 
-// register adds a link, replacing a silent or older one to the same daemon. It
-// returns false if there is a live one already.
+// register adds a link. It replaces a link to the same daemon that is silent or of
+// an older incarnation, and returns false if there is another link to the daemon.
 func (n *Node) register(l *link) bool {
 	n.mu.Lock()
 	old := n.links[l.peer.Name]
@@ -116,8 +117,9 @@
 	return true
 }
 
-// unregister removes a link that ended and marks its daemon as suspect. A daemon
-// that is alive refutes this within one round trip.
+// unregister removes a link that ended and, unless another link has replaced it,
+// marks its daemon as suspect. A daemon that is alive refutes this within one round
+// trip.
 func (n *Node) unregister(l *link, err error) {
 	n.mu.Lock()
 	current := n.links[l.peer.Name] == l
@@ -228,7 +230,7 @@
 	}
 	from := l.peer.Name
 	if refuted {
-		from = "" // a refutation also goes back to the peer that sent the suspicion
+		from = "" // a refutation is also sent to the peer that sent the suspicion
 	}
 	n.broadcastMember(update, from)
 }
@@ -291,29 +293,29 @@
 // mismatchThreshold heartbeats, which leaves time for updates in transit. An
 // empty catalog requests it at once.
 func (n *Node) compareMarks(l *link, b *Heartbeat, now time.Time) {
-	mine := n.catalog.Mark()
+	own := n.catalog.Mark()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if b.Mark == mine {
+	if b.Mark == own {
 		n.mismatches[l.peer.Name] = 0
 		return
 	}
 	n.mismatches[l.peer.Name]++
-	empty := mine.Revision == 0
+	empty := own.Revision == 0
 	due := n.mismatches[l.peer.Name] >= mismatchThreshold && now.Sub(n.configRequestedAt) >= configRequestInterval
-	if b.Mark.Revision < mine.Revision || !due && !empty {
+	if b.Mark.Revision < own.Revision || !due && !empty {
 		return
 	}
 	n.configRequestedAt = now
-	data, err := encode(&Frame{Want: &ConfigRequest{Mark: mine}})
+	data, err := encode(&Frame{Want: &ConfigRequest{Mark: own}})
 	if err == nil {
 		l.send(data)
 	}
 }
 
-// sendMissing sends the objects that a peer lacks: the changes above its
-// revision, or a snapshot if it has no configuration, or if the changes number
-// none or more than maxDelta.
+// sendMissing sends the objects that a peer lacks: the changes above its revision,
+// or a snapshot if the peer has no configuration, or if there are no changes or more
+// than maxDelta.
 func (n *Node) sendMissing(l *link, w *ConfigRequest) {
 	objects := n.catalog.Since(w.Mark.Revision)
 	if w.Mark.Revision > 0 && len(objects) > 0 && len(objects) <= maxDelta {
--- a/peer/member.go
+++ b/peer/member.go
@@ -76,9 +76,9 @@
 	return t.self
 }
 
-// Apply applies an update and returns the one to forward: the update itself if
-// it changes the table, or a refutation if it wrongly states that this daemon is
-// leaving, suspect or dead.
+// Apply applies an update and returns the update to forward, and whether there is
+// one: the update itself if it changes the table, or a refutation if it wrongly
+// states that this daemon is leaving, suspect or dead.
 func (t *Members) Apply(update Member, now time.Time) (forward Member, changed bool) {
 	if update.Name == t.self.Name {
 		return t.refute(update)
@@ -107,7 +107,7 @@
 }
 
 // MarkSuspect marks a daemon as suspect and returns the update. It returns false if
-// the daemon is unknown, suspect or dead.
+// the daemon is unknown or already suspect or dead.
 func (t *Members) MarkSuspect(name string, now time.Time) (Member, bool) {
 	r := t.others[name]
 	if r == nil || r.State >= Suspect {
@@ -118,9 +118,9 @@
 	return t.Apply(update, now)
 }
 
-// Tick marks daemons that have been suspect for suspectTimeout as dead and
-// removes those that have been dead for deadRetention. It returns the daemons
-// newly marked as dead.
+// Tick marks daemons that have been suspect for suspectTimeout as dead and removes
+// daemons that have been dead for deadRetention. It returns the daemons that it has
+// marked as dead.
 func (t *Members) Tick(now time.Time) []Member {
 	var died []Member
 	for name, r := range t.others {
@@ -174,10 +174,10 @@
 	t.version++
 }
 
-// Version returns a number that each change increments.
+// Version returns a number that every change of the table increments.
 func (t *Members) Version() uint64 { return t.version }
 
-// Working returns the daemons that can be assigned roles: those alive or suspect.
+// Working returns the daemons that can be assigned roles: alive and suspect ones.
 // The caller must not modify the slice.
 func (t *Members) Working() []Member {
 	if t.working == nil {
@@ -186,7 +186,7 @@
 	return t.working
 }
 
-// rank orders daemons for a role by rendezvous hashing: daemons with the same
+// rank orders members for a role by rendezvous hashing: daemons that know the same
 // members compute the same order, and few roles move when members change.
 func rank(role string, members []Member) []Member {
 	weight := func(m Member) uint64 { return xxhash.Sum64String(role + "\x00" + m.Name) }
@@ -202,7 +202,7 @@
 
 // isAssigned reports whether a daemon is among the first n ranked for a role.
 func isAssigned(name, role string, members []Member, n int) bool {
-	mine := xxhash.Sum64String(role + "\x00" + name)
+	own := xxhash.Sum64String(role + "\x00" + name)
 	before := 0
 	found := false
 	for i := range members {
@@ -212,7 +212,7 @@
 			continue
 		}
 		w := xxhash.Sum64String(role + "\x00" + other)
-		if w > mine || w == mine && other < name {
+		if w > own || w == own && other < name {
 			before++
 		}
 	}
--- a/peer/member_test.go
+++ b/peer/member_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Updates in any order and repeated lead every daemon to the same table.
+// Updates in any order, and repeated ones, lead to the same table on every daemon.
 func TestUpdatesCommute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var updates []Member
@@ -36,9 +36,9 @@
 
 func TestRefutation(t *testing.T) {
 	m := NewMembers(Member{Name: "x", Incarnation: 5}, time.Second, time.Hour)
-	pass, changed := m.Apply(Member{Name: "x", Incarnation: 5, State: Dead}, time.Now())
+	refutation, changed := m.Apply(Member{Name: "x", Incarnation: 5, State: Dead}, time.Now())
 	require.True(t, changed)
-	require.Equal(t, Member{Name: "x", Incarnation: 6}, pass)
+	require.Equal(t, Member{Name: "x", Incarnation: 6}, refutation)
 	_, changed = m.Apply(Member{Name: "x", Incarnation: 5, State: Dead}, time.Now())
 	require.False(t, changed)
 }
@@ -88,21 +88,21 @@
 	}
 }
 
-// A daemon that knows no other but has seeds is not the only holder of a share, and a dead
-// daemon keeps its share for shareRetention.
+// A daemon that has seeds but knows no other daemon counts its seeds as holders of shares.
+// A dead daemon keeps its share for shareRetention.
 func TestShareHolders(t *testing.T) {
 	self := Member{Name: "a", Address: "10.0.0.1:1"}
 	node := func(seeds ...string) *Node {
 		return New(Options{Self: self, Seeds: seeds, Dead: time.Second}, nil, nil, nil, log.NewNopLogger())
 	}
 	now := time.Now()
-	require.Len(t, node().ShareHolders(now), 1, "nowhere to find others")
+	require.Len(t, node().ShareHolders(now), 1, "without seeds there are no others")
 	n := node("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.2:1")
 	require.Empty(t, n.ShareHolders(now), "just started")
 	require.Len(t, n.ShareHolders(now.Add(joinGrace+time.Second)), 3, "itself and two that it cannot reach")
 
 	n.members.Apply(Member{Name: "b", Address: "10.0.0.2:1"}, now)
-	require.Len(t, n.ShareHolders(now), 2, "as the members state")
+	require.Len(t, n.ShareHolders(now), 2, "the known members")
 	n.members.Apply(Member{Name: "b", Address: "10.0.0.2:1", State: Dead}, now)
 	require.Len(t, n.ShareHolders(now.Add(shareRetention-time.Second)), 2)
 	require.Len(t, n.ShareHolders(now.Add(shareRetention)), 3, "itself and two that it cannot reach")
--- a/peer/node.go
+++ b/peer/node.go
@@ -27,7 +27,7 @@
 	Suspect   time.Duration // time without contact until a daemon is suspect
 	Dead      time.Duration // time without contact until a daemon is dead
 	Degree    int           // number of links that a daemon opens
-	Watchers  int           // number of daemons of a failure domain that watch the store
+	Watchers  int           // number of daemons in a failure domain that follow the store
 	Token     string        // shared by the fleet
 	Scheme    string        // "http" or "https"
 }
@@ -68,7 +68,7 @@
 	ownedAt           uint64                   // membership version for which owned is valid
 	changed           chan struct{}
 	vms               VMList     // newest list
-	polled            []store.VM // the list that this daemon last read
+	polled            []store.VM // the list that this daemon itself read last
 	onVMs             func([]store.VM)
 	quotas            *quotas
 }
@@ -79,12 +79,12 @@
 // Intervals and timeouts.
 const (
 	deadMemberRetention   = time.Hour       // time until a dead daemon is removed
-	joinGrace             = 2 * time.Second // time that a starting daemon waits for others
+	joinGrace             = 2 * time.Second // time that a starting daemon waits for other daemons
 	configRequestInterval = 2 * time.Second // minimum time between two requests for configuration
 	mismatchThreshold     = 3               // heartbeats with a different mark before configuration is requested
 	dialTimeout           = 2 * time.Second
 	writeTimeout          = 5 * time.Second
-	isolationTimeout      = 10 * time.Second // time without links until the store is followed directly
+	isolationTimeout      = 10 * time.Second // time without links until a daemon follows the store itself
 )
 
 // New returns a node. Run starts it.
@@ -159,13 +159,13 @@
 }
 
 // probeInterval is the mean number of heartbeats between two probes of seeds and
-// dead daemons, which rejoin the fleet after a partition.
+// dead daemons. Probes rejoin the parts of a fleet after a partition.
 const probeInterval = 8
 
 type dialTarget struct{ name, address string }
 
-// probeTargets returns a random seed that is no live member and a random suspect
-// or dead daemon, if any. The caller holds n.mu.
+// probeTargets returns a random seed that is not a live member, and a random suspect
+// or dead daemon, as far as there are any. The caller holds n.mu.
 func (n *Node) probeTargets() []dialTarget {
 	var out []dialTarget
 	known := map[string]bool{n.opts.Self.Address: true}
@@ -229,8 +229,8 @@
 	}
 }
 
-// broadcastMember announces a change of a member locally and on all links except
-// that of the daemon it came from.
+// broadcastMember notifies this daemon of a change of a member and sends the change
+// on all links except the link of the daemon that it came from.
 func (n *Node) broadcastMember(m Member, from string) {
 	n.mu.Lock()
 	n.notify()
@@ -252,7 +252,8 @@
 	return n.changed
 }
 
-// broadcast sends a frame on all links except that of the daemon it came from.
+// broadcast sends a frame on all links except the link of the daemon that it came
+// from.
 func (n *Node) broadcast(f *Frame, from string) {
 	n.mu.Lock()
 	links := make([]*link, 0, len(n.links))
@@ -285,7 +286,7 @@
 	}
 }
 
-// Leave announces that this daemon stops, so that its roles are reassigned at
+// Leave announces that this daemon is stopping, so that its roles are reassigned at
 // once.
 func (n *Node) Leave() {
 	n.mu.Lock()
--- a/peer/quota.go
+++ b/peer/quota.go
@@ -101,7 +101,7 @@
 	return out
 }
 
-// ServeQuotas adds the handler that answers reported demands with grants.
+// ServeQuotas adds the handler that answers reported demands with grants to mux.
 func (n *Node) ServeQuotas(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+PathQuota, func(w http.ResponseWriter, r *http.Request) {
 		var in quotaReport
--- a/peer/roles.go
+++ b/peer/roles.go
@@ -23,11 +23,12 @@
 	return n.members.All()
 }
 
-// ShareHolders returns every daemon that may hold a share of state that the fleet divides among
-// its daemons: all known ones except those dead for shareRetention. An unreachable daemon
-// keeps using its share on its side of a partition. A daemon that knows no other, because it
-// has just started or has been isolated since then, must not assume that it is the only one:
-// ShareHolders returns none until joinGrace has passed, then itself and one member for each seed.
+// ShareHolders returns every daemon that may hold a share of something that the fleet
+// divides among its daemons: all known daemons except those dead for shareRetention. An
+// unreachable daemon keeps using its share on its side of a partition. A daemon that knows
+// no other daemon must not assume that it is alone, because it may have just started or
+// may be isolated. In that case ShareHolders returns none until joinGrace has passed, and
+// then this daemon and one member for each seed.
 func (n *Node) ShareHolders(now time.Time) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,8 +49,8 @@
 	return all
 }
 
-// shareRetention is how long a dead daemon keeps its share: partitions between regions last
-// for minutes.
+// shareRetention is how long a dead daemon keeps its share. It exceeds the length of
+// partitions between regions, which last for minutes.
 const shareRetention = 10 * time.Minute
 
 // Owns reports whether this daemon reads the status of a backend server.
@@ -68,7 +69,7 @@
 	return owns
 }
 
-// Writer returns the preferred writer of a shard of claims, or "" if no daemon can take it.
+// Writer returns the preferred writer of a shard of claims, or "" if there is none.
 func (n *Node) Writer(shard int) string {
 	r := rank(fmt.Sprint("claims ", shard), n.working())
 	if len(r) == 0 {
@@ -86,8 +87,9 @@
 	return m.Address, ok && m.State != Dead
 }
 
-// ShouldFollow reports whether this daemon should follow the store itself: it is
-// one of its failure domain's watchers, or it has been isolated for isolationTimeout.
+// ShouldFollow reports whether this daemon should follow the store itself: either it
+// is one of the watchers of its failure domain, or it has been isolated for
+// isolationTimeout. A daemon with seeds does not follow within joinGrace of its start.
 func (n *Node) ShouldFollow() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/peer/rpc.go
+++ b/peer/rpc.go
@@ -12,7 +12,7 @@
 	"github.com/snowspoke/snowspoke/claims"
 )
 
-// Paths of the calls on claims.
+// Paths of the calls about claims.
 const (
 	PathPropose = "/peer/v1/claims/propose"
 	PathAnswer  = "/peer/v1/claims/answer"
@@ -37,7 +37,8 @@
 var errUnknownPeer = errors.New("peer: no such daemon")
 
 // call posts a CBOR body to another daemon and decodes its response. Links carry
-// only one-way updates; requests are HTTP calls to the daemon itself.
+// only one-way updates, so requests are HTTP calls to the other daemon. call returns
+// errUnknownPeer for a daemon that is unknown or dead.
 func (n *Node) call(ctx context.Context, daemon, path string, in, out any) error {
 	address, ok := n.Address(daemon)
 	if !ok {
@@ -72,9 +73,9 @@
 
 // Propose implements claims.Peers.
 func (n *Node) Propose(ctx context.Context, daemon string, r claims.Record) (claims.Result, error) {
-	var v claims.Result
-	err := n.call(ctx, daemon, PathPropose, r, &v)
-	return v, err
+	var result claims.Result
+	err := n.call(ctx, daemon, PathPropose, r, &result)
+	return result, err
 }
 
 // Answer implements claims.Peers.
@@ -89,32 +90,32 @@
 	return a.Answer, nil
 }
 
-// ClaimServer serves the calls of other daemons on claims.
+// ClaimServer serves the calls of other daemons about claims.
 type ClaimServer interface {
 	Serve(ctx context.Context, r claims.Record) (claims.Result, error)
 	ServeAnswer(ctx context.Context, k claims.KeyHash, requestID string) (*claims.Answer, error)
 }
 
-// ServeClaims adds the handlers for calls on claims.
-func (n *Node) ServeClaims(mux *http.ServeMux, b ClaimServer) {
+// ServeClaims adds the handlers for calls about claims to mux.
+func (n *Node) ServeClaims(mux *http.ServeMux, server ClaimServer) {
 	mux.HandleFunc("POST "+PathPropose, func(w http.ResponseWriter, r *http.Request) {
 		var in claims.Record
 		if !n.readCall(w, r, &in) {
 			return
 		}
-		v, err := b.Serve(r.Context(), in)
+		result, err := server.Serve(r.Context(), in)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		n.writeCall(w, v)
+		n.writeCall(w, result)
 	})
 	mux.HandleFunc("POST "+PathAnswer, func(w http.ResponseWriter, r *http.Request) {
 		var in answerRequest
 		if !n.readCall(w, r, &in) {
 			return
 		}
-		a, err := b.ServeAnswer(r.Context(), in.Key, in.RequestID)
+		a, err := server.ServeAnswer(r.Context(), in.Key, in.RequestID)
 		out := answerResponse{Answer: a}
 		if err != nil {
 			e := apierror.From(err)
--- a/peer/vms.go
+++ b/peer/vms.go
@@ -10,9 +10,9 @@
 // OnVMs sets the callback for newer VM lists. It must be called before Run.
 func (n *Node) OnVMs(fn func([]store.VM)) { n.onVMs = fn }
 
-// PublishVMs takes a VM list that this daemon read, and applies and broadcasts it
-// if it differs from the one that this daemon read before. A list that differs
-// only from those of other daemons may be older than theirs and is ignored.
+// PublishVMs applies and broadcasts a VM list that this daemon read, if it differs
+// from the list that this daemon read before. A list that differs only from the
+// lists of other daemons is ignored, because it may be older than theirs.
 func (n *Node) PublishVMs(vms []store.VM) {
 	n.mu.Lock()
 	same := n.polled != nil && slices.Equal(n.polled, vms)
@@ -23,7 +23,7 @@
 	}
 }
 
-// applyVMs applies a list if it is newer, and forwards it.
+// applyVMs applies and forwards a list if it is newer than the known one.
 func (n *Node) applyVMs(l VMList, from string) {
 	n.mu.Lock()
 	newer := l.ReadAt > n.vms.ReadAt
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -14,7 +14,7 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Frame is a message on a link. Empty fields are omitted.
+// Frame is a message on a link. Fields that are not set are not sent.
 type Frame struct {
 	Hello    *Hello           `cbor:"1,keyasint,omitempty"`
 	Beat     *Heartbeat       `cbor:"2,keyasint,omitempty"`
@@ -37,14 +37,15 @@
 	Self Member `cbor:"1,keyasint"`
 }
 
-// Heartbeat is a heartbeat.
+// Heartbeat is sent on every link at the heartbeat interval. It carries the mark of
+// the sender's catalog.
 type Heartbeat struct {
 	Mark catalog.Mark `cbor:"1,keyasint"`
 }
 
 // ConfigRequest requests the configuration that the sender lacks.
 type ConfigRequest struct {
-	Mark catalog.Mark `cbor:"1,keyasint"` // of the sender
+	Mark catalog.Mark `cbor:"1,keyasint"` // of the sender's catalog
 }
 
 // Size limits of received frames and decompressed snapshots.
@@ -70,7 +71,7 @@
 	return data, nil
 }
 
-// decodeFrame decodes a frame.
+// decodeFrame decodes a frame within the limits of decMode.
 func decodeFrame(data []byte) (*Frame, error) {
 	var f Frame
 	if err := decMode.Unmarshal(data, &f); err != nil {
