--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,6 +1,6 @@
 // Package catalog holds the configuration in force. It accepts objects from any
-// source, in any order, repeated or stale, and only moves an object to a newer
-// version. An invalid version leaves the last valid one in force.
+// source, in any order, repeated or stale, and replaces an object only by a newer
+// version. If the newest version is invalid, the last valid one stays in force.
 package catalog
 
 import (
@@ -30,7 +30,7 @@
 }
 
 // Accepted reports whether the newest version seen is in force.
-func (v *Result) Accepted() bool { return v.Rejected == "" }
+func (r *Result) Accepted() bool { return r.Rejected == "" }
 
 // record is the state of one object.
 type record struct {
@@ -42,7 +42,7 @@
 // Mark summarizes a catalog: two catalogs with equal marks hold the same versions.
 type Mark struct {
 	Revision store.Position // highest version seen
-	Digest   uint64         // of the newest versions of all objects that are not deleted
+	Digest   uint64         // over the newest versions of all objects that are not deleted
 }
 
 // Catalog holds the newest version of each object. It is safe for concurrent use;
@@ -128,14 +128,14 @@
 	c.mark.Digest ^= digest(&o)
 	c.mark.Revision = max(c.mark.Revision, o.Version)
 	// A lower version in force would revert accepted configuration. A violation is
-	// a bug in this package; it is reported and the object is left as it is.
+	// a bug in this package; it is reported, and the new state is kept.
 	_ = invariant.Check(r.result.InForce >= before, invariant.ConfigMonotonic,
 		"%s %s went from version %d to %d", o.Kind, o.Name, before, r.result.InForce)
 	return r
 }
 
-// evaluate parses the newest version and updates what is in force. It depends on
-// the object alone, so all daemons come to the same result.
+// evaluate parses the newest version and, if it is valid, puts it in force. The
+// result depends on the object alone, so it is the same on all daemons.
 func (r *record) evaluate(kind topology.Kind) {
 	r.result.Seen = r.newest.Version
 	if r.newest.Deleted {
@@ -156,9 +156,9 @@
 	r.result.Rejected = ""
 }
 
-// digest returns an object's contribution to the mark's digest. It is 0 for a
-// deleted object, so that the mark does not depend on when and how a daemon
-// received the deletion.
+// digest returns an object's contribution to the digest of the mark. It is 0 for a
+// deleted object, so that the digest does not depend on how a daemon received the
+// deletion.
 func digest(o *store.Object) uint64 {
 	if o.Deleted {
 		return 0
@@ -240,7 +240,7 @@
 	return out
 }
 
-// Result returns the result of an object.
+// Result returns the result for an object, and whether the object is known.
 func (c *Catalog) Result(kind, name string) (Result, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -271,8 +271,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]store.Object, 0, len(results))
-	for _, v := range results {
-		if r := c.records[store.ID{Kind: v.Kind, Name: v.Name}]; r != nil {
+	for _, res := range results {
+		if r := c.records[store.ID{Kind: res.Kind, Name: res.Name}]; r != nil {
 			out = append(out, r.newest)
 		}
 	}
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -34,10 +34,10 @@
 		inForce := map[string]store.Position{}
 		for _, o := range shuffled {
 			one.Apply(o)
-			v, ok := one.Result(o.Kind, o.Name)
+			result, ok := one.Result(o.Kind, o.Name)
 			require.True(t, ok)
-			require.GreaterOrEqual(t, v.InForce, inForce[o.Name])
-			inForce[o.Name] = v.InForce
+			require.GreaterOrEqual(t, result.InForce, inForce[o.Name])
+			inForce[o.Name] = result.InForce
 		}
 		two.Apply(history...)
 		require.Equal(t, two.Mark(), one.Mark())
--- a/catalog/follower.go
+++ b/catalog/follower.go
@@ -24,15 +24,15 @@
 	publish func([]store.Object) // receives the objects that were newer; may be nil
 }
 
-// Bounds of the interval between retries. The intervals are jittered, so that a
-// fleet does not overload a store that recovers.
+// Bounds of the interval between retries. Intervals are jittered, so that the fleet
+// does not overload a store that has just recovered.
 const (
 	minRetryInterval = 100 * time.Millisecond
 	maxRetryInterval = 10 * time.Second
 )
 
-// NewFollower returns a follower. Run starts it. Objects that were newer are
-// passed to publish, which may be nil.
+// NewFollower returns a follower; Run must be called. Objects that were newer than
+// the known ones are passed to publish, which may be nil.
 func NewFollower(c *Catalog, store store.Store, resync time.Duration, publish func([]store.Object), logger log.Logger) *Follower {
 	return &Follower{catalog: c, store: store, resync: resync, publish: publish, logger: logger}
 }
@@ -107,8 +107,8 @@
 	}
 }
 
-// read lists and applies every kind. It returns the lowest revision read, from
-// which a watch misses no change.
+// read lists and applies every kind. It returns the lowest revision of these reads;
+// a watch from there misses no change.
 func (f *Follower) read(ctx context.Context) (store.Position, error) {
 	var since store.Position
 	for i, kind := range topology.ConfigKinds {
@@ -129,12 +129,12 @@
 	if f.publish != nil && len(results) > 0 {
 		f.publish(f.catalog.Newest(results))
 	}
-	for _, v := range results {
-		if v.Accepted() {
-			_ = level.Debug(f.logger).Log("msg", "object in force", "kind", v.Kind, "name", v.Name, "version", v.InForce, "deleted", v.Deleted)
+	for _, r := range results {
+		if r.Accepted() {
+			_ = level.Debug(f.logger).Log("msg", "object in force", "kind", r.Kind, "name", r.Name, "version", r.InForce, "deleted", r.Deleted)
 			continue
 		}
-		_ = level.Warn(f.logger).Log("msg", "object rejected", "kind", v.Kind, "name", v.Name,
-			"version", v.Seen, "in_force", v.InForce, "err", v.Rejected)
+		_ = level.Warn(f.logger).Log("msg", "object rejected", "kind", r.Kind, "name", r.Name,
+			"version", r.Seen, "in_force", r.InForce, "err", r.Rejected)
 	}
 }
--- a/catalog/list.go
+++ b/catalog/list.go
@@ -5,22 +5,22 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// behindThreshold is the number of consecutive full reads with a revision below
-// one seen before after which the store is considered restored from an older copy.
-// A single such read may come from a lagging replica.
+// behindThreshold is the number of consecutive full reads with a lower revision than
+// an earlier read after which the store is considered restored from an older copy. A
+// single such read may come from a lagging replica.
 const behindThreshold = 2
 
 // listState tracks the revisions of full reads of the store.
 type listState struct {
 	highest    map[string]store.Position // highest revision, by kind
-	lowerReads map[string]int            // consecutive reads below it, by kind
-	behind     bool
+	lowerReads map[string]int            // consecutive reads with a lower revision, by kind
+	behind     bool                      // the store appears to be restored; never reset
 }
 
-// ApplyList applies a full read of one kind. An object that the read lacks is
-// deleted if the read is newer than the object and the store is not behind: a
-// store restored from an older copy lacks accepted objects that were never
-// deleted, and accepted configuration must not revert.
+// ApplyList applies a full read of one kind and returns the results of the objects
+// that were newer. An object that the read lacks is deleted if the read is newer than
+// the object and the store is not behind. A store restored from an older copy lacks
+// objects that were accepted and never deleted, and these must stay in force.
 func (c *Catalog) ApplyList(kind topology.Kind, objects []store.Object, revision store.Position) []Result {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,7 +48,7 @@
 }
 
 // tombstones returns tombstones for the objects that a full read lacks. Their
-// version is the revision of the read, which no later version can be below.
+// version is the revision of the read; no later version is lower.
 func (c *Catalog) tombstones(kind string, objects []store.Object, revision store.Position) []store.Object {
 	present := make(map[string]bool, len(objects))
 	for _, o := range objects {
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,8 +1,8 @@
 // Package fleet holds the current state of the backend servers: their reported
 // holdings, whether they are leaving, their health and their load. Their
-// configuration comes from package catalog. Hot counters are atomic; structural
-// changes increment a version, by which routing detects that its plans are out
-// of date.
+// configuration comes from package catalog. Counters that requests update are
+// atomic. Structural changes increment a version, which tells routing that its
+// plans are out of date.
 package fleet
 
 import (
@@ -25,8 +25,8 @@
 // out of date.
 const capacityChange = 0.1
 
-// reported is the latest report of an engine, ordered by boot and sequence
-// number.
+// reported is the latest report of an engine. Reports are ordered by boot and
+// sequence number.
 type reported struct {
 	boot, seq uint64
 	holdings  []backend.Holding
@@ -115,9 +115,9 @@
 	return s
 }
 
-// ApplyStatus applies an engine's report and returns whether it is newer than
-// the current one, by the engine's boot and sequence numbers. Of a report that
-// is not newer, only load and capacity are used.
+// ApplyStatus applies an engine's report and returns whether it is newer than the
+// current one, by the engine's boot and sequence numbers. If it is not newer, only
+// its load and capacity are used.
 func (t *Table) ApplyStatus(st backend.Status, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -233,7 +233,8 @@
 	return t.trackedLinks[linkKey{from, to}]
 }
 
-// SetLinkFactor sets the fraction of its capacity that a link has now.
+// SetLinkFactor sets the fraction of its capacity that a link has now. A factor of 1
+// or more removes the limitation.
 func (t *Table) SetLinkFactor(from, to string, factor float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -323,7 +324,7 @@
 	return t.reported[server].fencing
 }
 
-// publish builds and publishes a new view. The caller holds the lock. Usable
+// publish builds and publishes a new view. The caller holds t.mu. Usable
 // flags are set before the view is published, so that a plan built from the
 // view never observes an older flag.
 func (t *Table) publish() {
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// loadHalfLife is the age at which a load report counts half.
+// loadHalfLife is the age at which a load report counts for half.
 const loadHalfLife = 2 * time.Second
 
 // Server is the live state of one backend server.
@@ -28,15 +28,15 @@
 // InFlight returns the requests that this daemon has on the link.
 func (l *Link) InFlight() int64 { return l.inFlight.Load() }
 
-// Acquire counts a request of this daemon in; Release counts it out.
+// Acquire adds a request of this daemon to the requests in flight.
 func (l *Link) Acquire() { l.inFlight.Add(1) }
 
-// Release ends what Acquire began.
+// Release removes a request that Acquire added.
 func (l *Link) Release() { l.inFlight.Add(-1) }
 
 // loadReport is the part of a load report that routing uses.
 type loadReport struct {
-	others float64 // requests in flight of the other daemons at that time
+	others float64 // requests in flight of the other daemons at time at
 	at     time.Time
 }
 
@@ -46,19 +46,19 @@
 // InFlight returns the requests that this daemon has on the backend server.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// Acquire counts a request of this daemon in; Release counts it out.
+// Acquire adds a request of this daemon to the requests in flight.
 func (s *Server) Acquire() { s.inFlight.Add(1) }
 
-// Release ends what Acquire began.
+// Release removes a request that Acquire added.
 func (s *Server) Release() { s.inFlight.Add(-1) }
 
 // Usable reports whether new work may go to the backend server.
 func (s *Server) Usable() bool { return s.usable.Load() }
 
-// SetLimit sets this daemon's concurrency limit for the backend server.
+// SetLimit sets this daemon's limit of requests in flight on the backend server.
 func (s *Server) SetLimit(n int64) { s.limit.Store(n) }
 
-// Limit returns the concurrency limit of this daemon, 0 if none is set.
+// Limit returns the limit that SetLimit set, 0 if none is set.
 func (s *Server) Limit() int64 { return s.limit.Load() }
 
 // Full reports whether this daemon's limit for the backend server is reached.
@@ -81,8 +81,8 @@
 	s.report.Store(&loadReport{others: others, at: at})
 }
 
-// Load returns the expected number of requests in flight: the exact count of
-// this daemon's own, plus those of others as last reported, discounted by age.
+// Load returns the expected number of requests in flight: the exact count of this
+// daemon, plus the last reported count of the other daemons, discounted by its age.
 func (s *Server) Load(now time.Time) float64 {
 	own := float64(s.inFlight.Load())
 	r := s.report.Load()
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -11,7 +11,7 @@
 	Live     *Server
 	Holdings []backend.Holding
 	Role     backend.Role
-	Usable   bool
+	Usable   bool    // whether new work may go to the backend server
 	Capacity float64 // tokens per second: measured if known, else declared
 }
 
@@ -27,9 +27,9 @@
 // AnyServer matches all backend servers at one end of a link.
 const AnyServer = ""
 
-// LinkFactor returns the fraction of its capacity that a link has now, in
-// (0,1]: the minimum of its own factor, that of its sender's links and that of
-// its receiver's links.
+// LinkFactor returns the fraction of its capacity that a link has now, in (0,1]. It
+// is the minimum of the link's own factor, the factor of all links of its sender and
+// the factor of all links of its receiver.
 func (v *View) LinkFactor(from, to string) float64 {
 	factor := 1.0
 	for _, k := range [...]linkKey{{from, to}, {from, AnyServer}, {AnyServer, to}} {
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -92,11 +92,11 @@
 }
 
 // StoreEra records the era of the platform's store, which increases by one each
-// time that the store is restored from an older copy.
+// time the store is restored from an older copy.
 func (m *Metrics) StoreEra(era uint64) { m.scope.Gauge("store_era").Update(float64(era)) }
 
-// ServerEnded counts backend servers that ended while they may have been running
-// a request, once for each request.
+// ServerEnded counts requests whose backend server ended while it may have been
+// running them.
 func (m *Metrics) ServerEnded() { m.scope.Counter("ended_under_requests_total").Inc(1) }
 
 // Quarantined counts requests that were quarantined because backend servers had
