--- a/control/controller.go
+++ b/control/controller.go
@@ -30,25 +30,25 @@
 
 // Options configures a Controller.
 type Options struct {
-	Period       time.Duration // between two rounds of decisions
-	LeaseTTL     time.Duration
-	OrderTimeout time.Duration // for one order to an engine
-	Budget       int64         // bytes in transit from the weight store at once
-	OrderExpiry  time.Duration // after which an order without effect is decided again
+	Period       time.Duration // time between two rounds of decisions
+	LeaseTTL     time.Duration // time to live of the placement lease
+	OrderTimeout time.Duration // timeout of one order to an engine
+	Budget       int64         // see placement.Input
+	OrderExpiry  time.Duration // time after which an order without effect is dropped
 }
 
-// Dependencies are the dependencies of a Controller.
+// Dependencies are the components that a Controller uses.
 type Dependencies struct {
 	Lease   Lease
 	Store   store.Store
 	Engine  backend.Engine
 	Config  func() *topology.Snapshot
 	Table   *fleet.Table
-	Demand  func() map[string]float64
+	Demand  func() map[string]float64 // see placement.Input
 	Log     *decision.Log
 	Logger  log.Logger
 	Clock   func() time.Time
-	OnOrder func(placement.Order) // called after each order is sent; may be nil
+	OnOrder func(placement.Order) // called after each order was sent; may be nil
 }
 
 // Controller decides on placement and sends orders while it holds the lease.
@@ -72,9 +72,9 @@
 	Order   placement.Order `json:"order"`
 }
 
-// New returns a controller; call Run to start it.
-func New(o Options, p Dependencies) *Controller {
-	return &Controller{opts: o, Dependencies: p, pending: map[string]*pending{}}
+// New returns a controller; Run must be called.
+func New(o Options, d Dependencies) *Controller {
+	return &Controller{opts: o, Dependencies: d, pending: map[string]*pending{}}
 }
 
 // Run makes a round of decisions every period until ctx ends.
@@ -111,7 +111,8 @@
 	}
 }
 
-// takeOver loads the pending orders of the previous lease holder.
+// takeOver loads the stored orders of previous lease holders as pending. It returns
+// false if the store cannot be read.
 func (c *Controller) takeOver(ctx context.Context, fencing uint64) bool {
 	objects, _, err := c.Store.List(ctx, string(topology.KindOrder))
 	if err != nil {
@@ -129,9 +130,9 @@
 	return true
 }
 
-// removeFinished deletes the orders whose effect the engines report, and those
-// that have had no effect within OrderExpiry. The latter are decided again if
-// still needed.
+// removeFinished deletes the orders whose effect the engines report, and the orders
+// that have had no effect within OrderExpiry. The next decision orders a change again
+// if it is still needed.
 func (c *Controller) removeFinished(ctx context.Context) {
 	for key, p := range c.pending {
 		done := c.hasEffect(p.order)
@@ -162,9 +163,9 @@
 	return fmt.Sprintf("order-%016x", xxhash.Sum64String(o.Key()))
 }
 
-// issue stores and sends one order. After a crash between the two, the next
-// holder counts the stored order as pending and, if it has no effect, decides
-// it again.
+// issue stores and sends one order. If this daemon crashes in between, the next lease
+// holder treats the stored order as pending until it expires, and then orders the
+// change again if it is still needed.
 func (c *Controller) issue(ctx context.Context, o placement.Order) {
 	if c.mustWait(o) {
 		return
--- a/control/controller_test.go
+++ b/control/controller_test.go
@@ -85,58 +85,58 @@
 }
 
 func newFixture(checks bool) *fixture {
-	r := &fixture{store: memstore.New(), engine: &fakeEngine{checks: checks, holding: map[string][]backend.Holding{}}, snap: topology.NewSnapshot(), table: fleet.NewTable()}
+	f := &fixture{store: memstore.New(), engine: &fakeEngine{checks: checks, holding: map[string][]backend.Holding{}}, snap: topology.NewSnapshot(), table: fleet.NewTable()}
 	for _, name := range []string{"a", "b"} {
-		r.snap.BackendServers[name] = &topology.BackendServer{Name: name, Address: name + ":1", FailureDomain: name, MemoryBytes: 100, ChecksFencing: checks}
+		f.snap.BackendServers[name] = &topology.BackendServer{Name: name, Address: name + ":1", FailureDomain: name, MemoryBytes: 100, ChecksFencing: checks}
 	}
-	r.snap.Models["m"] = &topology.Model{Name: "m", Layers: 8, Version: "v1", BytesPerLayer: 1}
+	f.snap.Models["m"] = &topology.Model{Name: "m", Layers: 8, Version: "v1", BytesPerLayer: 1}
 	for lo := 0; lo < 8; lo += 4 {
-		r.snap.Stages["m"] = append(r.snap.Stages["m"], &topology.Stage{Name: "s", Model: "m", Layers: topology.LayerRange{Lo: lo, Hi: lo + 4}, Replicas: 1})
+		f.snap.Stages["m"] = append(f.snap.Stages["m"], &topology.Stage{Name: "s", Model: "m", Layers: topology.LayerRange{Lo: lo, Hi: lo + 4}, Replicas: 1})
 	}
-	r.table.SetConfig(r.snap.BackendServers)
-	r.config.Store(r.snap)
-	return r
+	f.table.SetConfig(f.snap.BackendServers)
+	f.config.Store(f.snap)
+	return f
 }
 
-func (r *fixture) controller(l Lease) *Controller {
+func (f *fixture) controller(l Lease) *Controller {
 	return New(Options{Period: time.Second, LeaseTTL: 3 * time.Second, OrderTimeout: time.Second, OrderExpiry: 30 * time.Second}, Dependencies{
-		Lease: l, Store: r.store, Engine: r.engine, Config: r.config.Load, Table: r.table,
+		Lease: l, Store: f.store, Engine: f.engine, Config: f.config.Load, Table: f.table,
 		Demand: func() map[string]float64 { return nil }, Log: decision.New(log.NewNopLogger(), 10), Logger: log.NewNopLogger(), Clock: time.Now,
 	})
 }
 
 // report applies the engines' holdings to the fleet table.
-func (r *fixture) report() {
-	r.seq++
+func (f *fixture) report() {
+	f.seq++
 	for _, name := range []string{"a", "b"} {
-		r.engine.mu.Lock()
-		st := backend.Status{BackendServer: name, Boot: 1, Seq: r.seq, Holdings: append([]backend.Holding(nil), r.engine.holding[name]...), Fencing: r.engine.highest}
-		r.engine.mu.Unlock()
-		r.table.ApplyStatus(st, time.Now())
+		f.engine.mu.Lock()
+		st := backend.Status{BackendServer: name, Boot: 1, Seq: f.seq, Holdings: append([]backend.Holding(nil), f.engine.holding[name]...), Fencing: f.engine.highest}
+		f.engine.mu.Unlock()
+		f.table.ApplyStatus(st, time.Now())
 	}
 }
 
-func (r *fixture) stored(t *testing.T) int {
-	os, _, err := r.store.List(context.Background(), string(topology.KindOrder))
+func (f *fixture) stored(t *testing.T) int {
+	os, _, err := f.store.List(context.Background(), string(topology.KindOrder))
 	require.NoError(t, err)
 	return len(os)
 }
 
 func TestPendingOrdersAreNotRepeated(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newFixture(true)
-		c := r.controller(&fakeLease{fencing: 1})
+		f := newFixture(true)
+		c := f.controller(&fakeLease{fencing: 1})
 		for range 6 {
 			c.Step(context.Background())
 			time.Sleep(time.Second)
 		}
-		require.Len(t, r.engine.orders, 2, "pending orders are not sent twice")
-		require.Equal(t, 2, r.stored(t))
-		r.report()
+		require.Len(t, f.engine.orders, 2, "pending orders are not sent twice")
+		require.Equal(t, 2, f.stored(t))
+		f.report()
 		c.Step(context.Background())
 		c.Step(context.Background())
-		require.Len(t, r.engine.orders, 2)
-		require.Zero(t, r.stored(t))
+		require.Len(t, f.engine.orders, 2)
+		require.Zero(t, f.stored(t))
 	})
 }
 
@@ -144,18 +144,18 @@
 // be stored before it is sent.
 func TestNoOrdersWithoutLeaseOrStore(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newFixture(true)
+		f := newFixture(true)
 		l := &fakeLease{}
-		c := r.controller(l)
+		c := f.controller(l)
 		c.Step(context.Background())
-		require.Empty(t, r.engine.orders)
+		require.Empty(t, f.engine.orders)
 		l.set(1)
-		r.store.SetFaults(memstore.Faults{Outage: true})
+		f.store.SetFaults(memstore.Faults{Outage: true})
 		c.Step(context.Background())
-		require.Empty(t, r.engine.orders)
-		r.store.SetFaults(memstore.Faults{})
+		require.Empty(t, f.engine.orders)
+		f.store.SetFaults(memstore.Faults{})
 		c.Step(context.Background())
-		require.Len(t, r.engine.orders, 2)
+		require.Len(t, f.engine.orders, 2)
 	})
 }
 
@@ -164,23 +164,23 @@
 // effect.
 func TestPausedHolderIsFenced(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newFixture(true)
+		f := newFixture(true)
 		old, next := &fakeLease{fencing: 1}, &fakeLease{}
-		first, second := r.controller(old), r.controller(next)
-		r.engine.pause = func() {
-			r.engine.pause = nil // the lease moves while the first order is delayed
+		first, second := f.controller(old), f.controller(next)
+		f.engine.pause = func() {
+			f.engine.pause = nil // the lease moves while the first order is delayed
 			next.set(2)
-			r.engine.highest = 2
+			f.engine.highest = 2
 		}
 		first.Step(context.Background())
-		for _, o := range r.engine.orders {
-			require.GreaterOrEqual(t, o.Fencing, uint64(2), "an old order took effect")
+		for _, o := range f.engine.orders {
+			require.GreaterOrEqual(t, o.Fencing, uint64(2), "an order of the previous holder took effect")
 		}
 		old.set(0)
 		second.Step(context.Background())
 		time.Sleep(31 * time.Second)
 		second.Step(context.Background())
-		require.Len(t, r.engine.orders, 2)
+		require.Len(t, f.engine.orders, 2)
 	})
 }
 
@@ -188,34 +188,34 @@
 // the previous lease and any order in flight have expired.
 func TestWaitsWhereFencingIsNotChecked(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newFixture(false)
-		c := r.controller(&fakeLease{fencing: 7})
+		f := newFixture(false)
+		c := f.controller(&fakeLease{fencing: 7})
 		c.Step(context.Background())
 		time.Sleep(3 * time.Second)
 		c.Step(context.Background())
-		require.Empty(t, r.engine.orders)
+		require.Empty(t, f.engine.orders)
 		time.Sleep(time.Second)
 		c.Step(context.Background())
-		require.Len(t, r.engine.orders, 2)
+		require.Len(t, f.engine.orders, 2)
 	})
 }
 
-// A new holder treats the previous holder's orders as pending and sends an
-// order again if it has no effect.
+// A new holder treats the previous holder's orders as pending: it does not send them
+// again and deletes them once the engines report their effect.
 func TestTakeOver(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newFixture(true)
+		f := newFixture(true)
 		old, next := &fakeLease{fencing: 1}, &fakeLease{fencing: 2}
-		r.engine.lose = true
-		r.controller(old).Step(context.Background())
-		require.Len(t, r.engine.orders, 2)
-		second := r.controller(next)
+		f.engine.lose = true
+		f.controller(old).Step(context.Background())
+		require.Len(t, f.engine.orders, 2)
+		second := f.controller(next)
 		second.Step(context.Background())
-		require.Len(t, r.engine.orders, 2)
-		r.report()
+		require.Len(t, f.engine.orders, 2)
+		f.report()
 		second.Step(context.Background())
-		require.Zero(t, r.stored(t))
-		require.Len(t, r.engine.orders, 2)
+		require.Zero(t, f.stored(t))
+		require.Len(t, f.engine.orders, 2)
 	})
 }
 
@@ -226,10 +226,10 @@
 }
 
 // withReplicas returns the fixture's configuration with n replicas per stage.
-func (r *fixture) withReplicas(n int) *topology.Snapshot {
-	s := *r.snap
+func (f *fixture) withReplicas(n int) *topology.Snapshot {
+	s := *f.snap
 	s.Stages = map[string][]*topology.Stage{}
-	for model, stages := range r.snap.Stages {
+	for model, stages := range f.snap.Stages {
 		for _, st := range stages {
 			changed := *st
 			changed.Replicas = n
@@ -260,33 +260,33 @@
 	return s.Store.Put(ctx, kind, name, spec, v)
 }
 
-// After the loss of the lease holder, the next order comes from another daemon
-// within the lease's TTL and two rounds.
+// After the loss of the lease holder, another daemon sends the next order within the
+// lease's TTL and two rounds of decisions.
 func TestNextOrderAfterHolderIsLost(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := newFixture(true)
+		f := newFixture(true)
 		ctx, cancel := context.WithCancel(context.Background())
 		const ttl = 6 * time.Second
 		var stores []*disconnectableStore
 		for i := range 2 {
-			s := &disconnectableStore{Store: r.store}
+			s := &disconnectableStore{Store: f.store}
 			stores = append(stores, s)
 			manager := lease.NewManager(string(topology.KindLease), "placement", fmt.Sprint("d", i), ttl, s, log.NewNopLogger())
-			c := r.controller(manager)
+			c := f.controller(manager)
 			c.Store, c.opts.Period, c.opts.LeaseTTL = s, 2*time.Second, ttl
 			go manager.Run(ctx)
 			go c.Run(ctx)
 			time.Sleep(time.Second)
 		}
 		time.Sleep(10 * time.Second)
-		r.report()
+		f.report()
 		time.Sleep(5 * time.Second)
-		before := r.engine.count()
+		before := f.engine.count()
 		require.Equal(t, 2, before)
 		stores[0].disconnected.Store(true)
-		r.config.Store(r.withReplicas(2))
+		f.config.Store(f.withReplicas(2))
 		start := time.Now()
-		for r.engine.count() == before && time.Since(start) < time.Minute {
+		for f.engine.count() == before && time.Since(start) < time.Minute {
 			time.Sleep(100 * time.Millisecond)
 		}
 		t.Logf("next order after %s", time.Since(start))
--- a/monitor/cache.go
+++ b/monitor/cache.go
@@ -9,8 +9,8 @@
 	"github.com/snowspoke/snowspoke/backend"
 )
 
-// Cache tracks which backend servers hold which prompt prefixes. Its data is
-// late and incomplete; a wrong guess only costs a prefill.
+// Cache tracks which backend servers hold which prompt prefixes. Its data may be late
+// and incomplete: a wrong entry costs no more than a prefill.
 type Cache interface {
 	Sent(key uint64, server string)
 	Evicted(key uint64, server string)
@@ -21,7 +21,7 @@
 const cacheCheckInterval = 5 * time.Second
 
 // followCaches follows the cache events of the backend servers that this daemon
-// owns. For the others, only this daemon's own requests are known.
+// owns. Of the other backend servers' caches, it knows only its own requests.
 func (m *Monitor) followCaches(ctx context.Context) {
 	if m.Cache == nil {
 		return
@@ -53,8 +53,8 @@
 	}
 }
 
-// followCache reads one engine's events until ctx ends, with growing pauses for
-// engines that have none.
+// followCache reads one engine's events until ctx ends. The pauses between attempts
+// grow while the engine sends no events.
 func (m *Monitor) followCache(ctx context.Context, t backend.Target) {
 	pause := backoff.NewExponentialBackOff()
 	pause.MaxInterval = time.Minute
--- a/monitor/hops.go
+++ b/monitor/hops.go
@@ -45,9 +45,9 @@
 	factor float64
 }
 
-// observeLink records the time on one link. All links of a sender, and all of a
-// receiver, are also observed as a group: a slow port is detected on the links
-// that carry traffic before the others have any. The caller holds the lock.
+// observeLink records the time on one link. All links of a sender, and all links of
+// a receiver, are also observed as a group: a slow port is then detected on the links
+// that carry traffic, before the other links carry any. The caller holds m.mu.
 func (m *Monitor) observeLink(l backend.HopLoad, now time.Time) []linkChange {
 	if l.NextHop == "" || l.LinkSeconds <= 0 {
 		return nil
@@ -79,9 +79,9 @@
 	return out
 }
 
-// seedBaseline gives a link that is used for the first time, while another link
-// of its sender is slow, the lowest baseline of the sender's links: its own
-// first times may already be degraded.
+// seedBaseline sets the baseline of a link that is used for the first time while
+// another link of its sender is degraded. It uses the lowest baseline of the sender's
+// links, because the first times of the new link may already be degraded.
 func (m *Monitor) seedBaseline(link *health.Link, k linkKey) {
 	if m.countDegraded(linkKey{k.from, fleet.AnyServer}) == 0 {
 		return
@@ -118,8 +118,8 @@
 	return n
 }
 
-// tickLinks lets links that have been degraded long enough be tried again. The
-// caller holds the lock.
+// tickLinks starts trials of links that have been degraded long enough. The caller
+// holds m.mu.
 func (m *Monitor) tickLinks(now time.Time) {
 	for k, link := range m.links {
 		cfg := m.opts.Link
@@ -144,10 +144,10 @@
 	})
 }
 
-// GapBound returns the longest expected time between two tokens on a route: the
-// sum of the bounds of its hops and links, or the bound of the stream's own
-// gaps if larger, limited to GapFloor and GapCeiling. While both have too few
-// samples it returns GapCeiling.
+// GapBound returns the longest expected time between two tokens on a route. It is the
+// sum of the bounds of the hops and links, or the bound of own, the gaps of the
+// stream itself, if that is larger, and lies between GapFloor and GapCeiling. While
+// the hops and own both have too few samples, it is GapCeiling.
 func (m *Monitor) GapBound(r topology.Route, own *health.Gap) time.Duration {
 	floor, ceil := m.opts.GapFloor, m.opts.GapCeiling
 	bound, known := m.hopBound(r, ceil)
@@ -161,8 +161,8 @@
 	return min(ceil, max(floor, bound))
 }
 
-// hopBound adds up the bounds of a route's hops and links. known is false when
-// a hop has too few samples; the sum then covers the others.
+// hopBound returns the sum of the bounds of a route's hops and links. known is false
+// if a hop has too few samples; the sum then covers the other hops.
 func (m *Monitor) hopBound(r topology.Route, ceil time.Duration) (sum time.Duration, known bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -1,6 +1,6 @@
-// Package monitor updates the live state of the backend servers: it reads their
-// status, takes signals from requests, evaluates both with package health, and
-// stores the results in package fleet.
+// Package monitor updates the live state of the backend servers. It reads their
+// status, receives signals from requests, evaluates both with package health, and
+// stores the results in a fleet.Table.
 package monitor
 
 import (
@@ -19,15 +19,15 @@
 
 // Options configures a Monitor.
 type Options struct {
-	StatusPoll time.Duration
-	GapFloor   time.Duration
-	GapCeiling time.Duration
+	StatusPoll time.Duration // interval between two status reads of a backend server
+	GapFloor   time.Duration // minimum of GapBound
+	GapCeiling time.Duration // maximum of GapBound
 	Health     health.Config
 	Link       health.LinkConfig
 }
 
-// Owner reports which backend servers this daemon polls. The status of the
-// others comes from the daemons that own them.
+// Owner reports which backend servers this daemon polls. The statuses of the other
+// backend servers come from the daemons that own them.
 type Owner interface {
 	Owns(server string) bool
 }
@@ -43,7 +43,7 @@
 	PublishStatus(st backend.Status)
 }
 
-// Dependencies are the dependencies of a Monitor.
+// Dependencies are the components that a Monitor uses.
 type Dependencies struct {
 	Engine    backend.Engine
 	Table     *fleet.Table
@@ -52,7 +52,7 @@
 	Owner     Owner
 	Publisher Publisher // may be nil
 	Cache     Cache     // may be nil
-	Wake      func()    // called after backend servers come into service
+	Wake      func()    // called when a backend server may be able to take more work
 	Clock     func() time.Time
 }
 
@@ -68,24 +68,25 @@
 	hopGaps     map[string]*health.Gap
 	linkGaps    map[linkKey]*health.Gap
 	groupConfig health.LinkConfig
-	polled      bool // every owned backend server was polled once
+	polled      bool // see Polled
 }
 
 type linkKey struct{ from, to string }
 
-// answerTimeout bounds the check whether a backend server responds at all.
+// answerTimeout bounds the check of Silent whether a backend server responds at all.
 const answerTimeout = 150 * time.Millisecond
 
 // probeTimeout bounds a probe of an ejected backend server.
 const probeTimeout = time.Second
 
-// tickInterval is the period of probes, ramps and link trials.
+// tickInterval is the period of the checks for due probes, ramping weights and links
+// to try again.
 const tickInterval = 100 * time.Millisecond
 
-// New returns a monitor; call Run to start it.
-func New(o Options, p Dependencies) *Monitor {
+// New returns a monitor; Run must be called.
+func New(o Options, d Dependencies) *Monitor {
 	m := &Monitor{
-		opts: o, Dependencies: p, links: map[linkKey]*health.Link{}, hopGaps: map[string]*health.Gap{},
+		opts: o, Dependencies: d, links: map[linkKey]*health.Link{}, hopGaps: map[string]*health.Gap{},
 		linkGaps: map[linkKey]*health.Gap{}, groupConfig: health.GroupLinkConfig(),
 	}
 	m.detector = health.NewDetector(o.Health, m.lastCapacity)
@@ -115,8 +116,8 @@
 	}
 }
 
-// pollStatuses polls periodically. Until one poll has found a configuration, it
-// polls on every change of the fleet.
+// pollStatuses polls periodically. Until Polled returns true, it polls on every change
+// of the fleet instead.
 func (m *Monitor) pollStatuses(ctx context.Context) {
 	for !m.Polled() {
 		changed := m.Table.Changed()
@@ -148,8 +149,8 @@
 	m.polled = m.polled || len(m.Table.View().Servers) > 0
 }
 
-// Polled reports whether every backend server that this daemon owns has been
-// polled once. Before that, a lack of routes may be temporary.
+// Polled reports whether the backend servers that this daemon owns have been polled
+// at least once. Before that, a lack of routes may be temporary.
 func (m *Monitor) Polled() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -185,7 +186,7 @@
 	}
 }
 
-// Known returns the reports that this daemon holds, to update other daemons.
+// Known returns the latest reports that this daemon knows, to update other daemons.
 func (m *Monitor) Known() []backend.Status { return m.Table.Reports() }
 
 func describe(st backend.Status) string {
@@ -199,7 +200,7 @@
 	return text
 }
 
-// Signal records an observation of a backend server by a request or a probe.
+// Signal records what a request or a probe observed of a backend server.
 func (m *Monitor) Signal(server string, s health.Signal) {
 	now := m.Clock()
 	m.mu.Lock()
@@ -222,8 +223,8 @@
 	}
 }
 
-// lastCapacity reports whether some layers of the backend server are held by no
-// other one in service. The detector calls it with the monitor's lock held.
+// lastCapacity reports whether the backend server holds layers that no other usable
+// backend server holds. The detector calls it while m.mu is held.
 func (m *Monitor) lastCapacity(server string) bool {
 	view := m.Table.View()
 	var held []backend.Holding
--- a/monitor/monitor_test.go
+++ b/monitor/monitor_test.go
@@ -38,8 +38,8 @@
 	calls atomic.Int64
 }
 
-func (g *lossyCacheEngine) CacheEvents(_ context.Context, _ backend.Target, fn func(backend.CacheEvent)) error {
-	if g.calls.Add(1) == 1 {
+func (e *lossyCacheEngine) CacheEvents(_ context.Context, _ backend.Target, fn func(backend.CacheEvent)) error {
+	if e.calls.Add(1) == 1 {
 		fn(backend.CacheEvent{Seq: 1, Prefix: 7})
 		fn(backend.CacheEvent{Seq: 1, Prefix: 7})
 		fn(backend.CacheEvent{Seq: 9, Prefix: 8})
@@ -50,7 +50,7 @@
 	return execution.ErrLost
 }
 
-// Cache events update the prefix hints in spite of broken streams and gaps.
+// Cache events update the cached prefixes in spite of broken streams and gaps.
 func TestCacheEvents(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		table := fleet.NewTable()
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -19,10 +19,10 @@
 type Input struct {
 	Config  *topology.Snapshot
 	Servers []fleet.Info
-	Pending []Order // ordered, effect not yet reported by the engine
-	Demand  map[string]float64
-	// Budget limits the bytes in transit from the weight store at once. A
-	// single load is always allowed, whatever its size.
+	Pending []Order            // sent, but their effect is not reported yet
+	Demand  map[string]float64 // tokens per second, by model
+	// Budget limits the bytes in transit from the weight store at once; 0 means
+	// no limit. A single load is always allowed, whatever its size.
 	Budget int64
 	// IgnorePending excludes pending loads; used by benchmarks.
 	IgnorePending bool
@@ -38,7 +38,7 @@
 	Reason        string       // why the change is needed and why on this backend server
 }
 
-// Key identifies what an order asks for; orders with equal keys are the same.
+// Key identifies the requested change. Orders with equal keys are the same.
 func (o Order) Key() string {
 	if o.Type == backend.OrderRole {
 		return fmt.Sprintf("%s %s %s", o.BackendServer, o.Type, o.Role)
@@ -85,7 +85,8 @@
 	return ""
 }
 
-// planner works on a model of the fleet that includes its own decisions.
+// planner makes decisions on a copy of the fleet's state that includes the effects of
+// its earlier decisions.
 type planner struct {
 	in      Input
 	hosts   []*host
@@ -94,12 +95,12 @@
 	loading int64 // bytes in transit from the weight store
 }
 
-// host is a backend server with what it holds or is going to hold.
+// host is a backend server with its current and ordered holdings.
 type host struct {
 	info     fleet.Info
 	holdings []holding
-	used     int64
-	ordered  bool // has a pending or new order; at most one at a time
+	used     int64 // bytes
+	ordered  bool  // has a pending or new order; a host has at most one at a time
 }
 
 type holding struct {
@@ -150,10 +151,10 @@
 	return h
 }
 
-// countPending counts pending loads as capacity, so that nothing is ordered
-// twice during a load, which takes minutes. Cluster autoscalers count nodes that
-// are still booting in the same way; see "Writing a Kubernetes Cluster Autoscaler
-// Provider with externalgrpc".
+// countPending counts pending loads as capacity, so that nothing is ordered twice
+// during a load, which takes minutes. Cluster autoscalers count nodes that are still
+// booting in the same way; see "Writing a Kubernetes Cluster Autoscaler Provider with
+// externalgrpc".
 func (p *planner) countPending() {
 	for _, o := range p.in.Pending {
 		i := slices.IndexFunc(p.hosts, func(h *host) bool { return h.info.Config.Name == o.BackendServer })
@@ -188,16 +189,16 @@
 	return h.info.Usable && s.spec.BackendServers.Matches(h.info.Config.Labels)
 }
 
-// holds reports whether a host holds the whole stage in the model's current
-// version.
+// holds reports whether a host holds all layers of a stage in the model's current
+// version. If ready is true, loads that have not ended do not count.
 func (s *stage) holds(h *host, ready bool) bool {
 	return slices.ContainsFunc(h.holdings, func(x holding) bool {
 		return x.Model == s.model.Name && x.Version == s.model.Version && x.Layers.Contains(s.spec.Layers) && (x.ready || !ready)
 	})
 }
 
-// holders returns the hosts that serve a stage: those that are ready or, if
-// ready is false, also those that are still loading it.
+// holders returns the hosts that serve a stage and hold it. If ready is false, hosts
+// that are still loading it count too.
 func (p *planner) holders(s *stage, ready bool) []*host {
 	var out []*host
 	for _, h := range p.hosts {
@@ -208,19 +209,19 @@
 	return out
 }
 
-// addReplicas orders loads until a stage has the wanted number of holders or no
-// more can be ordered now.
-func (p *planner) addReplicas(s *stage, want int, why string) {
+// addReplicas orders loads until a stage has want holders or no more loads can be
+// ordered now.
+func (p *planner) addReplicas(s *stage, want int, reason string) {
 	for len(p.holders(s, false)) < want {
-		if !p.load(s, why) {
+		if !p.load(s, reason) {
 			return
 		}
 	}
 }
 
-// load orders the load of a stage on one more host. It returns false if that is
-// not possible now.
-func (p *planner) load(s *stage, why string) bool {
+// load orders one more host to load a stage. It returns false if that is not possible
+// now.
+func (p *planner) load(s *stage, reason string) bool {
 	bytes := s.model.Weight(s.spec.Layers)
 	if bytes <= 0 {
 		return false // the size of the model is not known
@@ -239,12 +240,12 @@
 	p.loading += bytes
 	p.orders = append(p.orders, Order{
 		BackendServer: h.info.Config.Name, Type: backend.OrderLoad, Holding: x, Bytes: bytes,
-		Reason: fmt.Sprintf("stage %s %s; %s has the fewest holders in its failure domain, then the most capacity", s.spec.Name, why, h.info.Config.Name),
+		Reason: fmt.Sprintf("stage %s %s; %s has the fewest holders in its failure domain, then the most capacity", s.spec.Name, reason, h.info.Config.Name),
 	})
 	return true
 }
 
-// bestHost returns the host that should hold a stage next. It prefers the
+// best returns the host that should hold a stage next. It prefers the
 // failure domain with the fewest holders, then the host with the fewest
 // holdings, then the one with the most capacity.
 func (p *planner) bestHost(s *stage, bytes int64) *host {
@@ -252,17 +253,17 @@
 	for _, h := range p.holders(s, false) {
 		inDomain[h.info.Config.FailureDomain]++
 	}
-	var bestHost *host
+	var best *host
 	for _, h := range p.hosts {
 		free := h.info.Config.MemoryBytes - h.used
 		if h.ordered || !s.serves(h) || s.holds(h, false) || free < bytes {
 			continue
 		}
-		if bestHost == nil || better(h, bestHost, inDomain) {
-			bestHost = h
+		if best == nil || better(h, best, inDomain) {
+			best = h
 		}
 	}
-	return bestHost
+	return best
 }
 
 func better(a, b *host, inDomain map[string]int) bool {
@@ -274,10 +275,9 @@
 	) < 0
 }
 
-// addIdleServers assigns backend servers that hold nothing to the stage that
-// limits a model's throughput, starting with the model that has the least
-// capacity for its demand. Stages with a fixed number of replicas are not
-// changed.
+// addIdleServers assigns backend servers that hold nothing, one after the other, to
+// the stage with the least capacity relative to its demand. Stages with a fixed
+// number of replicas are left out.
 func (p *planner) addIdleServers() {
 	for {
 		s := p.scarcestStage()
@@ -293,8 +293,9 @@
 	})
 }
 
-// scarcestStage returns the stage with the least capacity relative to its
-// demand.
+// scarcestStage returns the stage with the least capacity relative to its demand, of
+// the stages without a fixed number of replicas that an idle host may serve. It
+// returns nil if there is none.
 func (p *planner) scarcestStage() *stage {
 	var scarcest *stage
 	least := 0.0
@@ -334,8 +335,8 @@
 	}
 }
 
-// assignRole orders the configured role for one holder of a stage at a time,
-// and only while another ready holder keeps serving.
+// assignRole orders the configured role for one holder of a stage at a time, and only
+// if the stage has another ready holder.
 func (p *planner) assignRole(s *stage) {
 	want := backend.Role(s.spec.Role)
 	holders := p.holders(s, true)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -23,7 +23,7 @@
 	reportDelay   time.Duration // delay of the engines' reports
 	pending       []Order
 	ordered       []Order
-	peak          int64 // most bytes in transit at once
+	peak          int64 // maximum of the bytes in transit at once
 	ignorePending bool
 	budget        int64
 	demand        map[string]float64
@@ -77,16 +77,16 @@
 			sim.loads[o.BackendServer] = load{o, sim.now, sim.now + time.Duration(o.Bytes/rate)*time.Second}
 		}
 	}
-	moving := int64(0)
+	inTransit := int64(0)
 	for _, l := range sim.loads {
-		moving += l.order.Bytes
+		inTransit += l.order.Bytes
 	}
-	sim.peak = max(sim.peak, moving)
+	sim.peak = max(sim.peak, inTransit)
 	sim.now += time.Second
 	sim.finish()
 }
 
-// adjust applies an order of a role or of adapters at once.
+// adjust applies an order for a role or for adapters at once.
 func (sim *simulation) adjust(o Order) {
 	for i := range sim.servers {
 		s := &sim.servers[i]
@@ -190,7 +190,7 @@
 			}
 		}
 	}
-	require.Zero(t, idle, "idle backend servers are given to the scarcest stage")
+	require.Zero(t, idle, "idle backend servers are assigned to the scarcest stage")
 	require.GreaterOrEqual(t, len(domains), 2)
 	before := len(sim.ordered)
 	for range 60 {
@@ -199,8 +199,8 @@
 	require.Len(t, sim.ordered, before, "a fleet in its target state gets no orders")
 }
 
-// A new version is loaded everywhere before the old one is unloaded: some
-// version is completely held at all times.
+// A new version is loaded for all stages before the old one is unloaded: at all times,
+// all layers of some version are held.
 func TestNewVersionKeepsLayersCovered(t *testing.T) {
 	sim := newSimulation(6, 1)
 	for range 60 {
@@ -314,7 +314,7 @@
 	}
 }
 
-// Idle backend servers are assigned to the model with the most demand for its
+// Idle backend servers are assigned to the model with the most demand relative to its
 // capacity.
 func TestIdleServersFollowDemand(t *testing.T) {
 	holders := func(demand map[string]float64) (m0, m1 int) {
