--- a/claims/registry.go
+++ b/claims/registry.go
@@ -87,8 +87,9 @@
 //
 // Errors are of package apierror: BadKey and KeyExpired for a key that is not
 // valid, KeyReused for a key that was used with another body, InProgress while the
-// first use runs, StoreUnavailable if the key could not be claimed, OutcomeUnknown
-// if the answer of the first use is lost, and the errors of run.
+// first use may still be running, StoreUnavailable if the key could not be claimed or
+// its claim is being released, OutcomeUnknown if the answer of the first use is lost,
+// and the errors of run.
 func (reg *Registry) Once(ctx context.Context, u Use, run func() (*Answer, error)) (*Answer, error) {
 	k, err := ParseKey(u.Workspace, u.Key, reg.opts.Window, reg.now())
 	if err != nil {
