--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -22,7 +22,8 @@
 // the request was sent.
 var errLeaving = fmt.Errorf("%w: backend server is leaving", execution.ErrNotSent)
 
-// errIncomplete reports that the engine ended an answer of which tokens are missing.
+// errIncomplete reports that the engine ended an answer before all of its tokens
+// arrived.
 var errIncomplete = errors.New("dispatch: tokens missing at the end")
 
 // runAttempt runs one attempt along the current route.
@@ -70,8 +71,8 @@
 	return nil
 }
 
-// leavingGrace is how long new work may still be sent to a backend server after it
-// became known that the server is leaving.
+// leavingGrace is how long new work may still be sent to a backend server that is
+// known to be leaving.
 const leavingGrace = 3 * time.Second
 
 // checkNoLeaving asserts, right before the send, that no hop has been leaving for
@@ -80,7 +81,7 @@
 	for _, h := range r.route {
 		d := r.d.table.LeavingFor(h.BackendServer)
 		if err := invariant.Check(d <= leavingGrace, invariant.NoWorkAfterLeave,
-			"request %s goes to %s, which leaves since %s", r.req.ID, h.BackendServer, d); err != nil {
+			"request %s goes to %s, which has been leaving for %s", r.req.ID, h.BackendServer, d); err != nil {
 			return err
 		}
 	}
@@ -90,11 +91,11 @@
 func (r *run) beginAttempt() error {
 	r.delivery.Begin(r.attempt)
 	r.produced = false
-	sealed, err := r.d.sealer.Attempt(&Position{
+	eventIDs, err := r.d.sealer.Attempt(&Position{
 		Workspace: r.req.Workspace.Name, RequestID: r.req.ID, Attempt: r.attempt, Model: r.model.Name,
 		Version: r.version, Adapter: r.req.Adapter, Route: r.route, BodyHash: r.req.BodyHash, Repeatable: r.Repeatable(),
 	})
-	r.sealed = sealed
+	r.eventIDs = eventIDs
 	return err
 }
 
@@ -111,7 +112,8 @@
 	}
 }
 
-// handleSendError maps an error of opening a stream to an execution state and a result.
+// handleSendError sets the execution state after a stream could not be opened and
+// returns the result of the attempt.
 func (r *run) handleSendError(ctx, actx context.Context, err error) result {
 	head := r.route[0].BackendServer
 	if ctx.Err() != nil {
@@ -235,7 +237,7 @@
 		if e.Index < r.skipTo {
 			continue
 		}
-		if err := r.sink.Token(Token{Index: e.Index, Text: e.Text, EventID: r.sealed.Seal(e.Index)}); err != nil {
+		if err := r.sink.Token(Token{Index: e.Index, Text: e.Text, EventID: r.eventIDs.Seal(e.Index)}); err != nil {
 			return err
 		}
 	}
@@ -297,8 +299,8 @@
 	return result{err: err, failed: head}
 }
 
-// abandon cancels the attempt on every hop, in the background, unless it did not
-// run or is complete.
+// abandon cancels the attempt on every hop, in the background. It does nothing if
+// the attempt did not run or is complete.
 func (r *run) abandon() {
 	if r.NotRun() || r.State() == execution.Delivered {
 		return
--- a/dispatch/calllimits.go
+++ b/dispatch/calllimits.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// countContinued counts a call that needs no permit because it continues a request that the
-// backend server already runs.
+// countContinued counts a call that continues a request on the backend server that
+// already runs it. Such a call needs no permit.
 func (l *CallLimits) countContinued(server string) {
 	if l == nil {
 		return
@@ -74,8 +74,9 @@
 	l.sends.Add(server, boottime.Now())
 }
 
-// count counts a call to a backend server without a limit, since a limit may be
-// declared for it within the window. Other calls are counted with their permits.
+// count counts a call to a backend server without a limit. If a limit is declared
+// later, calls of the current window then count against it. Calls to backend
+// servers with a limit are counted when their permits are granted.
 func (l *CallLimits) count(server string, now time.Time) {
 	if _, has := l.declared.Of(server); !has {
 		l.sends.Add(server, now)
--- a/dispatch/delivery.go
+++ b/dispatch/delivery.go
@@ -5,8 +5,8 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// maxHeld bounds the events of one stream that are held until an earlier index
-// arrives.
+// maxHeld bounds the events of one stream that are held until the tokens before
+// them arrive.
 const maxHeld = 64
 
 // Drops counts the events of a request that were dropped, by reason.
@@ -14,7 +14,7 @@
 	Foreign  int // of another request
 	Stale    int // of a superseded attempt
 	Repeated int // of an index already delivered
-	Overflow int // too far ahead to be held
+	Overflow int // ahead of the next index, while maxHeld others were held
 }
 
 // Delivery orders the token events of one request and drops stale, repeated and
@@ -106,5 +106,5 @@
 // checkComplete asserts that an answer of count tokens is complete.
 func (d *Delivery) checkComplete(count int) error {
 	return invariant.Check(d.IsComplete(count), invariant.WholeOwnAnswer,
-		"request %s ended whole with %d of %d tokens", d.requestID, d.next, count)
+		"request %s ended as complete with %d of %d tokens", d.requestID, d.next, count)
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -23,17 +23,25 @@
 	Snapshot() *topology.Snapshot
 }
 
-// Warm records which backend servers probably cache a prompt's prefix.
+// Warm records which backend servers probably cache a prompt's prefix. Prefixes are
+// identified by Request.CacheKey.
 type Warm interface {
+	// Servers returns the backend servers that probably cache the prefix.
 	Servers(key uint64) []string
+	// Sent records that a prompt with the prefix was sent to the backend server.
 	Sent(key uint64, server string)
 }
 
 // Observer receives measurements of requests.
 type Observer interface {
+	// Finished records the duration of a request. kind is the kind of its error, or
+	// "whole" if the answer was complete.
 	Finished(kind string, d time.Duration)
+	// FirstToken records the time to the first token of a request.
 	FirstToken(d time.Duration)
+	// Recovered records the pause in a stream that continued after a failure.
 	Recovered(gap time.Duration)
+	// Dropped counts the events of a request that were dropped.
 	Dropped(d Drops)
 	// LimitReached counts a request refused because of backend servers' limits.
 	LimitReached()
@@ -45,7 +53,7 @@
 	FirstToken    time.Duration // longest time to the first token of an attempt
 	GapCeiling    time.Duration // longest time between two tokens
 	MaxAttempts   int           // attempts per request, the first included
-	RecoverWait   time.Duration // longest wait for a route after a stage failed
+	RecoverWait   time.Duration // longest wait for another route after an attempt failed
 	MoveAfter     time.Duration // expected remaining time above which a stream moves off a leaving backend server
 }
 
@@ -58,7 +66,7 @@
 	planner *routing.Planner
 	gate    *Gate
 	health  HealthSink
-	alive   Prober
+	prober  Prober
 	warm    Warm
 	sealer  *Sealer
 	log     *decision.Log
@@ -96,7 +104,7 @@
 	}
 	return &Dispatcher{
 		opts: o, engine: p.Engine, catalog: p.Catalog, table: p.Table, planner: p.Planner, gate: p.Gate,
-		health: p.Health, alive: p.Alive, warm: p.Warm, sealer: p.Sealer, log: p.Log, observe: p.Observer,
+		health: p.Health, prober: p.Alive, warm: p.Warm, sealer: p.Sealer, log: p.Log, observe: p.Observer,
 		clock: p.Clock, policy: p.Choose, limits: p.Limits,
 	}
 }
--- a/dispatch/eventid.go
+++ b/dispatch/eventid.go
@@ -26,8 +26,8 @@
 // maxEventID bounds the length of an event ID sent by a caller, in bytes.
 const maxEventID = 8 << 10
 
-// Position is the content of an event ID: all that another daemon needs to continue
-// the stream.
+// Position is the content of an event ID. It holds everything that another daemon
+// needs to continue the stream.
 type Position struct {
 	Workspace  string         `cbor:"1,keyasint"`
 	RequestID  string         `cbor:"2,keyasint"`
@@ -44,7 +44,8 @@
 // Sealer seals and opens event IDs under the fleet's key.
 type Sealer struct{ aead cipher.AEAD }
 
-// NewSealer returns a sealer for a key of KeyBytes.
+// NewSealer returns a sealer for a key of KeyBytes bytes, or an error if the key has
+// another length.
 func NewSealer(key []byte) (*Sealer, error) {
 	aead, err := chacha20poly1305.NewX(key)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return &Sealer{aead: aead}, nil
 }
 
-// LoadKey reads a key of KeyBytes in hex from a file.
+// LoadKey reads a key of KeyBytes bytes from a file, where it is written in hex.
 func LoadKey(path string) ([]byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -66,14 +67,14 @@
 	return key, nil
 }
 
-// Attempt seals the event IDs of one attempt. The place is encoded once and each
-// event adds its index. The nonce is 16 random bytes per attempt followed by the
+// Attempt seals the event IDs of one attempt. The Position is encoded once, and
+// each event adds its index. The nonce is 16 random bytes per attempt followed by the
 // index, so no nonce is used twice under the key. It is not safe for concurrent
 // use.
 type Attempt struct {
 	aead  cipher.AEAD
 	nonce [chacha20poly1305.NonceSizeX]byte
-	plain []byte // index, then the encoded place
+	plain []byte // index, then the encoded Position
 	buf   []byte
 }
 
@@ -101,7 +102,7 @@
 	return base64.RawURLEncoding.EncodeToString(a.buf)
 }
 
-// Open returns the place sealed in an event ID, or ErrBadEventID.
+// Open returns the Position sealed in an event ID, or ErrBadEventID.
 func (s *Sealer) Open(id string) (*Position, error) {
 	if len(id) > maxEventID {
 		return nil, ErrBadEventID
--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -37,8 +37,10 @@
 	rng        *rand.Rand
 }
 
-// Shares returns this daemon's share of each workspace's limit.
+// Shares provides this daemon's share of each workspace's limit.
 type Shares interface {
+	// Share returns the share of the workspace's limit as a fraction. It is called
+	// once for each request of a workspace with a limit.
 	Share(workspace string) float64
 }
 
@@ -60,9 +62,9 @@
 
 // GateOptions are the settings of a gate.
 type GateOptions struct {
-	MaxStreams int // requests in flight
-	QueueLimit int // requests queued for one model, unless the model sets its own limit
-	RetryRatio float64
+	MaxStreams int     // requests in flight
+	QueueLimit int     // requests queued for one model, unless the model sets its own limit
+	RetryRatio float64 // retries allowed per successful request
 	Limit      admission.LimitConfig
 	Shares     Shares
 	Seed       uint64 // of the route choices; 0 means random
@@ -184,7 +186,7 @@
 	ahead := q.queue.Ahead(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority)
 	margin := waitMargin
 	if q.queue.WithinShare(r.Workspace.Name, r.Workspace.FairWeight(), r.Priority) {
-		margin = modestMargin
+		margin = withinShareMargin
 	}
 	wait := seconds(margin * float64(ahead+1) / q.rate)
 	left := r.Deadline.Sub(now)
@@ -201,8 +203,8 @@
 	return time.Duration(math.Min(s, 3600) * float64(time.Second))
 }
 
-// Release returns a ticket of a request that produced tokens out of at most
-// requested ones.
+// Release returns the ticket of a request that has ended. tokens is the number of
+// tokens produced, and requested is the maximum that the request allowed.
 func (g *Gate) Release(t *ticket, tokens, requested int) {
 	now := g.clock()
 	g.mu.Lock()
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -77,8 +77,8 @@
 	g.budget(workspace, subject).Earn(g.clock())
 }
 
-// idleEvictionThreshold is the number of buckets or budgets from which idle ones are dropped
-// before another is added.
+// idleEvictionThreshold is the number of buckets or budgets at which idle ones are
+// dropped before another is added.
 const idleEvictionThreshold = 4096
 
 func (g *Gate) budget(workspace, subject string) *admission.Budget {
@@ -95,8 +95,8 @@
 	return b
 }
 
-// recordDemand counts the tokens that a request is expected to need, whether or not
-// it is admitted.
+// recordDemand counts the tokens that a request is expected to need. A request that
+// the queue refuses counts too.
 func (g *Gate) recordDemand(q *planQueue, r *Request, model string, now time.Time) {
 	rate := g.demand[model]
 	if rate == nil {
@@ -110,7 +110,7 @@
 	rate.Add(max(1, used*float64(r.MaxTokens)), now)
 }
 
-// Demand calls fn for each model with the tokens per second that callers request.
+// Demand calls fn for each model with the demand of callers in tokens per second.
 func (g *Gate) Demand(fn func(model string, tokens float64)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/dispatch/moving.go
+++ b/dispatch/moving.go
@@ -11,7 +11,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// slowLinkThreshold is the fraction of its capacity below which streams move off a link.
+// slowLinkThreshold is the link factor below which streams move off a link.
 const slowLinkThreshold = 0.25
 
 // minSlowLinkRest is the expected remaining time above which a stream moves off a slow
@@ -19,10 +19,11 @@
 const minSlowLinkRest = time.Second
 
 // moveTarget returns the route to which the stream should move and the hop that
-// it leaves, or nil to stay. A stream moves if a hop is leaving or its link is
-// slow, enough of the stream remains, the request is repeatable and there is
-// another route. This is evaluated once for each version of the fleet table.
-func (r *run) moveTarget() (c *routing.Choice, leaves string) {
+// the new route avoids, or nil if the stream should stay. A stream moves if a hop is
+// leaving or its link is slow, enough of the stream remains, the request is
+// repeatable and there is another route. This is evaluated once for each version of
+// the fleet table.
+func (r *run) moveTarget() (c *routing.Choice, avoided string) {
 	version := r.d.table.Version()
 	// The last attempts are reserved for failures.
 	if !r.Repeatable() || r.moveVersion == version || r.attempt+2 >= r.d.opts.MaxAttempts {
--- a/dispatch/planqueue.go
+++ b/dispatch/planqueue.go
@@ -14,8 +14,8 @@
 	rate       float64   // requests completed per second while others wait, smoothed
 	lastEnd    time.Time // end of the last request
 	perToken   float64   // seconds per token once admitted, smoothed
-	usedRatio  float64   // tokens of an answer divided by those requested, smoothed
-	lastRouted time.Time // last time a route was found
+	usedRatio  float64   // tokens of an answer divided by the requested maximum, smoothed
+	lastRouted time.Time // when a route was last found
 }
 
 // Smoothing gains of the estimates.
@@ -27,9 +27,9 @@
 // Safety factors of the estimates used to refuse a request early. Work on a
 // request that misses its deadline is wasted.
 const (
-	waitMargin    = 4.0
-	modestMargin  = 2.0 // waitMargin of a workspace within its fair share of the queue
-	serviceMargin = 1.3
+	waitMargin        = 4.0
+	withinShareMargin = 2.0 // replaces waitMargin for a workspace within its fair share of the queue
+	serviceMargin     = 1.3
 )
 
 // serviceTime returns the expected duration of a request once admitted.
@@ -63,7 +63,7 @@
 // bufferSlack makes the recheck run after bufferTimeout has ended.
 const bufferSlack = 10 * time.Millisecond
 
-// buffering reports whether requests wait although there is no route.
+// buffering reports whether requests without a route still wait for one.
 func (q *planQueue) buffering(now time.Time) bool { return now.Sub(q.lastRouted) < bufferTimeout }
 
 // observe updates the service time and, while requests wait, the rate.
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -27,7 +27,7 @@
 	return r.reroute(ctx, res, "recover")
 }
 
-// avoidFailed adds the failed hops to those to avoid.
+// avoidFailed adds the failed hops to r.avoid.
 func (r *run) avoidFailed(ctx context.Context, res *result) {
 	if res.failed != "" {
 		r.avoid[res.failed] = true
@@ -48,14 +48,14 @@
 	}
 }
 
-// silentHops returns the hops that do not answer: those found by the watchdog, or
-// else the result of a new probe.
+// silentHops returns the hops that do not answer. It takes them from the watchdog if
+// that found any, and otherwise probes the route.
 func (r *run) silentHops(ctx context.Context, err error) []string {
 	var stall *stallError
 	if errors.As(err, &stall) && len(stall.silent) > 0 {
 		return stall.silent
 	}
-	return r.d.alive.Silent(ctx, r.route)
+	return r.d.prober.Silent(ctx, r.route)
 }
 
 // reroute finds another route for the request, waiting up to RecoverWait for one,
@@ -206,12 +206,12 @@
 	return c.Stream.Close()
 }
 
-// Resume continues a stream that was begun on another daemon. The caller has all
-// tokens up to place.Index.
-func (d *Dispatcher) Resume(ctx context.Context, req *Request, place *Position, sink Sink) (Outcome, error) {
-	req.Model, req.Adapter, req.Repeatable = place.Model, place.Adapter, place.Repeatable
+// Resume continues a stream that another daemon started. The caller has all tokens
+// up to and including pos.Index.
+func (d *Dispatcher) Resume(ctx context.Context, req *Request, pos *Position, sink Sink) (Outcome, error) {
+	req.Model, req.Adapter, req.Repeatable = pos.Model, pos.Adapter, pos.Repeatable
 	r := d.newRun(req, sink)
-	r.adopt(place)
+	r.adopt(pos)
 	return r.runAndFinish(ctx, r.runResumed)
 }
 
@@ -246,8 +246,8 @@
 		return r.finalError(ctx, res.err)
 	}
 	if r.delivery.Next() < r.skipTo {
-		// Some tokens that the caller has are not known here. Continuing elsewhere
-		// could join two different answers.
+		// The caller has tokens that were not read again here. Continuing on another
+		// route could join two different answers.
 		return apierror.New(apierror.StaleEventID, "%v", res.err)
 	}
 	complete, err := r.handleFailure(ctx, res)
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -35,7 +35,7 @@
 	route        topology.Route
 	ticket       *ticket
 	avoid        map[string]bool
-	sealed       *Attempt
+	eventIDs     *Attempt
 	kv           string // handle of a transferred KV cache for the next attempt
 	finishReason string // finish reason given by the engine
 	produced     bool   // the current attempt has produced a token
@@ -198,8 +198,9 @@
 	move   *routing.Choice // new route of a stream that moves
 }
 
-// handleFailure decides what follows a failed attempt. If it returns false and no error,
-// another attempt has been prepared.
+// handleFailure decides what follows a failed attempt. complete is true if the answer
+// could be completed after all. If complete is false and err is nil, another attempt
+// has been prepared.
 func (r *run) handleFailure(ctx context.Context, res result) (complete bool, err error) {
 	if res.final {
 		r.abandon()
@@ -235,8 +236,8 @@
 	return false, r.recover(ctx, res)
 }
 
-// finalError returns the error of a request that was ended by its caller, its
-// deadline or an error that another attempt cannot avoid.
+// finalError returns the error of a request that its caller canceled, whose deadline
+// passed, or that failed with an error that another attempt cannot avoid.
 func (r *run) finalError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return r.Ended(ctx, r.progress())
@@ -256,11 +257,11 @@
 	return r.GaveUp(err)
 }
 
-// retryElsewhere retries an attempt that did not run on another route. Such a retry is
-// taken out of the budget, unless the request has already run in part, or was not
-// sent because its route began to leave or reached a declared limit. A request
-// stopped by a declared limit is refused at once if no other route is left, since
-// waiting would only place it behind later requests.
+// retryElsewhere prepares another route for an attempt that did not run. The retry
+// is taken out of the budget, except in three cases: the request has already run in
+// part, a backend server of its route is leaving, or its route reached a declared
+// limit. A request stopped by a declared limit is refused at once if no other route
+// is left, since later requests would overtake it while it waits.
 func (r *run) retryElsewhere(ctx context.Context, res result) error {
 	if res.failed != "" {
 		r.avoid[res.failed] = true
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -20,15 +20,16 @@
 type ServiceRequest struct {
 	Workspace  *topology.Workspace
 	Service    string
-	Repeatable bool // the caller allows sending it again
+	Repeatable bool // the caller allows a second execution
 	Call       backend.ServiceCall
 }
 
-// maxServiceAttempts bounds the endpoints that one call is sent to.
+// maxServiceAttempts bounds the attempts of one call.
 const maxServiceAttempts = 3
 
-// endpointCooldowns configures how long a failed endpoint is used only if no other
-// is left. A apiError starts no cooldown, since the endpoint is only busy.
+// endpointCooldowns configures the cooldown of a failed endpoint. A cooling endpoint
+// is used only if no other is left. A refusal starts no cooldown, since the endpoint
+// is only busy.
 var endpointCooldowns = health.CooldownConfig{Failed: time.Second, FailedMost: time.Second}
 
 // Services runs calls to plain services. It is safe for concurrent use.
@@ -122,8 +123,8 @@
 	return execution.MayHaveRun, err
 }
 
-// acquireEndpoint returns the best endpoint that is below its declared limit and takes
-// one call to it.
+// acquireEndpoint returns the best endpoint that is below its declared limit. One
+// call to it is counted against that limit.
 func (c *call) acquireEndpoint(ctx context.Context) (*topology.Endpoint, error) {
 	var limitErr *limitReached
 	for {
@@ -195,8 +196,8 @@
 // coolingPenalty ranks cooling endpoints after all others.
 const coolingPenalty = 1 << 20
 
-// pickEndpoint returns the endpoint with the fewest calls in flight that was not tried
-// yet, or nil. Endpoints that failed recently come last.
+// pickEndpoint returns the untried endpoint with the fewest calls in flight, or nil.
+// Endpoints that failed recently come last.
 func (s *Services) pickEndpoint(svc *topology.Service, tried map[string]bool) *topology.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -387,7 +387,7 @@
 	ev := backend.Event{Type: backend.EventToken, RequestID: s.g.RequestID, Attempt: s.g.Attempt, Index: s.index, Text: "w"}
 	if s.index >= s.g.MaxTokens {
 		ev.Type = backend.EventDone
-		s.leave()
+		s.release()
 		return ev, nil
 	}
 	for i, h := range s.g.Route {
@@ -428,7 +428,7 @@
 	return backend.Event{Type: backend.EventFailed, RequestID: s.g.RequestID, Attempt: s.g.Attempt, Failed: name}, nil
 }
 
-func (s *simStream) leave() {
+func (s *simStream) release() {
 	s.once.Do(func() {
 		for _, h := range s.g.Route {
 			s.sim.engines[h.BackendServer].addInFlight(-1)
@@ -438,7 +438,7 @@
 
 // Close implements backend.Stream.
 func (s *simStream) Close() error {
-	s.leave()
+	s.release()
 	return nil
 }
 
--- a/dispatch/waiting.go
+++ b/dispatch/waiting.go
@@ -53,7 +53,7 @@
 	for {
 		select {
 		case <-recheck.C:
-			g.Wake() // refuses requests whose buffering time is over
+			g.Wake() // refuses the queue's requests if there is still no route
 			continue
 		case gr := <-p.granted:
 			return g.finishWait(gr, since)
@@ -169,17 +169,17 @@
 	p.granted <- gr
 }
 
-// nextQueue returns the queue whose next request has the highest priority, except
-// for those in blocked.
+// nextQueue returns the queue whose next request has the highest priority. It skips
+// empty queues and those in blocked.
 func (g *Gate) nextQueue(blocked map[routing.Key]bool) (routing.Key, *planQueue) {
 	var bestKey routing.Key
 	var best *planQueue
 	for key, q := range g.queues {
-		w := q.queue.Peek()
-		if w == nil || blocked[key] {
+		next := q.queue.Peek()
+		if next == nil || blocked[key] {
 			continue
 		}
-		if best == nil || w.Priority > best.queue.Peek().Priority {
+		if best == nil || next.Priority > best.queue.Peek().Priority {
 			bestKey, best = key, q
 		}
 	}
--- a/dispatch/watchdog.go
+++ b/dispatch/watchdog.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// stallError is an errStalled that names the hops that do not answer.
+// stallError is an errStalled with the hops that do not answer.
 type stallError struct{ silent []string }
 
 // Error implements error.
@@ -23,7 +23,7 @@
 
 // watchdog ends an attempt whose next event does not arrive in time. When the
 // bound passes it probes the hops: if one does not answer, the attempt ends at
-// once; if all answer, it waits on and doubles the bound up to the ceiling. A
+// once; if all answer, it keeps waiting and doubles the bound up to the ceiling. A
 // tight bound therefore costs a probe under load, but does not break streams.
 type watchdog struct {
 	silent func() []string
@@ -38,7 +38,7 @@
 
 func (r *run) newWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
 	route := r.route
-	w := &watchdog{cancel: cancel, silent: func() []string { return r.d.alive.Silent(ctx, route) }}
+	w := &watchdog{cancel: cancel, silent: func() []string { return r.d.prober.Silent(ctx, route) }}
 	w.timer = time.AfterFunc(time.Hour, w.onTimeout)
 	w.timer.Stop()
 	return w
