--- a/admission/bucket.go
+++ b/admission/bucket.go
@@ -16,8 +16,9 @@
 // bucketEps absorbs rounding errors of the refill.
 const bucketEps = 1e-9
 
-// Take takes one request out of a bucket that refills at rate per second up to
-// burst. If none is left, wait is the time until the next one.
+// Take takes one request out of a bucket that refills at rate requests per second up
+// to burst requests. If none is left, ok is false and wait is the time until the next
+// one.
 func (b *Bucket) Take(rate, burst float64, now time.Time) (ok bool, wait time.Duration) {
 	if rate <= 0 {
 		return true, 0
@@ -40,5 +41,6 @@
 	return false, time.Duration(math.Ceil((1 - b.tokens) / rate * float64(time.Second)))
 }
 
-// Idle reports whether the bucket is full again and so equivalent to a new one.
+// Idle reports whether the bucket is full again, which makes it equivalent to a new
+// one.
 func (b *Bucket) Idle(now time.Time) bool { return !now.Before(b.fullAt) }
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -26,14 +26,14 @@
 	slot    int64
 }
 
-// Part holds the fractions of a budget that a retry may use. Daemons that share a
+// Part holds the fractions of a budget that retries may use. Daemons that share a
 // budget each use a part of its slack.
 type Part struct {
 	Ratio float64 // fraction of the earned retries
 	Slack float64 // fraction of the slack
 }
 
-// Whole is an entire budget.
+// Whole is the entire budget.
 var Whole = Part{Ratio: 1, Slack: 1}
 
 // NewBudget returns a budget that allows, per window, ratio retries for each
@@ -45,7 +45,7 @@
 	return &Budget{ratio: ratio, slack: slack, window: window}
 }
 
-// Set changes the bounds.
+// Set changes the ratio and the slack.
 func (b *Budget) Set(ratio, slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,7 +103,7 @@
 	return true
 }
 
-// Return returns a retry that was taken at spent and was not made.
+// Return gives back a retry that was taken at the time spent but was not made.
 func (b *Budget) Return(spent time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,8 +113,8 @@
 	}
 }
 
-// Idle reports whether the window holds no requests and no retries, so that the
-// budget is equivalent to a new one.
+// Idle reports whether the window holds no requests and no retries, which makes the
+// budget equivalent to a new one.
 func (b *Budget) Idle(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/admission/heap.go
+++ b/admission/heap.go
@@ -42,14 +42,14 @@
 }
 
 // before orders the requests of one workspace by deadline, then by arrival.
-func (w *Item) before(o *Item) bool {
-	if !w.Deadline.Equal(o.Deadline) {
-		return w.Deadline.Before(o.Deadline)
+func (it *Item) before(o *Item) bool {
+	if !it.Deadline.Equal(o.Deadline) {
+		return it.Deadline.Before(o.Deadline)
 	}
-	return w.seq < o.seq
+	return it.seq < o.seq
 }
 
-func (w *Item) setIndex(index int) { w.index = index }
+func (it *Item) setIndex(index int) { it.index = index }
 
 // before orders flows by virtual time, then by workspace.
 func (f *flow) before(o *flow) bool {
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -10,7 +10,7 @@
 	Initial   float64
 	Min, Max  float64
 	Tolerance float64 // ratio of latency to its minimum that is accepted as normal
-	Smoothing float64 // weight of a new limit in the moving average
+	Smoothing float64 // weight of a new limit in the moving average, in (0,1]
 }
 
 // DefaultLimitConfig returns a configuration for continuously batching engines,
@@ -20,8 +20,8 @@
 }
 
 // Limit adapts the number of requests that one daemon keeps in flight on one
-// backend server, by the ratio of the minimum token time to the current one. It is
-// not safe for concurrent use.
+// backend server. It depends on the ratio of the minimum token time to the current
+// one. It is not safe for concurrent use.
 type Limit struct {
 	cfg     LimitConfig
 	limit   float64
@@ -53,7 +53,7 @@
 	gradient := math.Max(0.5, math.Min(1, l.cfg.Tolerance*l.minimum/l.current))
 	target := l.limit*gradient + math.Sqrt(l.limit)
 	if target > l.limit && float64(inFlight) < l.limit/2 {
-		return l.Value() // the load is low for reasons other than the limit
+		return l.Value() // the limit is not what keeps the load low
 	}
 	l.limit += l.cfg.Smoothing * (target - l.limit)
 	l.limit = math.Max(l.cfg.Min, math.Min(l.cfg.Max, l.limit))
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -59,25 +59,25 @@
 func (q *Queue) Len() int { return q.size }
 
 // Push puts a request into the queue.
-func (q *Queue) Push(w *Item) {
-	b := q.bands[w.Priority]
+func (q *Queue) Push(it *Item) {
+	b := q.bands[it.Priority]
 	if b == nil {
-		b = &band{priority: w.Priority, flows: map[string]*flow{}}
-		q.bands[w.Priority] = b
-		q.insertPriority(w.Priority)
+		b = &band{priority: it.Priority, flows: map[string]*flow{}}
+		q.bands[it.Priority] = b
+		q.insertPriority(it.Priority)
 	}
-	f := b.flows[w.Workspace]
+	f := b.flows[it.Workspace]
 	if f == nil {
-		f = &flow{workspace: w.Workspace, index: -1, start: b.virtualTime}
-		b.flows[w.Workspace] = f
+		f = &flow{workspace: it.Workspace, index: -1, start: b.virtualTime}
+		b.flows[it.Workspace] = f
 	}
-	f.weight = w.Weight
+	f.weight = it.Weight
 	q.seq++
-	w.seq, w.flow, w.band = q.seq, f, b
-	heap.Push(&f.items, w)
+	it.seq, it.flow, it.band = q.seq, f, b
+	heap.Push(&f.items, it)
 	q.size++
 	if f.index < 0 {
-		// A workspace earns no credit for the time that it was idle.
+		// A workspace gets no credit for idle time.
 		f.start = max(f.start, b.virtualTime)
 		heap.Push(&b.active, f)
 	}
@@ -105,33 +105,33 @@
 
 // Pop removes and returns the next request, or returns nil.
 func (q *Queue) Pop() *Item {
-	w := q.Peek()
-	if w == nil {
+	it := q.Peek()
+	if it == nil {
 		return nil
 	}
-	f, b := w.flow, w.band
+	f, b := it.flow, it.band
 	b.virtualTime = max(b.virtualTime, f.start)
-	f.start += max(w.Cost, 1) / w.Weight
-	q.detach(w)
+	f.start += max(it.Cost, 1) / it.Weight
+	q.detach(it)
 	if f.index >= 0 {
 		heap.Fix(&b.active, f.index)
 	}
-	return w
+	return it
 }
 
-// Remove removes a request that is not served and reports whether it was still
-// queued. The work is not charged to its workspace.
-func (q *Queue) Remove(w *Item) bool {
-	if w.flow == nil || w.index < 0 {
+// Remove removes a request without serving it and reports whether it was still
+// queued. Its cost is not charged to the workspace.
+func (q *Queue) Remove(it *Item) bool {
+	if it.flow == nil || it.index < 0 {
 		return false
 	}
-	q.detach(w)
+	q.detach(it)
 	return true
 }
 
-func (q *Queue) detach(w *Item) {
-	f, b := w.flow, w.band
-	heap.Remove(&f.items, w.index)
+func (q *Queue) detach(it *Item) {
+	f, b := it.flow, it.band
+	heap.Remove(&f.items, it.index)
 	q.size--
 	if len(f.items) > 0 {
 		return
@@ -140,8 +140,8 @@
 	q.dropIdleFlows(b)
 }
 
-// dropIdleFlows drops the idle flows that are behind the band's virtual time once
-// there are many. A new flow would start at the same virtual time.
+// dropIdleFlows drops idle flows once there are many. It keeps those that are ahead of
+// the band's virtual time, since a new flow would start at the virtual time.
 func (q *Queue) dropIdleFlows(b *band) {
 	if len(b.flows) < 2*len(b.active)+64 {
 		return
@@ -169,8 +169,8 @@
 	return ahead
 }
 
-// WithinShare reports whether a workspace's part of the requests waiting at a priority
-// is within its weighted share.
+// WithinShare reports whether the requests that a workspace has waiting at a priority
+// are within its weighted share of all that wait there.
 func (q *Queue) WithinShare(workspace string, weight float64, priority int) bool {
 	b := q.bands[priority]
 	if b == nil || b.flows[workspace] == nil {
@@ -193,9 +193,9 @@
 	return n
 }
 
-// aheadOf estimates the requests of the band that are served before a new one of
-// the workspace: its own, and of each other workspace at most the share served
-// meanwhile.
+// aheadOf estimates how many requests of the band are served before a new one of the
+// workspace. It counts the workspace's own requests, and for each other workspace at
+// most the share that is served in the same time.
 func (b *band) aheadOf(workspace string, weight float64) int {
 	own := 0
 	if f := b.flows[workspace]; f != nil {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -37,8 +37,8 @@
 	early := &Item{Workspace: "w", Weight: 1, Deadline: now.Add(time.Minute)}
 	alert := &Item{Workspace: "v", Weight: 1, Priority: 5, Deadline: now.Add(2 * time.Hour)}
 	gone := &Item{Workspace: "v", Weight: 1, Priority: 9}
-	for _, w := range []*Item{late, early, alert, gone} {
-		q.Push(w)
+	for _, it := range []*Item{late, early, alert, gone} {
+		q.Push(it)
 	}
 	require.Equal(t, 4, q.Ahead("x", 1, -1))
 	require.True(t, q.Remove(gone))
@@ -58,18 +58,18 @@
 		for i := range rapid.IntRange(0, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "op") {
 			case 0, 1:
-				w := &Item{Workspace: fmt.Sprint(i % 7), Weight: 1 + float64(i%3), Priority: i % 2}
-				in[w] = true
-				q.Push(w)
+				it := &Item{Workspace: fmt.Sprint(i % 7), Weight: 1 + float64(i%3), Priority: i % 2}
+				in[it] = true
+				q.Push(it)
 			case 2:
-				if w := q.Pop(); w != nil {
-					require.True(t, in[w])
-					delete(in, w)
+				if it := q.Pop(); it != nil {
+					require.True(t, in[it])
+					delete(in, it)
 				}
 			case 3:
-				for w := range in {
-					require.True(t, q.Remove(w))
-					delete(in, w)
+				for it := range in {
+					require.True(t, q.Remove(it))
+					delete(in, it)
 					break
 				}
 			}
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -35,9 +35,9 @@
 	RequestID string    `json:"request,omitempty"`
 	Attempt   int       `json:"attempt"`
 	Workspace string    `json:"workspace,omitempty"`
-	Subject   string    `json:"subject,omitempty"`  // model, service or backend server
-	Chosen    string    `json:"chosen,omitempty"`   // chosen alternative
-	Reason    string    `json:"reason,omitempty"`   // reason of the choice
+	Subject   string    `json:"subject,omitempty"` // name of a model, service or backend server
+	Chosen    string    `json:"chosen,omitempty"`  // what was chosen, such as a route
+	Reason    string    `json:"reason,omitempty"`
 	Rejected  string    `json:"rejected,omitempty"` // rejected alternatives, with reasons
 	Bound     float64   `json:"bound,omitempty"`    // throughput bound of the model, tokens per second
 	Load      float64   `json:"load,omitempty"`     // requests in flight on the chosen hops
--- a/execution/errors.go
+++ b/execution/errors.go
@@ -3,7 +3,7 @@
 import "errors"
 
 // Errors of sending a request to a backend server. Each states what is certain
-// about execution; an adapter must return the weakest statement that is certain.
+// about execution. An adapter must return the strongest statement that is certain.
 var (
 	// ErrNotSent means that no byte was written to a connection.
 	ErrNotSent = errors.New("execution: not sent")
--- a/execution/life.go
+++ b/execution/life.go
@@ -28,11 +28,11 @@
 	return [...]string{"not_sent", "sent", "refused", "delivered", "unknown"}[s]
 }
 
-// NotRun reports whether the request certainly did not run.
+// NotRun reports whether it is certain that the latest send did not run.
 func (s State) NotRun() bool { return s == NotSent || s == Refused }
 
 // Legal reports whether a request may go from one state to another. Sending again
-// from Unknown may start a second execution, so the request must be repeatable.
+// from Unknown may start a second execution, so it requires a repeatable request.
 func Legal(from, to State, repeatable bool) bool {
 	switch from {
 	case NotSent:
@@ -50,58 +50,60 @@
 // Tracker is the state machine of one request. It is not safe for concurrent use.
 type Tracker struct {
 	state      State
-	ran        bool // some attempt ran, at least in part
+	ran        bool // an attempt ran, at least in part
 	repeatable bool
 	sends      int // executions that may have begun
 }
 
-// New returns the Life of a request that was not sent yet.
+// New returns the Tracker of a request that was not sent yet.
 func New(repeatable bool) Tracker { return Tracker{repeatable: repeatable} }
 
-// NewSent returns the Life of a request that another daemon has sent.
+// NewSent returns the Tracker of a request that another daemon has sent.
 func NewSent(repeatable bool) Tracker {
 	return Tracker{state: Unknown, ran: true, repeatable: repeatable, sends: 1}
 }
 
 // State returns the current state.
-func (l *Tracker) State() State { return l.state }
+func (t *Tracker) State() State { return t.state }
 
 // Repeatable reports whether the request may run more than once.
-func (l *Tracker) Repeatable() bool { return l.repeatable }
+func (t *Tracker) Repeatable() bool { return t.repeatable }
 
-// HasRun reports whether some attempt is known to have run, at least in part.
-func (l *Tracker) HasRun() bool { return l.ran }
+// HasRun reports whether an attempt is known to have run, at least in part.
+func (t *Tracker) HasRun() bool { return t.ran }
 
-// MarkRan records that an attempt runs or ran.
-func (l *Tracker) MarkRan() { l.ran = true }
+// MarkRan records that an attempt has run, at least in part.
+func (t *Tracker) MarkRan() { t.ran = true }
 
-// Move goes to a state. It returns an error if that violates invariant.AtMostOnce.
-func (l *Tracker) Move(to State) error {
-	if to == Unknown && l.state == Unknown {
+// Move changes the state. It returns an error if the change violates
+// invariant.AtMostOnce.
+func (t *Tracker) Move(to State) error {
+	if to == Unknown && t.state == Unknown {
 		return nil // a resumed stream broke again
 	}
-	if !Legal(l.state, to, l.repeatable) {
-		return invariant.Check(false, invariant.AtMostOnce, "illegal transition %s to %s", l.state, to)
+	if !Legal(t.state, to, t.repeatable) {
+		return invariant.Check(false, invariant.AtMostOnce, "illegal transition %s to %s", t.state, to)
 	}
 	if to == NotSent || to == Refused {
-		l.sends-- // that attempt did not run
+		t.sends-- // that attempt did not run
 	}
 	if to == Sent {
-		l.sends++
+		t.sends++
 	}
-	l.state = to
-	return invariant.Check(l.repeatable || l.sends <= 1, invariant.AtMostOnce,
-		"a request that is not repeatable was sent %d times", l.sends)
+	t.state = to
+	return invariant.Check(t.repeatable || t.sends <= 1, invariant.AtMostOnce,
+		"a request that is not repeatable was sent %d times", t.sends)
 }
 
-// NotRun reports whether certainly no attempt ran.
-func (l *Tracker) NotRun() bool { return l.state.NotRun() && !l.ran && l.sends == 0 }
+// NotRun reports whether it is certain that no attempt ran.
+func (t *Tracker) NotRun() bool { return t.state.NotRun() && !t.ran && t.sends == 0 }
 
 // Answer converts any error into an answer that correctly states whether the
-// request ran. If the result is not correct, it returns the violated invariant.
-func (l *Tracker) Answer(err error) *apierror.Error {
-	e := l.correct(apierror.From(err))
-	if verr := l.checkAnswer(e); verr != nil {
+// request ran. If the converted answer is still wrong, it returns the violation of
+// the invariant instead.
+func (t *Tracker) Answer(err error) *apierror.Error {
+	e := t.correct(apierror.From(err))
+	if verr := t.checkAnswer(e); verr != nil {
 		return apierror.From(verr)
 	}
 	return e
@@ -109,19 +111,20 @@
 
 // correct replaces an error that states that the request did not run if it ran or
 // may have run.
-func (l *Tracker) correct(e *apierror.Error) *apierror.Error {
-	if l.NotRun() || !e.NotRun() {
+func (t *Tracker) correct(e *apierror.Error) *apierror.Error {
+	if t.NotRun() || !e.NotRun() {
 		return e
 	}
 	kind := apierror.OutcomeUnknown
-	if l.ran {
+	if t.ran {
 		kind = apierror.BackendFailed
 	}
 	return &apierror.Error{Kind: kind, Detail: fmt.Sprintf("%s, after it had been sent", e.Detail), Err: e}
 }
 
-// checkAnswer asserts that an answer of not run is given only if nothing ran.
-func (l *Tracker) checkAnswer(e *apierror.Error) error {
-	return invariant.Check(!e.NotRun() || l.NotRun(), invariant.NotRunIsTrue,
-		"%s answered in state %s after %d sends", e.Kind, l.state, l.sends)
+// checkAnswer asserts that an answer states that the request did not run only if
+// that is certain.
+func (t *Tracker) checkAnswer(e *apierror.Error) error {
+	return invariant.Check(!e.NotRun() || t.NotRun(), invariant.NotRunIsTrue,
+		"%s answered in state %s after %d sends", e.Kind, t.state, t.sends)
 }
--- a/execution/life_test.go
+++ b/execution/life_test.go
@@ -16,11 +16,11 @@
 // in progress at most once, and an answer of not run must mean that nothing ran.
 func TestAnswerMatchesExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(rapid.Bool().Draw(t, "repeatable"))
+		tracker := New(rapid.Bool().Draw(t, "repeatable"))
 		executions := 0 // executions that may have begun
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			to := State(rapid.IntRange(int(NotSent), int(Unknown)).Draw(t, "to"))
-			if !Legal(l.state, to, l.repeatable) {
+			if !Legal(tracker.state, to, tracker.repeatable) {
 				continue
 			}
 			if to == Sent {
@@ -29,27 +29,27 @@
 			if to == NotSent || to == Refused {
 				executions--
 			}
-			require.NoError(t, l.Move(to))
-			l.ran = l.ran || to == Delivered
-			if !l.repeatable && executions > 1 {
+			require.NoError(t, tracker.Move(to))
+			tracker.ran = tracker.ran || to == Delivered
+			if !tracker.repeatable && executions > 1 {
 				t.Fatalf("%d executions", executions)
 			}
-			e := l.correct(apierror.New(apierror.Overloaded, "x"))
+			e := tracker.correct(apierror.New(apierror.Overloaded, "x"))
 			if executions > 0 && apierror.Lookup(e.Kind).Ran == apierror.RanNo {
 				t.Fatalf("answered %s with %d executions under way", e.Kind, executions)
 			}
-			require.NoError(t, l.checkAnswer(e))
+			require.NoError(t, tracker.checkAnswer(e))
 		}
 	})
 }
 
 func TestIllegalMoveViolatesInvariant(t *testing.T) {
 	before := invariant.Count(invariant.AtMostOnce)
-	l := Tracker{state: Unknown, sends: 1}
-	require.Error(t, l.Move(Sent))
+	tracker := Tracker{state: Unknown, sends: 1}
+	require.Error(t, tracker.Move(Sent))
 	require.Equal(t, before+1, invariant.Count(invariant.AtMostOnce))
 	before = invariant.Count(invariant.NotRunIsTrue)
-	require.Error(t, l.checkAnswer(apierror.New(apierror.Overloaded, "x")))
+	require.Error(t, tracker.checkAnswer(apierror.New(apierror.Overloaded, "x")))
 	require.Equal(t, before+1, invariant.Count(invariant.NotRunIsTrue))
 }
 
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -15,7 +15,7 @@
 // scriptedSender is a Sender whose sends return the given errors. It ends its
 // context after endAt sends.
 type scriptedSender struct {
-	life    *Tracker
+	tracker *Tracker
 	sends   []error // nil means a complete answer
 	retries int
 	cancel  context.CancelFunc
@@ -30,18 +30,18 @@
 	if s.made == s.endAt {
 		s.cancel()
 	}
-	if verr := s.life.Move(Sent); verr != nil {
+	if verr := s.tracker.Move(Sent); verr != nil {
 		return Answered, verr
 	}
 	if err == nil {
 		s.ran++
-		s.life.MarkRan()
-		return Answered, s.life.Move(Delivered)
+		s.tracker.MarkRan()
+		return Answered, s.tracker.Move(Delivered)
 	}
-	if verr := s.life.Move(StateAfter(err)); verr != nil {
+	if verr := s.tracker.Move(StateAfter(err)); verr != nil {
 		return Answered, verr
 	}
-	if s.life.State().NotRun() {
+	if s.tracker.State().NotRun() {
 		return NotRunHere, err
 	}
 	s.ran++
@@ -61,17 +61,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		l := New(rapid.Bool().Draw(t, "repeatable"))
+		tracker := New(rapid.Bool().Draw(t, "repeatable"))
 		s := &scriptedSender{
-			life: &l, cancel: cancel, retries: rapid.IntRange(0, 4).Draw(t, "retries"), endAt: rapid.IntRange(0, 4).Draw(t, "end"),
+			tracker: &tracker, cancel: cancel, retries: rapid.IntRange(0, 4).Draw(t, "retries"), endAt: rapid.IntRange(0, 4).Draw(t, "end"),
 			sends: rapid.SliceOfN(rapid.SampledFrom([]error{ErrNotSent, ErrRefused, ErrLost, nil}), 1, 6).Draw(t, "sends"),
 		}
-		err := l.Run(ctx, s)
-		if !l.Repeatable() && s.ran > 1 {
+		err := tracker.Run(ctx, s)
+		if !tracker.Repeatable() && s.ran > 1 {
 			t.Fatalf("may have run %d times", s.ran)
 		}
 		if err == nil {
-			require.Equal(t, Delivered, l.State())
+			require.Equal(t, Delivered, tracker.State())
 			return
 		}
 		ran := apierror.Lookup(apierror.From(err).Kind).Ran
@@ -89,8 +89,8 @@
 func TestEndedMatchesState(t *testing.T) {
 	passed, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
-	gone, leave := context.WithCancel(context.Background())
-	leave()
+	canceled, cancelCaller := context.WithCancel(context.Background())
+	cancelCaller()
 	ran := New(true)
 	require.NoError(t, ran.Move(Sent))
 	ran.MarkRan()
@@ -98,16 +98,16 @@
 	require.NoError(t, sent.Move(Sent))
 	fresh := New(true)
 	for _, c := range []struct {
-		ctx  context.Context
-		life Tracker
-		want apierror.Kind
+		ctx     context.Context
+		tracker Tracker
+		want    apierror.Kind
 	}{
 		{passed, fresh, apierror.DeadlinePassed},
 		{passed, sent, apierror.OutcomeUnknown},
 		{passed, ran, apierror.DeadlineRunning},
-		{gone, ran, apierror.CallerGone},
+		{canceled, ran, apierror.CallerGone},
 		{context.Background(), sent, apierror.OutcomeUnknown}, // about to end
 	} {
-		require.Equal(t, c.want, c.life.Ended(c.ctx, "").Kind)
+		require.Equal(t, c.want, c.tracker.Ended(c.ctx, "").Kind)
 	}
 }
