--- a/api/callers.go
+++ b/api/callers.go
@@ -31,29 +31,32 @@
 	HeaderKind       = "Snowspoke-Kind" // kind of the error
 )
 
-// Models runs completion requests.
+// Models runs completion requests. Errors are of type *apierror.Error.
 type Models interface {
+	// Do runs a request and passes its tokens to s.
 	Do(ctx context.Context, r *dispatch.Request, s dispatch.Sink) (dispatch.Outcome, error)
+	// Resume continues a stream from p and passes the later tokens to s.
 	Resume(ctx context.Context, r *dispatch.Request, p *dispatch.Position, s dispatch.Sink) (dispatch.Outcome, error)
 }
 
 // PlainServices runs calls of plain services.
 type PlainServices interface {
+	// Do sends a call. The caller must close the body of the reply.
 	Do(ctx context.Context, r *dispatch.ServiceRequest) (*backend.ServiceReply, error)
 }
 
-// Configuration gives the configuration in force.
+// Configuration provides the configuration in force.
 type Configuration interface {
 	Snapshot() *topology.Snapshot
 }
 
 // CallerOptions holds the limits of the callers' interface.
 type CallerOptions struct {
-	BodyBytes       int64
-	BodyTimeout     time.Duration
-	WriteTimeout    time.Duration
-	DefaultDeadline time.Duration
-	MaxDeadline     time.Duration
+	BodyBytes       int64         // maximum size of a request body
+	BodyTimeout     time.Duration // to read a request body
+	WriteTimeout    time.Duration // for each write of a response
+	DefaultDeadline time.Duration // of requests without HeaderDeadline
+	MaxDeadline     time.Duration // upper limit of HeaderDeadline
 }
 
 // Callers serves the callers' interface.
@@ -112,8 +115,8 @@
 	if err == nil {
 		_ = rc.SetReadDeadline(time.Time{})
 	} else {
-		// Keep the read deadline: the server drains the rest of the body, and a
-		// slow sender must not hold the connection.
+		// The read deadline stays set. The server reads the rest of the body, and
+		// a slow sender must not keep the connection open.
 		w.Header().Set("Connection", "close")
 	}
 	var tooLarge *http.MaxBytesError
--- a/api/completions.go
+++ b/api/completions.go
@@ -22,7 +22,7 @@
 	chatFormat
 )
 
-// maxPrefixBytes bounds the part of a prompt that its cache key covers.
+// maxPrefixBytes is how much of the start of a prompt goes into its cache key.
 const maxPrefixBytes = 512
 
 // completionBody is the request body of both completion endpoints.
@@ -79,8 +79,8 @@
 	return &b, nil
 }
 
-// cacheKey hashes the model, the adapter and the start of the prompt, which
-// determine the KV cache that a request can use.
+// cacheKey hashes the model, the adapter and the start of the prompt. Requests with
+// the same key can use the same KV cache.
 func (b *completionBody) cacheKey() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(b.Model + "\x00" + b.Adapter + "\x00")
@@ -145,16 +145,16 @@
 	}
 }
 
-// resume continues the stream that a Last-Event-ID names.
+// resume continues the stream identified by a Last-Event-ID.
 func (h *Callers) resume(ctx context.Context, w http.ResponseWriter, req *dispatch.Request, f format, id string) {
-	place, err := h.sealer.Open(id)
-	if err != nil || place.Workspace != req.Workspace.Name || place.BodyHash != req.BodyHash {
+	pos, err := h.sealer.Open(id)
+	if err != nil || pos.Workspace != req.Workspace.Name || pos.BodyHash != req.BodyHash {
 		writeError(w, apierror.New(apierror.BadEventID, "not issued for this workspace and body"))
 		return
 	}
-	req.ID = place.RequestID
+	req.ID = pos.RequestID
 	w.Header().Set(HeaderRequestID, req.ID)
-	h.serveStream(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Resume(ctx, req, place, s) })
+	h.serveStream(w, req, f, func(s dispatch.Sink) (dispatch.Outcome, error) { return h.models.Resume(ctx, req, pos, s) })
 }
 
 // runFunc runs a request and sends its tokens to the sink.
--- a/api/once.go
+++ b/api/once.go
@@ -18,12 +18,12 @@
 // response for every later use of the key.
 type Claimer interface {
 	// Once calls run if this is the first use of the key in the fleet. An error
-	// of run must have a kind that tells whether the request ran.
+	// of run must have a kind that states whether the request ran.
 	Once(ctx context.Context, u claims.Use, run func() (*claims.Answer, error)) (*claims.Answer, error)
 }
 
 // detach returns a context that keeps the deadline of ctx but not its
-// cancellation. A request with an idempotency key runs on after its caller has
+// cancellation. A request with an idempotency key continues after its caller has
 // disconnected, so that the caller can fetch the response later.
 func detach(ctx context.Context) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
@@ -33,8 +33,8 @@
 	return context.WithDeadline(context.WithoutCancel(ctx), deadline)
 }
 
-// teeSink collects a response and also streams it until a write to the caller
-// fails.
+// teeSink collects a response. It also streams the response to the caller until a
+// write fails.
 type teeSink struct {
 	stream     *eventSink // nil unless the caller asked for a stream
 	callerGone bool       // a write to the caller has failed
--- a/api/operators.go
+++ b/api/operators.go
@@ -14,8 +14,7 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Status is the state that a daemon reports of itself and its known state of the
-// fleet.
+// Status is a daemon's report of its own state and of its cached state of the fleet.
 type Status struct {
 	Daemon         string                `json:"daemon"`
 	FailureDomain  string                `json:"failureDomain"`
@@ -33,7 +32,7 @@
 	Leases         []LeaseStatus         `json:"leases,omitempty"`
 }
 
-// BackendServerStatus is the known state of one backend server.
+// BackendServerStatus is the cached state of one backend server.
 type BackendServerStatus struct {
 	Name          string   `json:"name"`
 	FailureDomain string   `json:"failureDomain"`
@@ -55,7 +54,7 @@
 	Cut     []routing.CutItem `json:"cut,omitempty"`
 }
 
-// PeerStatus is the known state of another daemon.
+// PeerStatus is the cached state of another daemon.
 type PeerStatus struct {
 	Name          string `json:"name"`
 	Address       string `json:"address"`
@@ -65,7 +64,7 @@
 	Incarnation   uint64 `json:"incarnation"`
 }
 
-// LeaseStatus is the known state of a lease.
+// LeaseStatus is the cached state of a lease.
 type LeaseStatus struct {
 	Name    string `json:"name"`
 	Holder  string `json:"holder"`
@@ -76,8 +75,12 @@
 // Inspector provides the data of the operators' interface.
 type Inspector interface {
 	Status() Status
+	// Ready returns the reason why the daemon is not ready, or nil.
 	Ready() error
+	// Explain returns the retained decisions about a request or subject.
 	Explain(id string) []decision.Record
+	// Verdict returns the result of evaluating a configuration object; ok is false
+	// if the object is unknown.
 	Verdict(kind, name string) (catalog.Result, bool)
 }
 
@@ -98,7 +101,7 @@
 	h.mux.Handle("GET /metrics", h.authorized(metrics))
 	h.mux.Handle("GET /v1/status", h.authorized(http.HandlerFunc(h.status)))
 	h.mux.Handle("GET /v1/explain/{id}", h.authorized(http.HandlerFunc(h.explain)))
-	h.mux.Handle("GET /v1/verdict/{kind}/{name}", h.authorized(http.HandlerFunc(h.verdict)))
+	h.mux.Handle("GET /v1/verdict/{kind}/{name}", h.authorized(http.HandlerFunc(h.objectResult)))
 	return h
 }
 
@@ -141,11 +144,11 @@
 	writeJSON(w, http.StatusOK, records)
 }
 
-func (h *Operators) verdict(w http.ResponseWriter, r *http.Request) {
-	v, ok := h.inspect.Verdict(r.PathValue("kind"), r.PathValue("name"))
+func (h *Operators) objectResult(w http.ResponseWriter, r *http.Request) {
+	result, ok := h.inspect.Verdict(r.PathValue("kind"), r.PathValue("name"))
 	if !ok {
 		writeError(w, apierror.New(apierror.UnknownRequest, "no such object is known here"))
 		return
 	}
-	writeJSON(w, http.StatusOK, v)
+	writeJSON(w, http.StatusOK, result)
 }
--- a/api/services.go
+++ b/api/services.go
@@ -17,11 +17,11 @@
 )
 
 // maxBufferedReply is the size in bytes up to which a response of a service is
-// read in full before any of it is sent, so that a truncated one can still be
-// answered with an error status.
+// read in full before it is sent. If such a response is truncated, the caller still
+// gets an error status.
 const maxBufferedReply = 256 << 10
 
-// errTruncatedReply reports that the response of a service ended early.
+// errTruncatedReply reports that the response of a service is incomplete.
 var errTruncatedReply = errors.New("api: the service's answer ended early")
 
 // serveCall handles calls of plain services.
@@ -46,7 +46,7 @@
 	h.forwardReply(w, reply)
 }
 
-// declaredRepeatable reports whether the caller and the service both declare the
+// declaredRepeatable reports whether both the caller and the service declare the
 // call repeatable.
 func (h *Callers) declaredRepeatable(c *dispatch.ServiceRequest) bool {
 	svc := h.config.Snapshot().Services[c.Service]
@@ -97,7 +97,8 @@
 	}
 }
 
-// callHash identifies the call that an idempotency key was first used for.
+// callHash returns a hash of a call, by which a reuse of its idempotency key for
+// another call is detected.
 func callHash(c *dispatch.ServiceRequest) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.Service + "\x00" + c.Call.Method + "\x00" + c.Call.Path + "\x00")
@@ -105,9 +106,10 @@
 	return d.Sum64()
 }
 
-// forwardReply sends the response of a service. A short one is read in full
-// first. A longer one is streamed; if it is truncated, the connection is aborted
-// so that the caller does not take it for complete.
+// forwardReply sends the response of a service. A response of up to
+// maxBufferedReply bytes is read in full first. A longer one is streamed. If it is
+// truncated, the connection to the caller is aborted, since the caller could not
+// otherwise detect that.
 func (h *Callers) forwardReply(w http.ResponseWriter, reply *backend.ServiceReply) {
 	var head bytes.Buffer
 	_, err := io.CopyN(&head, reply.Body, maxBufferedReply)
--- a/api/stream.go
+++ b/api/stream.go
@@ -52,7 +52,7 @@
 }
 
 // eventSink writes a response as server-sent events. The header is sent with the
-// first token, so that an earlier error still gets its own status.
+// first token, so that an earlier error still gets an error status.
 type eventSink struct {
 	h       *Callers
 	w       http.ResponseWriter
@@ -110,8 +110,8 @@
 	return c
 }
 
-// flush sends the buffered event. The stream ends if the caller does not read it
-// within WriteTimeout, so a slow reader holds at most one buffer.
+// flush sends the buffered event. It fails if the caller does not read it within
+// WriteTimeout, so at most one event is buffered for a slow reader.
 func (s *eventSink) flush() error {
 	writeDeadline(s.w, s.h.opts.WriteTimeout)
 	if _, err := s.w.Write(s.buf.Bytes()); err != nil {
@@ -123,7 +123,8 @@
 	return nil
 }
 
-// end writes the completion marker, which only a complete response has.
+// end writes the last events of a complete response: a chunk with Complete set and
+// the [DONE] marker.
 func (s *eventSink) end(out *dispatch.Outcome) {
 	s.start()
 	s.buf.Reset()
