--- a/routing/choose.go
+++ b/routing/choose.go
@@ -17,7 +17,7 @@
 	ErrFull = errors.New("routing: all routes at their limits")
 )
 
-// Loads is the live state of backend servers and links that is combined with the
+// Loads is the live state of backend servers and links. Choose combines it with the
 // weights of a plan. Server indices are those of Plan.Servers.
 type Loads interface {
 	// Load returns the expected requests in flight on the backend server.
@@ -35,8 +35,8 @@
 // Options are the parameters of one choice.
 type Options struct {
 	FailureDomain string          // of this daemon; its backend servers are preferred as head at similar load
-	Avoid         map[string]bool // backend servers that must not be used
-	Warm          []string        // backend servers that probably cache the prompt's prefix
+	Avoid         map[string]bool // names of backend servers that must not be used
+	Warm          []string        // names of backend servers that probably cache the prompt's prefix
 	IgnoreLimits  bool            // set for recovery, which must not queue behind new work
 }
 
@@ -48,19 +48,20 @@
 	Affinity bool    // chosen for its prefix cache
 }
 
-// Costs that affect the choice between backend servers of similar load.
+// Parameters of the choice between backend servers of similar load.
 const (
 	remotePenalty = 1.05 // score factor of a head in another failure domain
-	warmSlack     = 1.3  // factor by which the score of a warm head may exceed that of the cold one
-	warmSlackBase = 2.0  // requests added to that bound, so that warm heads are preferred at low load
+	warmSlack     = 1.3  // a warm head may have the score of the sampled head times this factor
+	warmSlackBase = 2.0  // plus this many requests, so that warm heads are preferred at low load
 )
 
 // samplesPerHop is the number of candidates sampled for each hop.
 const samplesPerHop = 2
 
-// Choose picks a route hop by hop: it samples two candidates by flow weight and
-// takes the less loaded one. Unless it must fall back to a search of all
-// pipelines, it allocates only the route.
+// Choose picks a route hop by hop. For each hop it samples two candidates by flow
+// weight and takes the less loaded one. If that fails, it searches all pipelines.
+// Without a search it allocates only the route. It returns ErrNoRoute or ErrFull if
+// there is no route.
 func Choose(p *Plan, l Loads, o Options, r *rand.Rand) (Choice, error) {
 	if !p.Routable() {
 		return Choice{}, ErrNoRoute
@@ -121,7 +122,7 @@
 }
 
 // walk picks a route hop by hop without backtracking. It returns false if all
-// samples of a hop are inadmissible; search then considers every pipeline.
+// samples of a hop are inadmissible.
 func (c *chooser) walk() (Choice, bool) {
 	var choice Choice
 	at, second := c.pick(c.p.heads, c.p.headCum, c.headScore)
@@ -214,17 +215,17 @@
 	return false
 }
 
-// search finds the pipeline with the lowest sum of scores among all admissible
-// ones. It is the slow path, used when sampling finds none.
+// search finds the admissible pipeline with the lowest sum of scores. It is the slow
+// path, used when sampling finds no pipeline.
 func (c *chooser) search() (Choice, error) {
-	w := c.cheapest(c.score)
-	if w.head < 0 {
+	paths := c.cheapest(c.score)
+	if paths.head < 0 {
 		if c.o.IgnoreLimits || !c.anyWithoutLimits() {
 			return Choice{}, ErrNoRoute
 		}
 		return Choice{}, ErrFull
 	}
-	return c.follow(w), nil
+	return c.follow(paths), nil
 }
 
 // anyWithoutLimits reports whether a pipeline would be admissible without limits.
@@ -238,16 +239,16 @@
 // cheapestPaths holds the cheapest path from every node to the last layer.
 type cheapestPaths struct {
 	head int32   // of the cheapest pipeline, or -1
-	via  []int32 // next node by node, -1 at the end
+	via  []int32 // for each node the next node on its path, -1 at the end
 }
 
 // cheapest computes the cheapest paths over admissible nodes, last layers first.
 func (c *chooser) cheapest(cost func(int32) float64) cheapestPaths {
 	total := make([]float64, len(c.p.Nodes))
-	w := cheapestPaths{head: -1, via: make([]int32, len(c.p.Nodes))}
+	paths := cheapestPaths{head: -1, via: make([]int32, len(c.p.Nodes))}
 	for _, i := range c.p.order {
 		n := &c.p.Nodes[i]
-		w.via[i] = -1
+		paths.via[i] = -1
 		total[i] = math.Inf(1)
 		if !c.admissible(i) {
 			continue
@@ -259,7 +260,7 @@
 		for _, e := range n.next {
 			if t := total[e.to] + c.linkCost(e); t < onward {
 				onward = t
-				w.via[i] = e.to
+				paths.via[i] = e.to
 			}
 		}
 		total[i] = onward + cost(i)
@@ -268,10 +269,10 @@
 	for _, e := range c.p.heads {
 		if total[e.to] < best {
 			best = total[e.to]
-			w.head = e.to
+			paths.head = e.to
 		}
 	}
-	return w
+	return paths
 }
 
 func (c *chooser) linkCost(e edge) float64 {
@@ -282,10 +283,10 @@
 }
 
 // follow returns the route along the cheapest pipeline.
-func (c *chooser) follow(w cheapestPaths) Choice {
+func (c *chooser) follow(paths cheapestPaths) Choice {
 	var choice Choice
 	lo := 0
-	for at := w.head; at >= 0; at = w.via[at] {
+	for at := paths.head; at >= 0; at = paths.via[at] {
 		choice.Route = append(choice.Route, c.p.hop(at, lo))
 		choice.Load = math.Max(choice.Load, c.l.Load(c.p.Nodes[at].Server))
 		lo = c.p.Nodes[at].Layers.Hi
@@ -298,14 +299,15 @@
 const keptLayerWeight = 1e6
 
 // Repair picks the route that keeps the most layers of old on the backend servers
-// that ran them, and among those routes the least loaded. It ignores limits.
+// that ran them. Of several such routes it picks the least loaded. It ignores limits
+// and returns ErrNoRoute if there is no route.
 func Repair(p *Plan, l Loads, o Options, old topology.Route) (Choice, error) {
 	if !p.Routable() {
 		return Choice{}, ErrNoRoute
 	}
 	o.IgnoreLimits = true
 	c := chooser{p: p, l: l, o: &o}
-	w := c.cheapest(func(node int32) float64 {
+	paths := c.cheapest(func(node int32) float64 {
 		n := &p.Nodes[node]
 		cost := c.score(node)
 		if i := old.Index(p.Servers[n.Server].Name); i >= 0 {
@@ -315,8 +317,8 @@
 		}
 		return cost
 	})
-	if w.head < 0 {
+	if paths.head < 0 {
 		return Choice{}, ErrNoRoute
 	}
-	return c.follow(w), nil
+	return c.follow(paths), nil
 }
--- a/routing/plan.go
+++ b/routing/plan.go
@@ -11,8 +11,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// unlimited is the capacity, in tokens per second, of a link that is not known to
-// limit.
+// unlimited is the capacity, in tokens per second, of a link without a known limit.
 const unlimited = 1e12
 
 // defaultCapacity is the capacity, in tokens per second, assumed for a backend
@@ -33,7 +32,7 @@
 	Layers  int
 	Servers []Candidate
 	// Link returns the capacity of a link in tokens per second. If it is nil or
-	// returns 0, the link is not known to limit.
+	// returns 0, the link has no known limit.
 	Link func(from, to int) float64
 }
 
@@ -49,10 +48,10 @@
 
 type edge struct {
 	to   int32
-	id   int32 // index into Plan.Links, -1 for a link that is not known to limit
+	id   int32 // index into Plan.Links, -1 for a link without a known limit
 	cap  float64
 	flow float64
-	cost float64 // of the link, used by balance
+	cost float64 // of the link; set by balancer
 }
 
 // Plan is an immutable routing plan of a model for one class of requests.
@@ -60,8 +59,8 @@
 	Layers  int
 	Servers []Candidate
 	Nodes   []Node
-	Bound   float64 // max flow, tokens per second
-	Cut     []CutItem
+	Bound   float64   // max flow, tokens per second
+	Cut     []CutItem // what limits Bound
 	Links   []PlanLink
 	heads   []edge
 	headCum []float64 // cumulative flow of heads
@@ -116,12 +115,12 @@
 	}
 }
 
-// Routable reports whether some pipeline tiles all layers.
+// Routable reports whether a pipeline tiles all layers.
 func (p *Plan) Routable() bool { return len(p.heads) > 0 }
 
 // Build returns a plan. Each hop runs to the end of the layers that its backend
-// server holds. Any tiling can be shortened to one of this form, so no admissible
-// pipeline is missed.
+// server holds. Every other tiling becomes one of this form if its hops are extended,
+// so a route is found whenever one exists.
 func Build(in Input) *Plan {
 	p := &Plan{Layers: in.Layers, Servers: in.Servers}
 	p.addNodes()
@@ -136,8 +135,8 @@
 	return p
 }
 
-// addNodes adds a node for each range of a backend server, whose capacity is split
-// equally between its disjoint ranges.
+// addNodes adds a node for each range of a backend server. The capacity of a backend
+// server is split equally between its ranges, which are disjoint.
 func (p *Plan) addNodes() {
 	for i := range p.Servers {
 		s := &p.Servers[i]
@@ -251,8 +250,8 @@
 	}
 }
 
-// Limits of balance: as many pushes, between minPushes and maxPushes, as keep the
-// edge visits of one plan below maxEdgeVisits.
+// Limits of balance. The number of pushes is chosen so that one plan makes about
+// maxEdgeVisits edge visits, but at least minPushes and at most maxPushes.
 const (
 	minPushes     = 48
 	maxPushes     = 768
--- a/routing/planner.go
+++ b/routing/planner.go
@@ -29,7 +29,7 @@
 	built    time.Time
 }
 
-// At returns the loads at time now.
+// At returns the loads of the binding's backend servers and links at time now.
 func (b *Binding) At(now time.Time) LoadSnapshot { return LoadSnapshot{b: b, now: now} }
 
 // LoadSnapshot implements Loads for one decision.
@@ -50,8 +50,8 @@
 // Weight implements Loads.
 func (s LoadSnapshot) Weight(i int) float64 { return s.b.servers[i].Weight() }
 
-// LinkLoad implements Loads. Only this daemon's requests on a link are known, so
-// they are scaled by the ratio of the sender's load to this daemon's part of it.
+// LinkLoad implements Loads. The daemon knows only its own requests on a link. It
+// scales them by the ratio of the sender's load to its own requests there.
 func (s LoadSnapshot) LinkLoad(i int) float64 {
 	own := float64(s.b.links[i].InFlight())
 	from := s.b.servers[s.b.Plan.Links[i].From]
@@ -90,8 +90,8 @@
 	return &Planner{table: table, now: now, plans: map[Key]*entry{}}
 }
 
-// Serving returns the plan of the model's version and that version, or those of
-// the previous version while no pipeline holds the new one.
+// Serving returns the plan and the version that new requests use. This is the
+// model's version, or its previous version while no pipeline holds the new one.
 func (p *Planner) Serving(snap *topology.Snapshot, c topology.Class, m *topology.Model, adapter string) (*Binding, string) {
 	b := p.Plan(snap, c, m, adapter)
 	if b.Plan.Routable() || m.Previous == "" {
@@ -201,9 +201,9 @@
 	return declared * factor
 }
 
-// servable returns the layers that a backend server may serve for the class: those
-// that it holds in the model's version with the adapter, and that stages and rules
-// allow.
+// servable returns the layers that a backend server may serve for the class. It must
+// hold them in the model's version and with the adapter, and stages and rules must
+// allow them.
 func servable(snap *topology.Snapshot, c topology.Class, m *topology.Model, adapter string, info *fleet.Info) []topology.LayerRange {
 	var out []topology.LayerRange
 	for i := range info.Holdings {
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -7,8 +7,8 @@
 
 // Prefixes records which backend servers probably cache a prompt's prefix. Entries
 // come from this daemon's requests and from cache events, which are late and
-// incomplete, so they may be wrong. A wrong entry costs a prefill. It is safe for
-// concurrent use.
+// incomplete, so entries may be wrong. A wrong entry costs a prefill. Prefixes is
+// safe for concurrent use.
 type Prefixes struct {
 	mu      sync.Mutex
 	servers map[uint64][]string
