--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -76,14 +76,15 @@
 	killOnce  sync.Once
 }
 
-// Limits of one request that have no setting.
+// Limits of a request that are not settings.
 const (
 	maxAttempts    = 8
 	recoverTimeout = 10 * time.Second
 	moveThreshold  = 5 * time.Second
 )
 
-// New builds a daemon and opens its listeners; Run starts it.
+// New builds a daemon and opens its listeners. Run starts it. New fails if a
+// certificate or the fleet key cannot be read or an address cannot be listened on.
 func New(cfg config.Config, n network.Network, logger log.Logger) (*Daemon, error) {
 	d := &Daemon{cfg: cfg, net: n, killed: make(chan struct{}), logger: log.With(logger, "daemon", cfg.Daemon.Name)}
 	m, err := metrics.New()
@@ -114,8 +115,8 @@
 	return d, nil
 }
 
-// fleetKey reads the key of the fleet. Without a file it generates a random key, so
-// that this daemon cannot link to others.
+// fleetKey reads the key of the fleet. If no file is set, it generates a random key,
+// with which this daemon cannot join others.
 func fleetKey(path string, logger log.Logger) ([]byte, error) {
 	if path != "" {
 		return dispatch.LoadKey(path)
@@ -246,18 +247,19 @@
 	return "http"
 }
 
-// CallersAddr returns the address of the callers' listener.
+// CallersAddr returns the address of the callers' listener as host:port.
 func (d *Daemon) CallersAddr() string { return d.listeners[0].Addr().String() }
 
-// OperatorsAddr returns the address of the operators' listener.
+// OperatorsAddr returns the address of the operators' listener as host:port.
 func (d *Daemon) OperatorsAddr() string { return d.listeners[1].Addr().String() }
 
-// PeersAddr returns the address of the peers' listener.
+// PeersAddr returns the address of the peers' listener as host:port.
 func (d *Daemon) PeersAddr() string { return d.listeners[peersListener].Addr().String() }
 
-// Run serves until ctx ends, then drains: it fails readiness, waits for the load
-// balancer to react, refuses new requests and returns when those in flight have
-// finished or the drain timeout has passed.
+// Run serves until ctx ends and then drains the daemon. To drain, it fails readiness
+// checks, waits for the load balancer to react, refuses new requests and waits until
+// the requests in flight have finished or the drain timeout has passed. It returns an
+// error if a listener fails or if requests outlive the drain timeout.
 func (d *Daemon) Run(ctx context.Context) error {
 	restore := invariant.SetReporter(d.reportViolation)
 	defer restore()
@@ -298,11 +300,12 @@
 	return err
 }
 
-// Kill stops the daemon at once, like a crash: it does not drain, announce its
-// leaving or hand over leases.
+// Kill stops the daemon at once, like a crash. The daemon does not drain, announce
+// that it leaves or hand over leases.
 func (d *Daemon) Kill() { d.killOnce.Do(func() { close(d.killed) }) }
 
-// drain performs the graceful stop. It fails if requests outlive the drain timeout.
+// drain performs the graceful stop. It returns an error if requests outlive the drain
+// timeout.
 func (d *Daemon) drain() error {
 	d.stopping.Store(true)
 	_ = level.Info(d.logger).Log("msg", "stopping", "balancer_delay", d.cfg.Stop.BalancerDelay)
--- a/daemon/inspect.go
+++ b/daemon/inspect.go
@@ -21,7 +21,8 @@
 	errNotPolled = errors.New("backend servers not asked yet")
 )
 
-// Ready implements api.Inspector.
+// Ready implements api.Inspector. It returns the reason why the daemon is not ready,
+// or nil.
 func (d *Daemon) Ready() error {
 	if d.stopping.Load() {
 		return errStopping
@@ -61,8 +62,8 @@
 	}
 	s.Models = d.models()
 	if h := d.leaseManager.Holder(); h.Fencing > 0 {
-		_, mine := d.leaseManager.Held()
-		s.Leases = append(s.Leases, api.LeaseStatus{Name: leasePlacement, Holder: h.Holder, Fencing: h.Fencing, Mine: mine})
+		_, held := d.leaseManager.Held()
+		s.Leases = append(s.Leases, api.LeaseStatus{Name: leasePlacement, Holder: h.Holder, Fencing: h.Fencing, Mine: held})
 	}
 	for _, m := range d.node.Members() {
 		s.Peers = append(s.Peers, api.PeerStatus{
@@ -73,8 +74,7 @@
 	return s
 }
 
-// models returns the bound of each model for requests without restrictions, sorted
-// by model.
+// models returns the bound of each model for unrestricted requests, sorted by model.
 func (d *Daemon) models() []api.ModelStatus {
 	snap := d.catalog.Snapshot()
 	var out []api.ModelStatus
--- a/daemon/limits.go
+++ b/daemon/limits.go
@@ -30,9 +30,9 @@
 	l.calls = dispatch.NewCallLimits(l.declared, l.sends, permitAdapter{d})
 }
 
-// linkLimits connects this daemon's shares of the limits with those of other
-// daemons. The limits themselves are not exchanged, since every daemon has them
-// from the configuration. It must be called after buildNode.
+// linkLimits creates the permit node, which shares the declared limits with other
+// daemons. The limits themselves are not exchanged, since every daemon reads them from
+// the configuration. It must be called after buildNode.
 func (d *Daemon) linkLimits() {
 	l := &d.limits
 	l.node = permit.New(permit.Options{
@@ -71,7 +71,7 @@
 	d.metrics.Limits(len(rates))
 }
 
-// permitAdapter implements dispatch.Permits for parts that are built before
+// permitAdapter implements dispatch.Permits for components that are built before
 // limits.node is set.
 type permitAdapter struct{ d *Daemon }
 
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -17,10 +17,10 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// roleEntry is the role of VMs that run daemons in the platform's VM list.
+// roleEntry is the role that the platform's VM list gives to VMs that run daemons.
 const roleEntry = "entry"
 
-// buildNode creates the peer node that makes this daemon a member of the fleet.
+// buildNode creates the peer node, with which this daemon joins the fleet.
 func (d *Daemon) buildNode() {
 	self := peer.Member{
 		Name: d.cfg.Daemon.Name, Address: d.PeersAddr(), FailureDomain: d.cfg.Daemon.FailureDomain,
@@ -81,7 +81,7 @@
 	})
 }
 
-// applyVMs applies a VM list: leaving VMs get no new requests, and live entry VMs
+// applyVMs applies a VM list. Leaving VMs get no new requests, and live entry VMs
 // become seeds. All daemons use the same port for peers.
 func (d *Daemon) applyVMs(vms []store.VM) {
 	d.table.SetVMs(vms)
@@ -101,7 +101,7 @@
 	return out
 }
 
-// peerAdapter gives parts that are built before the peer node access to it.
+// peerAdapter gives access to the peer node to components that are built before it.
 type peerAdapter struct{ d *Daemon }
 
 // Owns implements monitor.Owner.
--- a/daemon/placement.go
+++ b/daemon/placement.go
@@ -26,8 +26,8 @@
 	})
 }
 
-// placeWeights competes for the placement lease and places weights while it is
-// held. Only daemons that follow the store do, so that reads of the lease do not
+// placeWeights competes for the placement lease and places weights while it holds the
+// lease. Only daemons that follow the store compete, so that reads of the lease do not
 // grow with the fleet.
 func (d *Daemon) placeWeights(ctx context.Context) {
 	if !d.cfg.Place.Enabled {
--- a/store/httpstore/client.go
+++ b/store/httpstore/client.go
@@ -21,8 +21,8 @@
 // HeaderRevision carries the store's revision on a list response.
 const HeaderRevision = "X-Store-Revision"
 
-// maxObjectBytes bounds one encoded object: a spec of the maximum size in
-// base64 and the other fields.
+// maxObjectBytes bounds one encoded object, which holds a spec of up to
+// store.MaxValueBytes in base64 and the other fields.
 const maxObjectBytes = 2 * store.MaxValueBytes
 
 // maxListBytes bounds a list response.
--- a/store/position.go
+++ b/store/position.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// Position is a point in the history of a store: an era and, within it, a
-// revision. A store that is restored from an older copy issues revisions again
-// and increments its era, so the era is the more significant part. Positions
-// compare as numbers. The zero Position precedes all others and marks the
-// absence of a position.
+// Position is a point in the history of a store. It consists of an era and a
+// revision within the era. A store that is restored from an older copy increments
+// its era and issues some revisions again, so the era is the more significant
+// part. Positions compare as numbers. The zero Position precedes all others and
+// stands for no position.
 type Position uint64
 
-// revisionBits is the width of the revision in a position. It lasts 8,900 years
-// at a thousand changes a second and leaves room for 65,535 eras.
+// revisionBits is the width of the revision in a position. 48 bits suffice for
+// 8,900 years at a thousand changes a second. The other 16 bits allow 65,535 eras.
 const revisionBits = 48
 
 // FirstEra is the era of a store that has never been restored. A store that
@@ -22,7 +22,7 @@
 	return Position(era<<revisionBits | revision&(1<<revisionBits-1))
 }
 
-// Era returns the era, 0 for a store that does not report eras.
+// Era returns the era. It is 0 for a store that does not report eras.
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
 // Revision returns the revision within the era.
--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,6 @@
 // Package store defines the interfaces of the platform: the object store with
-// versions, conditional updates and watches, and the list of VMs. Wire formats
-// are defined in the adapters below this package.
+// versions, conditional updates and watches, and the list of VMs. The packages
+// below this one implement the wire formats.
 package store
 
 import (
@@ -17,8 +17,8 @@
 	// ErrAmbiguous is returned when a write may have taken effect because the
 	// response was lost.
 	ErrAmbiguous = errors.New("store: outcome of the write unknown")
-	// ErrCompacted is returned when a watch asks for changes that are no longer
-	// kept.
+	// ErrCompacted is returned when a watch starts at a version whose later changes
+	// are no longer kept.
 	ErrCompacted = errors.New("store: watch revision compacted")
 	// ErrRestored is returned when the store was restored from an older copy.
 	// Everything read in the previous era must be read again.
@@ -55,10 +55,13 @@
 	// the object must not exist. It returns the new version, ErrConflict, or
 	// ErrAmbiguous if the response was lost.
 	Put(ctx context.Context, kind, name string, spec []byte, ifVersion Position) (Position, error)
-	// Delete removes the object if its version is still ifVersion.
+	// Delete removes the object if its version is still ifVersion. It returns the
+	// version of the deletion, ErrNotFound, ErrConflict, or ErrAmbiguous if the
+	// response was lost.
 	Delete(ctx context.Context, kind, name string, ifVersion Position) (Position, error)
 	// Watch calls fn for each change of the kinds with a version above since,
-	// until ctx ends or the watch breaks. Changes may be repeated or skipped.
+	// until ctx ends or the watch breaks. Changes may be repeated or skipped. It
+	// returns ErrCompacted if changes since that version are no longer kept.
 	Watch(ctx context.Context, kinds []string, since Position, fn func(Object)) error
 }
 
@@ -82,6 +85,7 @@
 
 // VMLister returns the platform's VMs. The list may be out of date.
 type VMLister interface {
+	// ListVMs returns all VMs of the list.
 	ListVMs(ctx context.Context) ([]VM, error)
 }
 
