--- a/apierror/kind.go
+++ b/apierror/kind.go
@@ -48,7 +48,7 @@
 	Internal           Kind = "internal"
 )
 
-// Ran says whether any part of the request was executed by a backend server.
+// Ran states whether a backend server executed any part of the request.
 type Ran string
 
 // The values of Ran.
@@ -71,17 +71,17 @@
 // Error is an error with a Kind.
 type Error struct {
 	Kind       Kind
-	Detail     string
+	Detail     string        // sent to the caller
 	RetryAfter time.Duration // overrides the value of the table when positive
-	Err        error
+	Err        error         // the wrapped error, if any
 }
 
-// New returns an Error of kind k with a formatted detail.
+// New returns an Error of kind k whose detail is formatted like fmt.Sprintf.
 func New(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error of kind k that wraps err.
+// Wrap returns an Error of kind k that wraps err and has its text as detail.
 func Wrap(k Kind, err error) *Error {
 	return &Error{Kind: k, Detail: err.Error(), Err: err}
 }
--- a/apierror/table.go
+++ b/apierror/table.go
@@ -11,7 +11,8 @@
 // closed. It appears only in logs and metrics.
 const statusClientClosed = 499
 
-// table has the order of the kinds. docs/ERRORS.md is generated from it.
+// table lists the kinds in the order of their constants. docs/ERRORS.md is generated
+// from it.
 var table = []Answer{
 	{BadRequest, http.StatusBadRequest, RanNo, false, 0, "the request could not be parsed or a field is invalid"},
 	{BodyTooLarge, http.StatusRequestEntityTooLarge, RanNo, false, 0, "the body exceeds the limit in the settings"},
@@ -63,7 +64,7 @@
 	return byKind[Internal]
 }
 
-// All returns the rows in order.
+// All returns a copy of the rows of the table, in order.
 func All() []Answer { return append([]Answer(nil), table...) }
 
 // Markdown renders the table as docs/ERRORS.md.
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -1,5 +1,5 @@
-// Package backend defines the interfaces of model engines and plain services.
-// Wire formats are defined in the adapters below this package.
+// Package backend defines the interfaces of model engines and plain services. The
+// packages below this one implement the wire formats.
 package backend
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Sentinel errors of engine and service calls, beside those of package execution.
+// Sentinel errors of engine calls, in addition to those of package execution.
 var (
 	// ErrGone is returned when the engine no longer keeps the stream.
 	ErrGone = errors.New("backend: stream not kept")
@@ -19,8 +19,8 @@
 	ErrUnsupported = errors.New("backend: not supported")
 )
 
-// HopError attributes an error to a backend server of the route other than the
-// one that was called.
+// HopError is an error caused by another backend server of the route than the one
+// that was called.
 type HopError struct {
 	BackendServer string
 	Err           error
@@ -93,7 +93,7 @@
 // HopLoad is the load of one hop, carried on some events.
 type HopLoad struct {
 	BackendServer string  `json:"server"`
-	InFlight      int     `json:"inFlight"` // requests on the backend server, of all daemons
+	InFlight      int     `json:"inFlight"` // requests of all daemons on the backend server
 	TokenSeconds  float64 `json:"tokenSec"` // latest time of one token in this hop
 	LinkSeconds   float64 `json:"linkSec"`  // latest time of one token on the link to NextHop
 	Capacity      float64 `json:"capacity"` // measured tokens per second, 0 when unknown
@@ -101,10 +101,12 @@
 	NextHop       string  `json:"next"`     // backend server at the other end of the link
 }
 
-// Stream yields the events of a request. Next blocks; it returns execution.ErrLost when
-// the connection ends without a final event.
+// Stream yields the events of a request.
 type Stream interface {
+	// Next blocks until the next event. It returns execution.ErrLost when the
+	// connection ends without a final event.
 	Next() (Event, error)
+	// Close closes the connection.
 	Close() error
 }
 
@@ -114,8 +116,10 @@
 	Address       string // host:port
 }
 
-// Engine is the client interface of model engines.
+// Engine is the client interface of model engines. Errors wrap those of package
+// execution or the sentinel errors of this package.
 type Engine interface {
+	// Generate starts an attempt of a request and returns its stream.
 	Generate(ctx context.Context, t Target, g *Generate) (Stream, error)
 	// Resume continues a stream of the same attempt from an index without
 	// running any token again. It returns ErrGone when the engine no longer
@@ -124,10 +128,14 @@
 	// Cancel ends an attempt and fences it: from then on the engine refuses
 	// this attempt and all earlier ones of the request.
 	Cancel(ctx context.Context, t Target, requestID string, attempt int) error
+	// Status returns the engine's report of its own state.
 	Status(ctx context.Context, t Target) (Status, error)
 	// ExportKV moves the request's KV cache of some layers to another backend
-	// server and returns the handle under which it is imported.
+	// server and returns the handle under which it is imported. It returns
+	// ErrUnsupported when the engine cannot do that.
 	ExportKV(ctx context.Context, t Target, e ExportKV) (handle string, err error)
+	// Order asks the engine to change its holdings or its role. It returns ErrFenced
+	// when the order carries an old fencing number.
 	Order(ctx context.Context, t Target, o Order) error
 	// CacheEvents calls fn for each event until ctx ends or the stream breaks.
 	CacheEvents(ctx context.Context, t Target, fn func(CacheEvent)) error
@@ -195,7 +203,7 @@
 }
 
 // CacheEvent reports that a prompt prefix entered or left an engine's cache.
-// Events arrive late and with gaps, which show in Seq.
+// Events arrive late, and some are missing, which shows in Seq.
 type CacheEvent struct {
 	BackendServer string `json:"server"`
 	Seq           uint64 `json:"seq"`
--- a/backend/httpbackend/engine.go
+++ b/backend/httpbackend/engine.go
@@ -123,8 +123,8 @@
 	return &stream{body: resp.Body, sse: newSSEReader(resp.Body)}, nil
 }
 
-// send makes one HTTP call and turns every outcome but success into an error
-// that wraps the strongest statement about execution that is certain.
+// send makes one HTTP call. Every outcome except success becomes an error that wraps
+// the strongest statement about execution that is certain.
 func (e *Engines) send(ctx context.Context, t backend.Target, method, path string, in any) (*http.Response, error) {
 	var body io.Reader
 	if in != nil {
@@ -152,9 +152,9 @@
 	return resp, nil
 }
 
-// sendOnce sends req and prevents any replay by the transport. An error before
-// a connection was obtained wraps execution.ErrNotSent; after that the outcome
-// is unknown and the error wraps execution.ErrLost.
+// sendOnce sends req and prevents the transport from sending it again. An error before
+// a connection was obtained wraps execution.ErrNotSent. After that the outcome is
+// unknown and the error wraps execution.ErrLost.
 func sendOnce(hc *http.Client, req *http.Request) (*http.Response, error) {
 	// With GetBody set the transport may send the body a second time.
 	req.GetBody = nil
--- a/backend/httpbackend/service.go
+++ b/backend/httpbackend/service.go
@@ -29,8 +29,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Call implements backend.Services. Any status of the service is a reply,
-// except a server error with HeaderRan set to RanNo: that is a refusal.
+// Call implements backend.Services. A response with any status is a reply, except a
+// server error with HeaderRan set to RanNo, which is a refusal.
 func (s *Services) Call(ctx context.Context, t backend.Target, c *backend.ServiceCall) (*backend.ServiceReply, error) {
 	req, err := http.NewRequestWithContext(ctx, c.Method, s.scheme+"://"+t.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
--- a/backend/httpbackend/wire.go
+++ b/backend/httpbackend/wire.go
@@ -18,15 +18,15 @@
 	PathCache    = "/v1/cache-events"
 )
 
-// HeaderRan states whether an engine or service ran the request. An error
-// response without the value RanNo leaves that open.
+// HeaderRan states whether an engine or service ran the request. If an error
+// response lacks it or has a value other than RanNo, the request may have run.
 const HeaderRan = "X-Ran"
 
 // RanNo is the value of HeaderRan that makes an error response a refusal.
 const RanNo = "no"
 
-// HeaderHop names the backend server that caused a head's refusal: one that the
-// head could not reach, or that does not hold its layers.
+// HeaderHop names the later backend server of the route because of which a head
+// refused: the head could not reach it, or it does not hold its layers.
 const HeaderHop = "X-Hop"
 
 // HeaderRequestID carries the request ID to plain services.
--- a/backend/service.go
+++ b/backend/service.go
@@ -15,8 +15,8 @@
 	Body      []byte
 }
 
-// ServiceReply is the reply of a service. Reading Body returns io.EOF only
-// after the complete reply has arrived.
+// ServiceReply is the reply of a service. Reading Body returns io.EOF only after
+// the complete reply. The receiver must close it.
 type ServiceReply struct {
 	Status int
 	Header http.Header
@@ -26,5 +26,6 @@
 // Services is the client interface of plain services. Its errors wrap those of
 // package execution.
 type Services interface {
+	// Call sends a call once and returns the reply.
 	Call(ctx context.Context, t Target, c *ServiceCall) (*ServiceReply, error)
 }
--- a/topology/layers.go
+++ b/topology/layers.go
@@ -1,6 +1,6 @@
-// Package topology defines what requests are routed over: backend servers,
-// stages, models, workspaces, services, failure domains, labels and selectors,
-// and the pipelines (routes) built from them. It does no I/O.
+// Package topology defines the objects that routing depends on, such as backend
+// servers, stages, models, workspaces, services, labels and selectors, and the
+// routes (pipelines) built from them. It does no I/O.
 package topology
 
 import (
@@ -30,7 +30,7 @@
 // String returns the range as [lo,hi).
 func (r LayerRange) String() string { return fmt.Sprintf("[%d,%d)", r.Lo, r.Hi) }
 
-// Hop is one step of a route: a backend server and the layers it runs.
+// Hop is one step of a route: a backend server and the layers that it runs.
 type Hop struct {
 	BackendServer string     `json:"backendServer"`
 	Address       string     `json:"address"`
--- a/topology/objects.go
+++ b/topology/objects.go
@@ -37,16 +37,16 @@
 	Name            string  `json:"-"`
 	Address         string  `json:"address"`         // host:port of the engine
 	FailureDomain   string  `json:"failureDomain"`   // shared by machines that may fail together
-	Region          string  `json:"region"`          // region of the failure domain
+	Region          string  `json:"region"`          // of the failure domain
 	Accelerator     string  `json:"accelerator"`     // kind of accelerator
 	TokensPerSecond float64 `json:"tokensPerSecond"` // declared capacity, until one is measured
 	MemoryBytes     int64   `json:"memoryBytes"`     // for weights
 	ChecksFencing   bool    `json:"checksFencing"`   // refuses orders with an old fencing number
 	Links           []Link  `json:"links"`           // capacity to next hops; the first match applies
 	Labels          Labels  `json:"labels"`
-	// RequestsPerSecond limits the requests of all daemons together, as any hop
-	// of a route; nil for no limit. A server with limit 0 is still called
-	// occasionally.
+	// RequestsPerSecond limits the requests of all daemons together in which the
+	// backend server is a hop; nil for no limit. A server with limit 0 is still
+	// called occasionally.
 	RequestsPerSecond *float64 `json:"requestsPerSecond,omitempty"`
 }
 
@@ -78,10 +78,10 @@
 	Layers        int      `json:"layers"`
 	Version       string   `json:"version"`         // used for new requests
 	Previous      string   `json:"previousVersion"` // used while no route holds Version
-	Adapters      []string `json:"adapters"`        // adapters that requests may name
+	Adapters      []string `json:"adapters"`        // that requests may name
 	BytesPerLayer int64    `json:"layerBytes"`      // weight size of one layer
 	QueueLimit    int      `json:"queueLimit"`      // requests that may wait at one daemon
-	MaxTokens     int      `json:"maxTokens"`       // longest answer
+	MaxTokens     int      `json:"maxTokens"`       // of an answer; 0 for no limit
 	KVTokenBytes  int64    `json:"kvTokenByte"`     // KV cache bytes of one token and layer
 }
 
@@ -122,7 +122,7 @@
 	Weight            float64  `json:"weight"`            // share in the fair queue; 0 means 1
 	Priority          int      `json:"priority"`          // highest priority that its requests may have
 	RequestsPerSecond float64  `json:"requestsPerSecond"` // limit across all daemons; 0 means none
-	Burst             int      `json:"burst"`             // requests allowed at once above the rate
+	Burst             int      `json:"burst"`             // requests allowed at once
 }
 
 // FairWeight returns the workspace's weight in the fair queue.
--- a/topology/parse.go
+++ b/topology/parse.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// ErrInvalid is wrapped by every error of Parse.
+// ErrInvalid is wrapped by every error of Parse and ParseSelector.
 var ErrInvalid = errors.New("invalid object")
 
 // Limits of an object's size and contents.
@@ -25,7 +25,8 @@
 
 // Parse decodes and validates the spec of a configuration object. The result
 // depends on the arguments alone, so that all daemons accept the same objects.
-// All faults are returned together, each with a hint on how to fix it.
+// All faults are returned together, each with a hint on how to fix it. The error
+// wraps ErrInvalid.
 func Parse(kind Kind, name string, spec []byte) (any, error) {
 	if len(spec) > maxSpecBytes {
 		return nil, fmt.Errorf("%w: %s %s: spec of %d bytes, at most %d", ErrInvalid, kind, name, len(spec), maxSpecBytes)
--- a/topology/selector.go
+++ b/topology/selector.go
@@ -17,7 +17,8 @@
 	sel  labels.Selector
 }
 
-// ParseSelector compiles text; an empty text matches everything.
+// ParseSelector compiles text. An empty text matches everything. An error wraps
+// ErrInvalid.
 func ParseSelector(text string) (Selector, error) {
 	sel, err := labels.Parse(text)
 	if err != nil {
--- a/topology/snapshot.go
+++ b/topology/snapshot.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// CallLimits returns the declared RequestsPerSecond by name: of backend servers
-// and, by EndpointID, of the endpoints of services.
+// CallLimits returns the declared RequestsPerSecond of backend servers by name, and
+// of the endpoints of services by EndpointID.
 func (s *Snapshot) CallLimits() map[string]float64 {
 	limits := map[string]float64{}
 	for name, b := range s.BackendServers {
@@ -70,13 +70,13 @@
 	}
 }
 
-// ShareTokens reuses the token index of an earlier snapshot with the same
-// workspaces.
+// ShareTokens reuses the token index of an earlier snapshot. The workspaces must be
+// the same.
 func (s *Snapshot) ShareTokens(from *Snapshot) { s.tokens = from.tokens }
 
 // WorkspaceOf returns the workspace that the token belongs to, or nil. Tokens
-// are looked up by their hash, so that timing reveals nothing about a token;
-// the stored hash is compared again in constant time.
+// are looked up by their hash, so that timing reveals nothing about a token. The
+// stored hash is then compared in constant time.
 func (s *Snapshot) WorkspaceOf(token string) *Workspace {
 	sum := sha256.Sum256([]byte(token))
 	w := s.tokens[sum]
@@ -120,8 +120,9 @@
 }
 
 // Allowed returns the parts of held that the backend server may serve for a
-// request of the class: the layers of stages whose selector admits the backend
-// server and that some rule of the class admits. Ranges are merged and sorted.
+// request of the class. A part is allowed if it belongs to a stage whose selector
+// matches the backend server, and if a rule of the class admits the stage and the
+// backend server. Ranges are merged and sorted.
 func (s *Snapshot) Allowed(c Class, m *Model, b *BackendServer, held LayerRange) []LayerRange {
 	var parts []LayerRange
 	for _, st := range s.Stages[m.Name] {
