--- a/admission/budget_test.go
+++ b/admission/budget_test.go
@@ -26,7 +26,7 @@
 				retries = append(retries, now)
 			}
 		}
-		// Requests of the window and of the one before it may earn its retries.
+		// Retries may be earned by requests of their window or the one before.
 		for _, end := range retries {
 			spent := 0
 			for _, r := range retries {
--- a/api/once.go
+++ b/api/once.go
@@ -33,8 +33,7 @@
 	return context.WithDeadline(context.WithoutCancel(ctx), deadline)
 }
 
-// teeSink collects a response. It also streams the response to the caller until a
-// write fails.
+// teeSink collects a response. It also streams it to the caller, until a write fails.
 type teeSink struct {
 	stream     *eventSink // nil unless the caller asked for a stream
 	callerGone bool       // a write to the caller has failed
--- a/api/services.go
+++ b/api/services.go
@@ -16,12 +16,12 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// maxBufferedReply is the size in bytes up to which a response of a service is
-// read in full before it is sent. If such a response is truncated, the caller still
-// gets an error status.
+// maxBufferedReply is the size in bytes up to which the reply of a service is read
+// in full before it is sent. If such a reply is truncated, the caller still gets an
+// error status.
 const maxBufferedReply = 256 << 10
 
-// errTruncatedReply reports that the response of a service is incomplete.
+// errTruncatedReply reports that the reply of a service is incomplete.
 var errTruncatedReply = errors.New("api: the service's answer ended early")
 
 // serveCall handles calls of plain services.
@@ -106,7 +106,7 @@
 	return d.Sum64()
 }
 
-// forwardReply sends the response of a service. A response of up to
+// forwardReply sends the reply of a service to the caller. A reply of up to
 // maxBufferedReply bytes is read in full first. A longer one is streamed. If it is
 // truncated, the connection to the caller is aborted, since the caller could not
 // otherwise detect that.
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -19,7 +19,7 @@
 	ErrUnsupported = errors.New("backend: not supported")
 )
 
-// HopError is an error caused by another backend server of the route than the one
+// HopError is an error caused by a backend server of the route other than the one
 // that was called.
 type HopError struct {
 	BackendServer string
@@ -73,7 +73,7 @@
 	EventToken   EventType = "token"
 	EventDone    EventType = "done"
 	EventRefused EventType = "refused" // not run
-	EventFailed  EventType = "failed"  // a stage failed while running
+	EventFailed  EventType = "failed"  // a hop failed while running
 )
 
 // Event is one event of a stream.
@@ -87,10 +87,10 @@
 	FinishReason string    `json:"finish,omitempty"`
 	Reason       string    `json:"reason,omitempty"`
 	Failed       string    `json:"failed,omitempty"` // backend server that failed
-	Loads        []HopLoad `json:"loads,omitempty"`
+	Loads        []HopLoad `json:"loads,omitempty"`  // on some events
 }
 
-// HopLoad is the load of one hop, carried on some events.
+// HopLoad is a report of the load of one hop.
 type HopLoad struct {
 	BackendServer string  `json:"server"`
 	InFlight      int     `json:"inFlight"` // requests of all daemons on the backend server
@@ -141,7 +141,7 @@
 	CacheEvents(ctx context.Context, t Target, fn func(CacheEvent)) error
 }
 
-// Role is the phase of generation that an engine serves.
+// Role is the phase of generation that an engine runs.
 type Role string
 
 // The engine roles.
--- a/backend/httpbackend/wire.go
+++ b/backend/httpbackend/wire.go
@@ -25,8 +25,8 @@
 // RanNo is the value of HeaderRan that makes an error response a refusal.
 const RanNo = "no"
 
-// HeaderHop names the later backend server of the route because of which a head
-// refused: the head could not reach it, or it does not hold its layers.
+// HeaderHop names the later hop that caused a head's refusal. Either the head could
+// not reach that hop, or the hop does not hold its layers.
 const HeaderHop = "X-Hop"
 
 // HeaderRequestID carries the request ID to plain services.
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -12,7 +12,7 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// errStalled ends an attempt whose next token did not arrive within the bound.
+// errStalled ends an attempt whose next token did not arrive in time.
 var errStalled = errors.New("dispatch: no token within the bound")
 
 // errMoving ends an attempt whose stream continues on another route.
@@ -166,7 +166,7 @@
 	return result{err: err, failed: server}
 }
 
-// readEvents processes events until the attempt ends.
+// readEvents processes events until the attempt ends or its stream should move.
 func (r *run) readEvents(ctx, actx context.Context, s backend.Stream, watch *watchdog) result {
 	bound, ceiling := r.d.opts.FirstToken, r.d.opts.FirstToken
 	for {
@@ -244,8 +244,8 @@
 	return nil
 }
 
-// recordTimes records the time to the first token, the gap between tokens and the
-// gap of a recovery.
+// recordTimes records the time to the first token, the time between tokens and the
+// pause of a recovery.
 func (r *run) recordTimes() {
 	now := r.d.clock()
 	if r.firstAt.IsZero() {
--- a/dispatch/policy_test.go
+++ b/dispatch/policy_test.go
@@ -89,7 +89,7 @@
 )
 
 // overload sends factor times the bound: half of it from one greedy workspace, the
-// rest from the modest ones, and a tenth of all requests with high priority.
+// rest from the modest ones. A tenth of all requests have high priority.
 func overload(s simSpec, factor float64) overloadResult {
 	l := newSim(s)
 	bound := l.bound()
@@ -158,8 +158,8 @@
 
 // shares compares the tokens that modest workspaces got with their fair share: an
 // equal part of all tokens served, or what they requested if that is less. It
-// returns the lowest ratio, which varies a lot with few requests, and the ratio of
-// all together.
+// returns the lowest ratio, which varies a lot if there are few requests, and the
+// ratio of all together.
 func shares(served, requested map[string]float64) (least, mean float64) {
 	sum := 0.0
 	for _, n := range served {
@@ -311,8 +311,9 @@
 	}
 }
 
-// interrupted returns the gaps of the streams that were open at a time, and the
-// gaps if each stream had restarted from its first token.
+// interrupted returns the gaps at the given time of the streams that were open then.
+// restarts are the gaps that restarting each stream from its first token would have
+// caused.
 func interrupted(rs []*result, at time.Time) (gaps, restarts []time.Duration) {
 	for _, r := range rs {
 		for i := 1; i < len(r.times); i++ {
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -223,7 +223,7 @@
 }
 
 // runResumed reads the stream from its first token, so that the request can be
-// recovered if a stage fails later. The caller gets only the tokens it lacks.
+// recovered if a hop fails later. The caller gets only the tokens that it lacks.
 func (r *run) runResumed(ctx context.Context) error {
 	if err := r.resolve(); err != nil {
 		return apierror.New(apierror.StaleEventID, "%v", err)
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -1,6 +1,6 @@
 // Package dispatch runs requests: the gate admits a request, an attempt sends it
 // along a route, delivery passes its tokens to the caller once and in order, and
-// recovery continues it on another route when a stage fails.
+// recovery continues it on another route when a hop fails.
 package dispatch
 
 import (
@@ -20,14 +20,14 @@
 	Adapter    string
 	Prompt     string
 	Messages   []backend.Message
-	MaxTokens  int
+	MaxTokens  int // of the answer; 0 means the model's limit or the default
 	Sampling   backend.Sampling
-	Priority   int
+	Priority   int // higher goes first
 	Labels     topology.Labels
-	Repeatable bool
-	Deadline   time.Time
-	BodyHash   uint64 // binds event IDs to the request body
-	CacheKey   uint64 // hash of the prompt's prefix; 0 means none
+	Repeatable bool      // a second execution is allowed
+	Deadline   time.Time // zero for none
+	BodyHash   uint64    // binds event IDs to the request body
+	CacheKey   uint64    // hash of the prompt's prefix; 0 means none
 }
 
 // Token is one token of an answer.
@@ -47,7 +47,7 @@
 type Outcome struct {
 	RequestID    string
 	Version      string // of the model
-	Tokens       int
+	Tokens       int    // of the answer so far
 	FinishReason string
 	Attempts     int
 }
@@ -57,7 +57,9 @@
 
 // HealthSink receives observations of backend servers made by requests.
 type HealthSink interface {
+	// Signal records what a request observed of the backend server.
 	Signal(server string, s Signal)
+	// Load records the load of a hop.
 	Load(l backend.HopLoad)
 	// GapBound returns the longest acceptable time between two tokens on a route,
 	// from the state of its hops and the gaps of this stream.
--- a/execution/life.go
+++ b/execution/life.go
@@ -1,7 +1,7 @@
-// Package execution tracks whether a request ran. Its state machine, used for
-// model requests, plain services and the platform's requests, asserts that a
-// request that is not repeatable is in progress at most once, and that a request
-// that may have run is never answered as not run.
+// Package execution tracks whether a request ran. Its state machine is used for
+// model requests, plain services and the platform's requests. It asserts that a
+// request that is not repeatable is in progress at most once, and that the answer to
+// a request that may have run never states that it did not run.
 package execution
 
 import (
@@ -14,13 +14,14 @@
 // State is what is known about the execution of a request.
 type State uint8
 
-// The states. Only NotSent and Refused allow an answer of not run.
+// The states. Only NotSent and Refused allow the answer that the request did not
+// run.
 const (
 	NotSent   State = iota // no byte was written to a connection
 	Sent                   // written, no explicit answer yet
 	Refused                // the backend server reported that it did not run
 	Delivered              // the complete answer was received
-	Unknown                // contact was lost, or a stage failed, after sending
+	Unknown                // contact was lost, or a hop failed, after sending
 )
 
 // String returns the state's name.
@@ -52,7 +53,7 @@
 	state      State
 	ran        bool // an attempt ran, at least in part
 	repeatable bool
-	sends      int // executions that may have begun
+	sends      int // executions that may have started
 }
 
 // New returns the Tracker of a request that was not sent yet.
--- a/execution/life_test.go
+++ b/execution/life_test.go
@@ -13,11 +13,11 @@
 )
 
 // After any sequence of legal transitions, a request that is not repeatable must be
-// in progress at most once, and an answer of not run must mean that nothing ran.
+// in progress at most once, and an answer that it did not run must be correct.
 func TestAnswerMatchesExecution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := New(rapid.Bool().Draw(t, "repeatable"))
-		executions := 0 // executions that may have begun
+		executions := 0 // that may have started
 		for range rapid.IntRange(1, 12).Draw(t, "steps") {
 			to := State(rapid.IntRange(int(NotSent), int(Unknown)).Draw(t, "to"))
 			if !Legal(tracker.state, to, tracker.repeatable) {
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -19,7 +19,7 @@
 	sends   []error // nil means a complete answer
 	retries int
 	cancel  context.CancelFunc
-	endAt   int // sends after which the context ends, 0 means never
+	endAt   int // number of sends after which the context ends, 0 means never
 	made    int
 	ran     int // sends that may have run
 }
@@ -84,8 +84,8 @@
 	})
 }
 
-// A deadline that passes while the request is not known to run must not be answered
-// as if it had run.
+// If a deadline passes while the request is not known to run, the answer must not
+// state that it ran.
 func TestEndedMatchesState(t *testing.T) {
 	passed, cancel := context.WithDeadline(context.Background(), time.Now().Add(-time.Second))
 	defer cancel()
--- a/topology/objects.go
+++ b/topology/objects.go
@@ -85,7 +85,7 @@
 	KVTokenBytes  int64    `json:"kvTokenByte"`     // KV cache bytes of one token and layer
 }
 
-// Weight returns the size in bytes of the weights of some layers.
+// Weight returns the size in bytes of the weights of the layers.
 func (m *Model) Weight(layers LayerRange) int64 { return m.BytesPerLayer * int64(layers.Hi-layers.Lo) }
 
 // HasAdapter reports whether a request may name the adapter; "" is always
