--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine decides which requests are withheld from backend servers because
-// backend servers crash when they run them. It does no I/O: callers pass in times and
-// evidence. The dispatcher consults it before each send, and daemons exchange its entries.
+// Package quarantine decides which requests are no longer sent because backend servers
+// crash when they run them. It does no I/O: callers pass in times and evidence. A daemon
+// consults it before each send, and daemons exchange its entries.
 package quarantine
 
 import (
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxRecordEntries bounds the requests of a record, and thereby its size, at about 100 bytes
-// each. Quarantined requests are few in practice.
+// MaxRecordEntries is the maximum number of entries of a record. Each takes about 100 bytes.
+// Quarantined requests are few in practice.
 const MaxRecordEntries = 128
 
 // ErrRecord is returned for a record that cannot be decoded.
@@ -24,20 +24,21 @@
 	At     int64 // Unix milliseconds of the writer's clock
 }
 
-// recordEntry is an Entry in a record. It has no ServedAt: a request that was served last is
-// not quarantined.
+// recordEntry is an Entry in a record. It has no ServedAt: only quarantined requests are
+// recorded, and serving a request ends its quarantine.
 type recordEntry struct {
 	_       struct{} `cbor:",toarray"`
-	Print   uint64
+	FP      uint64   // fingerprint of the request
 	Ends    []recordEnd
 	TriedAt int64 // Unix milliseconds of the writer's clock, 0 for never
 }
 
-// EncodeRecord returns the form of entries for storage that outlives the daemons.
+// EncodeRecord returns entries in the form in which they are stored. The record outlives the
+// daemons.
 func EncodeRecord(entries []Entry) ([]byte, error) {
 	out := make([]recordEntry, 0, len(entries))
 	for _, e := range entries {
-		r := recordEntry{Print: uint64(e.Fingerprint)}
+		r := recordEntry{FP: uint64(e.Fingerprint)}
 		if !e.TriedAt.IsZero() {
 			r.TriedAt = e.TriedAt.UnixMilli()
 		}
@@ -53,8 +54,9 @@
 	return data, nil
 }
 
-// DecodeRecord returns the entries of a record. Times in the future, due to differing or
-// adjusted clocks, are replaced by now, so that each entry expires.
+// DecodeRecord returns the entries of a record, or an error that wraps ErrRecord. Times in
+// the future, due to differing or adjusted clocks, are replaced by now, so that each entry
+// expires.
 func DecodeRecord(data []byte, now time.Time) ([]Entry, error) {
 	var in []recordEntry
 	if err := cbor.Unmarshal(data, &in); err != nil {
@@ -65,7 +67,7 @@
 	}
 	out := make([]Entry, 0, len(in))
 	for _, r := range in {
-		e := Entry{Fingerprint: Fingerprint(r.Print)}
+		e := Entry{Fingerprint: Fingerprint(r.FP)}
 		if r.TriedAt != 0 {
 			e.TriedAt = clampToNow(r.TriedAt, now)
 		}
@@ -89,25 +91,25 @@
 	return at
 }
 
-// SameHeld reports whether two lists quarantine the same requests with the same scores.
+// SameHeld reports whether two lists of entries have the same requests with the same scores.
 // Times are not compared.
 func SameHeld(a, b []Entry) bool {
-	return slices.Equal(heldKeys(a), heldKeys(b))
+	return slices.Equal(entryKeys(a), entryKeys(b))
 }
 
-// heldKey is the part of an entry whose change requires a write.
-type heldKey struct {
-	print Fingerprint
-	score int
+// entryKey is the part of an entry whose change requires a new record.
+type entryKey struct {
+	fingerprint Fingerprint
+	score       int
 }
 
-func heldKeys(entries []Entry) []heldKey {
-	out := make([]heldKey, 0, len(entries))
+func entryKeys(entries []Entry) []entryKey {
+	out := make([]entryKey, 0, len(entries))
 	for i := range entries {
-		out = append(out, heldKey{entries[i].Fingerprint, entries[i].Score()})
+		out = append(out, entryKey{entries[i].Fingerprint, entries[i].Score()})
 	}
-	slices.SortFunc(out, func(x, y heldKey) int {
-		if x.print < y.print {
+	slices.SortFunc(out, func(x, y entryKey) int {
+		if x.fingerprint < y.fingerprint {
 			return -1
 		}
 		return 1
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -10,27 +10,26 @@
 
 func TestRecordRestoresQuarantine(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000_000)
-	b := NewRegistry(DefaultPolicy)
-	b.Ended(7, 1, Likely, now.Add(-3*time.Second))
-	b.Ended(7, 2, Likely, now.Add(-2*time.Second))
-	b.Ended(8, 1, Likely, now)
-	held := b.Quarantined(now)
+	r := NewRegistry(DefaultPolicy)
+	r.Ended(7, 1, Likely, now.Add(-3*time.Second))
+	r.Ended(7, 2, Likely, now.Add(-2*time.Second))
+	r.Ended(8, 1, Likely, now)
+	held := r.Quarantined(now)
 	require.Len(t, held, 1, "one end does not quarantine a request")
 	data, err := EncodeRecord(held)
 	require.NoError(t, err)
 	entries, err := DecodeRecord(data, now)
 	require.NoError(t, err)
 	require.True(t, SameHeld(held, entries))
-	again := NewRegistry(DefaultPolicy)
-	again.Join(entries, now)
-	require.True(t, again.Look(7, now).Held)
-	require.False(t, again.Look(7, now.Add(DefaultPolicy.Keep)).Held, "the entry expires")
-	again.Ended(7, 1, Likely, now.Add(-3*time.Second))
-	require.Equal(t, 2, again.Look(7, now).Ends, "an end known to both counts once")
+	restored := NewRegistry(DefaultPolicy)
+	restored.Join(entries, now)
+	require.True(t, restored.Look(7, now).Held)
+	require.False(t, restored.Look(7, now.Add(DefaultPolicy.Keep)).Held, "the entry expires")
+	restored.Ended(7, 1, Likely, now.Add(-3*time.Second))
+	require.Equal(t, 2, restored.Look(7, now).Ends, "an end that is in the record counts once")
 }
 
-// Entries expire although the clock of the daemon that wrote the record was ahead by an
-// hour.
+// Entries expire even if the clock of the daemon that wrote the record was an hour ahead.
 func TestRecordWithFutureTimesExpires(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000_000)
 	ahead := []Entry{{Fingerprint: 7, TriedAt: now.Add(time.Hour), Ends: []End{{Server: 1, Weight: Likely, At: now.Add(time.Hour)}, {Server: 2, Weight: Likely, At: now.Add(time.Hour)}}}}
@@ -38,16 +37,16 @@
 	require.NoError(t, err)
 	entries, err := DecodeRecord(data, now)
 	require.NoError(t, err)
-	b := NewRegistry(DefaultPolicy)
-	b.Join(entries, now)
-	require.True(t, b.Look(7, now).Held)
-	require.False(t, b.Look(7, now.Add(DefaultPolicy.Keep)).Held)
+	r := NewRegistry(DefaultPolicy)
+	r.Join(entries, now)
+	require.True(t, r.Look(7, now).Held)
+	require.False(t, r.Look(7, now.Add(DefaultPolicy.Keep)).Held)
 }
 
 func TestInvalidRecordsAreRejected(t *testing.T) {
 	many, err := cbor.Marshal(make([]recordEntry, MaxRecordEntries+1))
 	require.NoError(t, err)
-	weight, err := cbor.Marshal([]recordEntry{{Print: 1, Ends: []recordEnd{{Weight: 9}}}})
+	weight, err := cbor.Marshal([]recordEntry{{FP: 1, Ends: []recordEnd{{Weight: 9}}}})
 	require.NoError(t, err)
 	for _, data := range [][]byte{nil, []byte("text"), many, weight} {
 		_, err := DecodeRecord(data, time.Now())
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -9,8 +9,8 @@
 	"github.com/snowspoke/snowspoke/boottime"
 )
 
-// Policy sets when a request is quarantined. One ended backend server never suffices: a
-// request that was only there when another one ended it looks the same as the cause.
+// Policy sets when a request is quarantined. The end of one backend server never suffices:
+// several requests may have been there, and the one that caused the end is unknown.
 type Policy struct {
 	// HoldFrom is the score from which a request is quarantined, except for trials.
 	HoldFrom int
@@ -18,19 +18,19 @@
 	HoldAll int
 	// TrialAfter is the time from the last end or trial to the next trial.
 	TrialAfter time.Duration
-	// Keep is how long ends are kept after the last one.
+	// Keep is the time from the last end after which an entry expires.
 	Keep time.Duration
-	// KeepServed is how long it is kept that a request was served, so that an older report
-	// of another daemon does not quarantine it again.
+	// KeepServed is how long the time at which a request was served is kept, so that an
+	// older report of another daemon does not quarantine the request again.
 	KeepServed time.Duration
 	// Most is the maximum number of entries.
 	Most int
 }
 
-// DefaultPolicy quarantines a request after two backend servers that very likely ran it, or
-// four that may have. The trial admits requests that recur, such as checks, and were there
-// by chance twice. It comes late, since a third ended backend server affects many other
-// requests.
+// DefaultPolicy quarantines a request after the ends of two backend servers that very likely
+// ran it, or of four that may have. Trials readmit frequent requests, such as health checks,
+// that were present at two ends by chance. The delay before a trial is long, since a third
+// end affects many other requests.
 var DefaultPolicy = Policy{
 	HoldFrom: 2 * int(Likely), HoldAll: 3 * int(Likely), TrialAfter: time.Minute,
 	Keep: 10 * time.Minute, KeepServed: 30 * time.Second, Most: 4096,
@@ -41,17 +41,17 @@
 
 // The weights.
 const (
-	Possible Weight = 1 // it had been sent there, and nothing shows that it ran
-	Likely   Weight = 2 // it had just begun to run
+	Possible Weight = 1 // the request had been sent there, and nothing shows that it ran
+	Likely   Weight = 2 // the request had just begun to run
 )
 
-// maxEnds bounds the backend servers in one entry. It exceeds what any policy needs.
+// maxEnds is the maximum number of ends in one entry. No policy needs more.
 const maxEnds = 8
 
 // Server identifies an incarnation of a backend server.
 type Server uint32
 
-// End is a backend server that ended while a request was there.
+// End is the end of a backend server to which a request had been sent.
 type End struct {
 	Server Server
 	Weight Weight
@@ -61,10 +61,10 @@
 // Entry is the evidence against one request.
 type Entry struct {
 	Fingerprint Fingerprint
-	Ends        []End     // since it was last served, sorted by time
-	TriedAt     time.Time // of the last trial, the zero time for none
-	// ServedAt is when a backend server last served it without ending, the zero time for
-	// never.
+	Ends        []End     // since the request was last served, sorted by time
+	TriedAt     time.Time // time of the last trial, the zero time for none
+	// ServedAt is when a backend server last served the request without ending, the zero
+	// time for never.
 	ServedAt time.Time
 }
 
@@ -84,8 +84,8 @@
 	return e.Ends[len(e.Ends)-1].At
 }
 
-// mergeEnd adds an end and reports whether the entry has changed. Of two reports about one
-// backend server the greater weight and the later time apply.
+// mergeEnd adds an end and reports whether the entry has changed. If the end of a backend
+// server is reported twice, the greater weight and the later time apply.
 func (e *Entry) mergeEnd(end End) bool {
 	i := slices.IndexFunc(e.Ends, func(known End) bool { return known.Server == end.Server })
 	if i < 0 {
@@ -103,103 +103,103 @@
 	return changed
 }
 
-// Decision is the decision on whether a request may be sent.
+// Decision states whether a request may be sent.
 type Decision struct {
 	Held  bool      // the request is quarantined
-	Until time.Time // time of the next trial, if it is quarantined
+	Until time.Time // when the next trial is due, or the entry expires if there are no trials
 	Trial bool      // the request may be sent as a trial
 	Score int
-	Ends  int // number of backend servers that ended while it was there
+	Ends  int // number of ends in the entry
 }
 
-// Registry holds the evidence against requests that were at backend servers when these ended.
-// Daemons exchange their entries; merging is independent of the order, so that all tables
-// converge. It is safe for concurrent use.
+// Registry holds the evidence against requests to which the ends of backend servers may be
+// due. Daemons exchange their entries. The result of merging does not depend on the order, so
+// that all registries converge. It is safe for concurrent use.
 type Registry struct {
 	policy Policy
 
 	mu      sync.Mutex
 	entries map[Fingerprint]*list.Element
-	order   *list.List // of *tableEntry, least recently changed first
+	order   *list.List // of *registryEntry, least recently changed first
 	version uint64     // of the last change
 	changed chan struct{}
 }
 
-type tableEntry struct {
+type registryEntry struct {
 	Entry
 	version uint64
 }
 
-// NewRegistry returns an empty table.
+// NewRegistry returns an empty registry.
 func NewRegistry(p Policy) *Registry {
 	return &Registry{policy: p, entries: map[Fingerprint]*list.Element{}, order: list.New(), changed: make(chan struct{})}
 }
 
-// Ended records that a backend server ended while a request was there, and returns the
-// resulting decision on the request.
-func (b *Registry) Ended(print Fingerprint, s Server, w Weight, now time.Time) Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.merge(Entry{Fingerprint: print, Ends: []End{{Server: s, Weight: w, At: now}}}, now)
-	return b.evaluate(print, now)
+// Ended records the end of a backend server to which a request had been sent, and returns
+// the resulting decision on the request.
+func (r *Registry) Ended(fp Fingerprint, s Server, w Weight, now time.Time) Decision {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.merge(Entry{Fingerprint: fp, Ends: []End{{Server: s, Weight: w, At: now}}}, now)
+	return r.evaluate(fp, now)
 }
 
-// Served records that a backend server served a request without ending, which clears the
+// Served records that a backend server served a request without ending, which clears its
 // earlier ends. It reports whether the entry has changed.
-func (b *Registry) Served(print Fingerprint, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if e := b.find(print); e == nil || len(e.Ends) == 0 {
+func (r *Registry) Served(fp Fingerprint, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if e := r.find(fp); e == nil || len(e.Ends) == 0 {
 		return false
 	}
-	return b.merge(Entry{Fingerprint: print, ServedAt: now}, now)
+	return r.merge(Entry{Fingerprint: fp, ServedAt: now}, now)
 }
 
-// Look returns whether a request may be sent.
-func (b *Registry) Look(print Fingerprint, now time.Time) Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.evaluate(print, now)
+// Look returns whether a request may be sent. Unlike Admit it records nothing.
+func (r *Registry) Look(fp Fingerprint, now time.Time) Decision {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.evaluate(fp, now)
 }
 
-// Admit returns whether a request from a caller may be sent, and records the start of a
-// trial.
-func (b *Registry) Admit(print Fingerprint, now time.Time) Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	v := b.evaluate(print, now)
-	if v.Trial {
-		b.merge(Entry{Fingerprint: print, TriedAt: now}, now)
+// Admit returns whether a request that was received from a caller may be sent. If it may be
+// sent as a trial, Admit records the start of the trial.
+func (r *Registry) Admit(fp Fingerprint, now time.Time) Decision {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	d := r.evaluate(fp, now)
+	if d.Trial {
+		r.merge(Entry{Fingerprint: fp, TriedAt: now}, now)
 	}
-	return v
+	return d
 }
 
-func (b *Registry) evaluate(print Fingerprint, now time.Time) Decision {
-	e := b.find(print)
+func (r *Registry) evaluate(fp Fingerprint, now time.Time) Decision {
+	e := r.find(fp)
 	if e == nil {
 		return Decision{}
 	}
 	last := e.lastEndAt()
-	v := Decision{Score: e.Score(), Ends: len(e.Ends)}
+	d := Decision{Score: e.Score(), Ends: len(e.Ends)}
 	switch {
-	case v.Score < b.policy.HoldFrom || now.Sub(last) >= b.policy.Keep:
-		return v
-	case v.Score >= b.policy.HoldAll:
-		v.Until = last.Add(b.policy.Keep)
+	case d.Score < r.policy.HoldFrom || now.Sub(last) >= r.policy.Keep:
+		return d
+	case d.Score >= r.policy.HoldAll:
+		d.Until = last.Add(r.policy.Keep)
 	default:
-		v.Until = boottime.Later(last, e.TriedAt).Add(b.policy.TrialAfter)
+		d.Until = boottime.Later(last, e.TriedAt).Add(r.policy.TrialAfter)
 	}
-	v.Held = now.Before(v.Until)
-	v.Trial = !v.Held
-	return v
+	d.Held = now.Before(d.Until)
+	d.Trial = !d.Held
+	return d
 }
 
 // Join merges entries of another daemon.
-func (b *Registry) Join(entries []Entry, now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) Join(entries []Entry, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, e := range entries {
-		b.merge(e, now)
+		r.merge(e, now)
 	}
 }
 
@@ -209,13 +209,13 @@
 
 // merge merges an entry and reports whether anything has changed. The result does not depend
 // on the order of calls.
-func (b *Registry) merge(e Entry, now time.Time) bool {
-	k := b.find(e.Fingerprint)
+func (r *Registry) merge(e Entry, now time.Time) bool {
+	k := r.find(e.Fingerprint)
 	if k == nil {
 		if len(e.Ends) == 0 {
 			return false
 		}
-		k = b.add(e.Fingerprint, now)
+		k = r.add(e.Fingerprint, now)
 	}
 	changed := false
 	if e.ServedAt.Sub(k.ServedAt) > maxTimeSkew {
@@ -234,26 +234,26 @@
 	}
 	k.Ends = slices.DeleteFunc(k.Ends, func(end End) bool { return !end.At.After(k.ServedAt) })
 	slices.SortFunc(k.Ends, func(x, y End) int { return x.At.Compare(y.At) })
-	b.touch(k)
+	r.touch(k)
 	return true
 }
 
 // Since returns up to most entries changed after a version, oldest change first, and the
 // version to pass to the next call.
-func (b *Registry) Since(version uint64, most int) (entries []Entry, next uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	first := b.order.Back()
-	for first != nil && first.Value.(*tableEntry).version > version {
+func (r *Registry) Since(version uint64, most int) (entries []Entry, next uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	first := r.order.Back()
+	for first != nil && first.Value.(*registryEntry).version > version {
 		first = first.Prev()
 	}
 	if first == nil {
-		first = b.order.Front()
+		first = r.order.Front()
 	} else {
 		first = first.Next()
 	}
 	for el := first; el != nil && len(entries) < most; el = el.Next() {
-		k := el.Value.(*tableEntry)
+		k := el.Value.(*registryEntry)
 		e := k.Entry
 		e.Ends = slices.Clone(e.Ends)
 		entries = append(entries, e)
@@ -263,67 +263,67 @@
 }
 
 // Changed returns a channel that is closed at the next change.
-func (b *Registry) Changed() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.changed
+func (r *Registry) Changed() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
 
 // Size returns the number of entries.
-func (b *Registry) Size() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return len(b.entries)
+func (r *Registry) Size() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.entries)
 }
 
-func (b *Registry) find(print Fingerprint) *tableEntry {
-	if el := b.entries[print]; el != nil {
-		return el.Value.(*tableEntry)
+func (r *Registry) find(fp Fingerprint) *registryEntry {
+	if el := r.entries[fp]; el != nil {
+		return el.Value.(*registryEntry)
 	}
 	return nil
 }
 
-func (b *Registry) add(print Fingerprint, now time.Time) *tableEntry {
-	if len(b.entries) >= b.policy.Most {
-		b.evict(now)
+func (r *Registry) add(fp Fingerprint, now time.Time) *registryEntry {
+	if len(r.entries) >= r.policy.Most {
+		r.evict(now)
 	}
-	k := &tableEntry{Entry: Entry{Fingerprint: print}}
-	b.entries[print] = b.order.PushBack(k)
+	k := &registryEntry{Entry: Entry{Fingerprint: fp}}
+	r.entries[fp] = r.order.PushBack(k)
 	return k
 }
 
-// touch assigns a new version to an entry, moves it to the back of the order and wakes
-// those that wait for changes.
-func (b *Registry) touch(k *tableEntry) {
-	b.version++
-	k.version = b.version
-	b.order.MoveToBack(b.entries[k.Fingerprint])
-	close(b.changed)
-	b.changed = make(chan struct{})
+// touch assigns a new version to an entry, moves it to the back of the order and closes the
+// channel that Changed has returned.
+func (r *Registry) touch(k *registryEntry) {
+	r.version++
+	k.version = r.version
+	r.order.MoveToBack(r.entries[k.Fingerprint])
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
 // evictFraction is the inverse of the fraction of a full table that is evicted at once, so
 // that the cost of a scan is spread over many additions.
 const evictFraction = 8
 
-// evict removes expired entries, then, until enough are free, the least recently changed
-// ones below the quarantine score, then any.
-func (b *Registry) evict(now time.Time) {
-	target := max(1, b.policy.Most/evictFraction)
-	b.remove(b.policy.Most, func(k *tableEntry) bool { return b.expired(k, now) })
-	b.remove(target-b.free(), func(k *tableEntry) bool { return k.Score() < b.policy.HoldFrom })
-	b.remove(target-b.free(), func(*tableEntry) bool { return true })
+// evict removes expired entries. If that frees too few, it removes the least recently changed
+// entries, first those below the quarantine score, then any.
+func (r *Registry) evict(now time.Time) {
+	target := max(1, r.policy.Most/evictFraction)
+	r.remove(r.policy.Most, func(k *registryEntry) bool { return r.expired(k, now) })
+	r.remove(target-r.free(), func(k *registryEntry) bool { return k.Score() < r.policy.HoldFrom })
+	r.remove(target-r.free(), func(*registryEntry) bool { return true })
 }
 
-func (b *Registry) free() int { return b.policy.Most - len(b.entries) }
+func (r *Registry) free() int { return r.policy.Most - len(r.entries) }
 
 // remove removes up to n matching entries, the least recently changed first.
-func (b *Registry) remove(n int, match func(*tableEntry) bool) {
-	for el := b.order.Front(); el != nil && n > 0; {
-		k, next := el.Value.(*tableEntry), el.Next()
+func (r *Registry) remove(n int, match func(*registryEntry) bool) {
+	for el := r.order.Front(); el != nil && n > 0; {
+		k, next := el.Value.(*registryEntry), el.Next()
 		if match(k) {
-			b.order.Remove(el)
-			delete(b.entries, k.Fingerprint)
+			r.order.Remove(el)
+			delete(r.entries, k.Fingerprint)
 			n--
 		}
 		el = next
@@ -331,28 +331,28 @@
 }
 
 // expired reports whether an entry no longer has any effect.
-func (b *Registry) expired(k *tableEntry, now time.Time) bool {
+func (r *Registry) expired(k *registryEntry, now time.Time) bool {
 	if len(k.Ends) == 0 {
-		return now.Sub(k.ServedAt) >= b.policy.KeepServed
+		return now.Sub(k.ServedAt) >= r.policy.KeepServed
 	}
-	return now.Sub(k.lastEndAt()) >= b.policy.Keep
+	return now.Sub(k.lastEndAt()) >= r.policy.Keep
 }
 
 // Forget removes expired entries. It is called periodically.
-func (b *Registry) Forget(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.remove(len(b.entries), func(k *tableEntry) bool { return b.expired(k, now) })
+func (r *Registry) Forget(now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.remove(len(r.entries), func(k *registryEntry) bool { return r.expired(k, now) })
 }
 
 // Quarantined returns the quarantined requests, highest score first.
-func (b *Registry) Quarantined(now time.Time) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) Quarantined(now time.Time) []Entry {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []Entry
-	for print, el := range b.entries {
-		if v := b.evaluate(print, now); v.Held || v.Trial {
-			e := el.Value.(*tableEntry).Entry
+	for fp, el := range r.entries {
+		if d := r.evaluate(fp, now); d.Held || d.Trial {
+			e := el.Value.(*registryEntry).Entry
 			e.Ends = slices.Clone(e.Ends)
 			out = append(out, e)
 		}
