--- a/health/cooldown.go
+++ b/health/cooldown.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// CooldownConfig sets how long a backend server gets no work after refusals and failures.
+// CooldownConfig sets how long a backend server gets no work after a refusal or a failure.
 type CooldownConfig struct {
 	Refused    time.Duration // after a refusal for lack of capacity
 	Failed     time.Duration // after a failure, multiplied by the number of consecutive failures
-	FailedMost time.Duration // upper bound of the time after consecutive failures
+	FailedMost time.Duration // maximum time after consecutive failures
 }
 
-// Cooldowns holds the backend servers that get no work for a while, by name. It is safe for
-// concurrent use.
+// Cooldowns holds the backend servers that refused work or failed recently, by name. It is
+// safe for concurrent use.
 type Cooldowns struct {
 	cfg CooldownConfig
 
@@ -25,10 +25,10 @@
 type cooldown struct {
 	until    time.Time
 	failures int  // consecutive
-	ended    bool // the process is known to have ended
+	ended    bool // see Ended
 }
 
-// NewCooldowns returns an empty table.
+// NewCooldowns returns Cooldowns without backend servers.
 func NewCooldowns(cfg CooldownConfig) *Cooldowns {
 	return &Cooldowns{cfg: cfg, servers: map[string]cooldown{}}
 }
@@ -57,7 +57,8 @@
 	return isNew
 }
 
-// End records that the process of a backend server has ended for certain.
+// End records a sign that the process of a backend server has ended, such as a refused
+// connection.
 func (c *Cooldowns) End(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,15 +67,16 @@
 	c.servers[name] = s
 }
 
-// Ended reports whether the process of a backend server has ended for certain, as opposed
-// to Dead.
+// Ended reports whether End was called since the backend server last completed work. Unlike
+// Dead, it does not depend on the time.
 func (c *Cooldowns) Ended(name string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers[name].ended
 }
 
-// Serve records that a backend server completed work.
+// Serve records that a backend server completed work. A cooldown in progress continues as one
+// after a refusal.
 func (c *Cooldowns) Serve(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/health/cooldown_test.go
+++ b/health/cooldown_test.go
@@ -28,7 +28,7 @@
 	require.False(t, c.Dead("b", now.Add(8*time.Second)), "bounded")
 	c.Serve("b")
 	require.False(t, c.Dead("b", now))
-	require.True(t, c.Cooling("b", now), "a late answer does not end a cooldown")
+	require.True(t, c.Cooling("b", now), "an answer does not end a cooldown")
 }
 
 // A refusal does not shorten a longer cooldown.
--- a/health/detector.go
+++ b/health/detector.go
@@ -12,7 +12,7 @@
 // The states.
 const (
 	Healthy State = iota // full weight
-	Suspect              // one strong sign of failure; no new work until a probe succeeds
+	Suspect              // a failure other than a stall; no new work until a probe succeeds
 	Ejected              // no new work until EjectFor has passed and a probe succeeds
 	Ramping              // in service again, with a growing weight
 )
@@ -47,9 +47,9 @@
 const (
 	Success     Signal = iota // a request was served
 	Unreachable               // a connection could not be made
-	Lost                      // a connection broke while a request ran
+	Lost                      // a connection broke while a request was running
 	Failed                    // the engine reported that the backend server failed
-	Stalled                   // no token came within the adaptive bound
+	Stalled                   // no token arrived within the adaptive bound
 	Refused                   // the engine refused without running: busy, not faulty
 	ProbeOK
 	ProbeFailed
@@ -67,11 +67,11 @@
 // Config holds the thresholds of the detector.
 type Config struct {
 	FailuresToEject int           // consecutive failures, except probes, that eject
-	EjectFor        time.Duration // first ejection; doubles with each further one
-	MaxEjectFor     time.Duration
-	ProbeEvery      time.Duration // for suspect and ejected backend servers
-	RampFor         time.Duration // from LeastWeight to full weight
-	LeastWeight     float64       // at the start of the ramp
+	EjectFor        time.Duration // duration of the first ejection; doubles with each further one
+	MaxEjectFor     time.Duration // maximum duration of an ejection
+	ProbeEvery      time.Duration // interval of probes of a suspect or ejected backend server
+	RampFor         time.Duration // duration of the ramp from LeastWeight to full weight
+	LeastWeight     float64       // weight at the start of the ramp
 }
 
 // DefaultConfig returns thresholds for engines that answer within milliseconds.
@@ -87,7 +87,7 @@
 	BackendServer string
 	From, To      State
 	Signal        Signal
-	KeptInService bool // unfit, but needed as the last capacity for some layers
+	KeptInService bool // not fit for work, but the last capacity for some layers
 }
 
 // record is the state of one backend server.
@@ -97,8 +97,8 @@
 	ejections int
 	until     time.Time // end of the ejection
 	since     time.Time // start of the ramp
-	probed    time.Time
-	kept      bool // see Transition.KeptInService
+	probed    time.Time // last probe
+	kept      bool      // see Transition.KeptInService
 }
 
 // Detector tracks the health of all backend servers. It is not safe for concurrent use.
@@ -186,9 +186,9 @@
 		return Ejected
 	}
 	if s == Stalled {
-		// Every hop of the route answered, so any of them may be slow, or all are
-		// overloaded, where ejection would remove needed capacity. Only
-		// consecutive stalls without a served request eject.
+		// All hops of the path respond. Any of them may be slow, or all may be
+		// overloaded, in which case an ejection would remove needed capacity.
+		// Therefore only consecutive stalls without a served request eject.
 		return r.state
 	}
 	return Suspect
@@ -202,9 +202,9 @@
 	return r.state
 }
 
-// afterProbe returns a suspect to service at once, and an ejected backend server after its
-// ejection. A probe shows that the process is alive, not that it serves requests: the count
-// of failures is kept until a request succeeds.
+// afterProbe returns the state after a successful probe: a suspect backend server is in
+// service again at once, an ejected one after its ejection. The count of failures is kept
+// until a request succeeds, since a probe shows only that the process is alive.
 func (d *Detector) afterProbe(r *record, now time.Time) State {
 	switch r.state {
 	case Suspect:
@@ -251,7 +251,7 @@
 	return e
 }
 
-// DueProbes returns the backend servers to probe now and marks them probed.
+// DueProbes returns the backend servers that are due for a probe and marks them as probed.
 func (d *Detector) DueProbes(now time.Time) []string {
 	var due []string
 	for name, r := range d.records {
--- a/health/gap.go
+++ b/health/gap.go
@@ -17,10 +17,10 @@
 	gapGain    = 0.125
 	gapDevGain = 0.25
 	gapDevs    = 8.0 // deviations above the doubled mean in Bound
-	gapWarmUp  = 4   // observations before the bound is used
-	// unusualMeans and unusualDevs, in means and mean deviations, set the gap from which
-	// the next event is late. The mean is included since gaps are skewed: prompts are
-	// processed between them.
+	gapWarmUp  = 4   // observations before the estimate is used
+	// unusualMeans and unusualDevs are the multiples of the mean and of the mean deviation
+	// whose sum is the result of Unusual. The factor on the mean allows for gaps that are
+	// longer because prompts are processed between two events.
 	unusualMeans = 1.5
 	unusualDevs  = 4.0
 )
@@ -38,10 +38,11 @@
 	g.mean += gapGain * (x - g.mean)
 }
 
-// Warm reports whether there are enough observations for the bound.
+// Warm reports whether there are enough observations for an estimate.
 func (g *Gap) Warm() bool { return g.n >= gapWarmUp }
 
-// Bound returns how long to wait for the next event, within [floor, ceil].
+// Bound returns how long to wait for the next event, within [floor, ceil]. It returns ceil
+// while there are too few observations.
 func (g *Gap) Bound(floor, ceil time.Duration) time.Duration {
 	if !g.Warm() {
 		return ceil
@@ -50,8 +51,8 @@
 	return min(ceil, max(floor, b))
 }
 
-// Unusual returns the gap from which the next event is late beyond the normal spread, within
-// [least, most], or unknown while there are too few observations.
+// Unusual returns the gap above which the next event is unusually late, within [least, most],
+// or unknown while there are too few observations.
 func (g *Gap) Unusual(least, most, unknown time.Duration) time.Duration {
 	if !g.Warm() {
 		return unknown
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -10,8 +10,8 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// Only legal transitions happen, the last capacity stays in service, and a backend server
-// that answers again is back in service within the longest ejection.
+// Only legal transitions occur, the last capacity stays in service, and a backend server that
+// responds again becomes healthy.
 func TestDetector(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		last := rapid.Bool().Draw(t, "last")
@@ -46,7 +46,7 @@
 func TestServerThatOnlyAnswersProbesIsEjected(t *testing.T) {
 	d := NewDetector(DefaultConfig(), func(string) bool { return false })
 	now := t0
-	// Its probes answer, its requests fail.
+	// Its probes succeed, its requests fail.
 	for range 3 {
 		d.Observe("b", Failed, now)
 		now = now.Add(100 * time.Millisecond)
@@ -58,7 +58,7 @@
 	require.Empty(t, d.DueProbes(now))
 }
 
-// Only consecutive stalls eject: overload must not remove capacity, but an engine that
+// Only consecutive stalls eject: overload must not remove capacity, but a backend server that
 // answers probes and serves no requests must be ejected.
 func TestConsecutiveStallsEject(t *testing.T) {
 	d := NewDetector(DefaultConfig(), func(string) bool { return false })
@@ -102,8 +102,8 @@
 	require.Greater(t, g.Unusual(least, most, unknown), 100*time.Millisecond, "spread counts")
 }
 
-// A link that slows down a hundredfold is degraded after few samples, gets a trial after
-// the hold time, is degraded again at once if still slow, and restored when fast.
+// A link that becomes a hundred times slower is degraded after few samples and gets a trial
+// after the hold time. A slow sample ends the trial at once; fast ones restore the link.
 func TestLink(t *testing.T) {
 	cfg := DefaultLinkConfig()
 	var l Link
@@ -135,8 +135,8 @@
 	require.Equal(t, 1.0, l.Factor(cfg))
 }
 
-// A link with a seeded baseline that it never reaches takes its own time as the baseline
-// after maxSeededTrials trials.
+// A link that never reaches its seeded baseline takes its own transfer time as the baseline
+// after maxSeededTrials failed trials.
 func TestSeededLink(t *testing.T) {
 	cfg := DefaultLinkConfig()
 	var l Link
--- a/health/link.go
+++ b/health/link.go
@@ -9,10 +9,10 @@
 type LinkConfig struct {
 	Degraded   float64       // ratio to the baseline from which a link is degraded
 	Restored   float64       // ratio below which it is restored; lower than Degraded, against flapping
-	Evidence   float64       // sum of the logarithms of slow samples that makes a link degraded
+	Evidence   float64       // evidence of consecutive slow samples from which a link is degraded
 	Samples    int           // consecutive fast samples that restore a link
-	HoldFor    time.Duration // minimum time for which a link stays degraded before a trial
-	TrialShare float64       // share of its capacity that a link gets during a trial
+	HoldFor    time.Duration // time for which a link stays degraded before a trial
+	TrialShare float64       // minimum fraction of its capacity that a link gets during a trial
 }
 
 // DefaultLinkConfig returns thresholds for links whose speeds differ by a factor of up to a
@@ -22,18 +22,18 @@
 }
 
 // Link detects that a link between two hops has become slow. It compares transfer times
-// with the link's own baseline. They exclude the token time of the backend servers, which
-// is reported separately.
+// with the link's own baseline. Transfer times exclude the time that backend servers take for
+// a token, which is reported separately.
 type Link struct {
-	baseline float64 // seconds; follows improvements at once, and slowdowns not at all while degraded
-	slow     float64 // evidence of slowness
+	baseline float64 // seconds; follows faster samples at once, slightly slower ones gradually
+	slow     float64 // evidence of consecutive slow samples
 	fast     int     // consecutive fast samples while degraded
 	degraded bool
-	ratio    float64
-	since    time.Time
-	trial    bool
-	seeded   bool // the baseline was taken from other links
-	failed   int  // consecutive trials that found the link still slow
+	ratio    float64   // of the last slow sample to the baseline
+	since    time.Time // when it was degraded or its last trial failed
+	trial    bool      // a trial is in progress
+	seeded   bool      // the baseline was taken from other links
+	failed   int       // consecutive failed trials
 }
 
 // maxSeededTrials is the number of failed trials after which a link with a seeded baseline
@@ -94,7 +94,7 @@
 		return false
 	}
 	l.restore()
-	l.seeded = false // the link itself has shown this baseline
+	l.seeded = false // the link has reached this baseline itself
 	return true
 }
 
@@ -103,7 +103,7 @@
 	l.slow, l.fast, l.failed = 0, 0, 0
 }
 
-// failTrial ends a trial that found the link still slow.
+// failTrial ends a trial during which the link was still slow.
 func (l *Link) failTrial(x float64, now time.Time) bool {
 	l.failed++
 	if l.seeded && l.failed >= maxSeededTrials {
@@ -141,7 +141,7 @@
 // Baseline returns the link's baseline time, 0 while unknown.
 func (l *Link) Baseline() time.Duration { return time.Duration(l.baseline * float64(time.Second)) }
 
-// Seed sets the baseline of a link without transfers.
+// Seed sets the baseline of a link that has none yet.
 func (l *Link) Seed(d time.Duration) {
 	if l.baseline == 0 {
 		l.baseline, l.seeded = d.Seconds(), true
