--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -13,28 +13,29 @@
 // ErrNoPath is returned if the usable backend servers do not cover all layers.
 var ErrNoPath = errors.New("pipeline: no path covers all layers")
 
-// ErrFull is returned if every path lacks memory for the request.
+// ErrFull is returned if every path lacks memory for the request, or a backend server on it
+// has requests waiting.
 var ErrFull = errors.New("pipeline: every path is full")
 
 // Load is the known load of a backend server.
 type Load struct {
-	Running float64 // requests that pass through it, of all daemons
+	Running float64 // requests of all daemons that pass through it
 	KVUsed  float64 // memory of these requests, in tokens x layers
-	Heads   float64 // requests whose first hop it is, of all daemons
+	Heads   float64 // requests of all daemons whose first hop it is
 	// OwnKV is the memory of this daemon's requests multiplied by the number of
-	// daemons. With it each daemon spreads its own requests evenly without data from
+	// daemons. It lets each daemon spread its own requests evenly without data from
 	// the others.
 	OwnKV float64
-	// WaitMS is how long requests wait there for their first token, if it is their
-	// first hop.
+	// WaitMS is how long requests whose first hop it is wait for their first token,
+	// in milliseconds.
 	WaitMS float64
-	// Slowdown is the factor on its predicted times relative to backend servers of
-	// its kind. Values below 1 count as 1.
+	// Slowdown is the ratio of its times to those predicted for its kind. Values
+	// below 1 count as 1.
 	Slowdown float64
 	// Full is the fraction of its memory that it reports as used, 0 unless it is
-	// known to be saturated. Waiting is the number of requests that it reports as
-	// waiting.
-	Full    float64
+	// known to be saturated.
+	Full float64
+	// Waiting is the number of requests that it reports as waiting.
 	Waiting int
 }
 
@@ -53,40 +54,41 @@
 	Tokens Tokens
 	// Head is the first hop that the path must keep, nil for any.
 	Head *site.BackendServer
-	// HeadLayers are the layers that Head runs already.
+	// HeadLayers are the layers that Head already runs for the request.
 	HeadLayers site.Range
-	// Keep maps the IDs of backend servers that still hold the request's memory to
-	// the layers that they have run.
+	// Keep maps the ID of each backend server that still holds the request's memory
+	// to the layers that it has run.
 	Keep map[string]site.Range
 	// Near is the failure domain of the caller's daemon.
 	Near string
 	// Jitter is the maximum random increase of a hop's cost, as a fraction. It makes
 	// daemons with the same loads choose different paths.
 	Jitter float64
-	// FullThreshold is the usage from which a backend server's memory and a head's slots
-	// cost extra, as a fraction. 0 stands for fullThreshold, for the memory alone.
+	// FullThreshold is the usage, as a fraction, from which a backend server's memory
+	// and a head's slots cost extra. If it is 0, fullThreshold applies to the memory
+	// and slots cost nothing extra.
 	FullThreshold float64
 }
 
 // Cost weights.
 const (
-	// fullThreshold is the fraction of a backend server's memory from which its use
-	// costs extra. Requests grow, and a backend server that runs out of memory
-	// preempts them.
+	// fullThreshold is the usage of a backend server's memory, as a fraction, from
+	// which a hop costs extra. Requests grow, and a backend server that runs out of
+	// memory preempts them.
 	fullThreshold = 0.85
-	// fullCostMS is the cost of a hop whose memory is all used.
+	// fullCostMS is the extra cost of a hop whose memory is all used.
 	fullCostMS = 200.0
-	// noCapacityCostMS is more than the cost of any path with capacity. Without it a
-	// fast path that is full could be cheaper than a slow one with capacity, and
-	// requests would be refused.
+	// noCapacityCostMS is the extra cost of a hop without capacity. It exceeds the
+	// cost of any path with capacity, so that requests are not refused on a fast full
+	// path while a slow one has capacity.
 	noCapacityCostMS = 1e6
-	// spreadWeight raises the cost of a backend server with the fraction of its
-	// memory that would be used if every daemon sent as many requests as this one, up
-	// to maxSpreadRatio.
+	// spreadWeight is the weight in the cost of a backend server of the fraction of
+	// its memory that would be used if every daemon sent as many requests as this
+	// one. The fraction is limited to maxSpreadRatio.
 	spreadWeight   = 2.0
 	maxSpreadRatio = 3.0
-	// crossDomainWeight multiplies the time that a prompt's activations take over a
-	// cross-domain link, since all requests share the link.
+	// crossDomainWeight is the weight of the time that a prompt's activations take
+	// over a cross-domain link. It is high because all requests share the link.
 	crossDomainWeight = 10.0
 	// remoteHeadCostMS is the cost of a first hop outside the caller's failure
 	// domain. Traffic between failure domains is billed.
@@ -96,14 +98,15 @@
 // Choice is a path with its predicted times.
 type Choice struct {
 	Path    site.Path
-	FirstMS float64 // until the first token
-	StepMS  float64 // between two tokens
+	FirstMS float64 // time to the first token
+	StepMS  float64 // time between two tokens
 	Cost    float64 // total cost, in milliseconds
-	Fullest float64 // fraction of the memory used at the fullest hop
+	Fullest float64 // fraction of memory used at the fullest hop, including the request
 }
 
 // Choose returns the cheapest path that runs all layers once, in order. It returns
-// ErrNoPath if there is none, and the path with ErrFull if the path lacks memory.
+// ErrNoPath if there is none, and the cheapest path with ErrFull if it lacks memory. r
+// provides the jitter; it may be nil.
 func Choose(q *Query, candidates []Candidate, r *rand.Rand) (Choice, error) {
 	hops := hopCosts(q, candidates, r)
 	best, cost := search(q, candidates, hops)
@@ -118,7 +121,8 @@
 	return c, nil
 }
 
-// ChooseWithin returns the cheapest path that stays within one failure domain.
+// ChooseWithin returns the cheapest path with memory for the request that stays within one
+// failure domain, or ErrNoPath if there is none.
 func ChooseWithin(q *Query, candidates []Candidate, r *rand.Rand) (Choice, error) {
 	byDomain := map[string][]Candidate{}
 	for _, c := range candidates {
@@ -134,10 +138,10 @@
 	return best, err
 }
 
-// hopCost holds the cost of a hop that does not depend on where it begins.
+// hopCost holds the parts of the cost of a hop that do not depend on its first layer.
 type hopCost struct {
-	perLayer float64 // predicted time of the prompt and weighted steps
-	fixed    float64
+	perLayer float64 // cost for each layer that the hop runs, in milliseconds
+	fixed    float64 // cost regardless of the number of layers, in milliseconds
 }
 
 // stepsWeight is the weight of the time of a token step relative to the time of the
@@ -151,8 +155,8 @@
 		s := c.Server
 		n := s.Held.Len()
 		step := HopStepMS(q.Engine, s.Kind, n, c.Load.Running+1, q.Tokens.Mean())
-		read := HopReadMS(q.Engine, s.Kind, n, q.Tokens.Prompt)
-		out[i].perLayer = c.Load.slowed(step*stepsWeight+read) / float64(max(1, n))
+		prefill := HopReadMS(q.Engine, s.Kind, n, q.Tokens.Prompt)
+		out[i].perLayer = c.Load.slowed(step*stepsWeight+prefill) / float64(max(1, n))
 		full := fullness(q, c, n)
 		out[i].perLayer *= 1 + spreadWeight*min(maxSpreadRatio, c.Load.OwnKV/max(1, q.Engine.KVCapacity(s.Kind, n)))
 		out[i].fixed = fullCost(q, full)
@@ -178,9 +182,9 @@
 
 // fullness returns the fraction of a backend server's memory that is used once it
 // runs n layers of the request. Requests count with their mean size, since they are
-// at different points of their lifetimes. The backend server's own report counts if
-// it is higher: loads exchanged by daemons are seconds old and miss requests of
-// daemons that have ended. A backend server at which requests wait counts as full.
+// at different points of their lifetimes. The usage that the backend server reports
+// applies if it is higher: loads exchanged by daemons are seconds old and omit requests
+// of daemons that have ended. A backend server with waiting requests counts as full.
 func fullness(q *Query, c *Candidate, n int) float64 {
 	capacity := q.Engine.KVCapacity(c.Server.Kind, c.Server.Held.Len())
 	if capacity <= 0 {
@@ -193,8 +197,8 @@
 	return used + q.Tokens.Mean()*float64(n)/capacity
 }
 
-// predict returns the path of the steps with its predicted times and its highest
-// memory usage.
+// predict returns the path that consists of the steps, with its predicted times and
+// highest memory usage.
 func predict(q *Query, steps []step) Choice {
 	var c Choice
 	for i, s := range steps {
--- a/pipeline/choose_test.go
+++ b/pipeline/choose_test.go
@@ -28,8 +28,7 @@
 	}
 }
 
-// A wait for the first token at a head raises its cost before the reported loads show
-// it.
+// The wait for a first token at a head raises its cost, even if the known loads do not.
 func TestWaitAtTheFirstHopCounts(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
@@ -48,7 +47,7 @@
 	require.Equal(t, "fast0", head(), "a wait counts only at the first hop")
 }
 
-// A path avoids a slow server if another holds the same layers and is faster.
+// A path avoids a slow server if a faster one holds the same layers.
 func TestSlowServerIsBypassed(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
@@ -62,7 +61,7 @@
 	typical, err := Choose(q, cs, nil)
 	require.NoError(t, err)
 	cs[1].Load.Slowdown = 2
-	require.Equal(t, []string{"fast0", "fast1"}, path(), "still faster than the other kind")
+	require.Equal(t, []string{"fast0", "fast1"}, path(), "still faster than the other server")
 	slowed, err := Choose(q, cs, nil)
 	require.NoError(t, err)
 	require.InDelta(t, 1.5*typical.FirstMS, slowed.FirstMS, 0.01)
@@ -73,7 +72,7 @@
 	require.Equal(t, []string{"fast0", "fast1"}, path(), "values below 1 are ignored")
 }
 
-// Guards against refusing requests on a full fast path while a slow path has
+// Guards against refusing a request because the fast path is full while a slow path has
 // capacity.
 func TestFullPathIsTheLastChoice(t *testing.T) {
 	e := choiceEngine()
@@ -118,8 +117,8 @@
 	require.ErrorIs(t, err, ErrNoPath)
 }
 
-// The higher of the loads of the daemons and the server's own report counts, and a
-// server at which requests wait is full.
+// The higher of the usage known from daemons and the usage that the server reports
+// counts. A server with waiting requests is full.
 func TestReportedUsageCounts(t *testing.T) {
 	e := choiceEngine()
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -1,7 +1,6 @@
 // Package pipeline decides which backend servers hold the layers of a model and which
 // path a request takes through them. Its functions do no I/O: they take the known
-// state and return a decision with its reason. All of them use one cost model of the
-// engine.
+// state and return a decision. They share one cost model of the engine.
 package pipeline
 
 import (
@@ -10,18 +9,18 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// layerShare returns the fraction of the model's layers that a number of layers is.
+// layerShare returns a number of layers as a fraction of the model's layers.
 func layerShare(e *site.Engine, layers int) float64 { return float64(layers) / float64(e.Layers) }
 
-// HopStepMS predicts the time of one token step of a backend server that runs a
-// number of layers for n requests with a mean context, in milliseconds.
+// HopStepMS predicts how long one token step takes on a backend server that runs a number
+// of layers for n requests, in milliseconds. context is their mean context in tokens.
 func HopStepMS(e *site.Engine, kind string, layers int, n, context float64) float64 {
 	perRequest := e.PerRequestMS + e.ContextPerKMS*context/1000
 	return e.Kinds[kind].Pace * layerShare(e, layers) * (e.StepMS + n*perRequest)
 }
 
-// HopReadMS predicts the time that a backend server needs to read a prompt through a
-// number of layers, in milliseconds.
+// HopReadMS predicts how long a backend server takes to process a prompt in a number of
+// layers, in milliseconds. prompt is its length in tokens.
 func HopReadMS(e *site.Engine, kind string, layers int, prompt float64) float64 {
 	if e.PrefillPerSecond <= 0 {
 		return 0
@@ -60,8 +59,8 @@
 	return Tokens{Prompt: float64(e.Prompt), Answer: float64(e.Answer)}
 }
 
-// CrossDomainPrefillMS predicts how long the activations of a prompt take over a cross-domain
-// link, in milliseconds.
+// CrossDomainPrefillMS predicts how long the activations of a prompt take over a
+// cross-domain link, in milliseconds. prompt is its length in tokens.
 func CrossDomainPrefillMS(e *site.Engine, prompt float64) float64 {
 	if e.PipeMbps <= 0 {
 		return 0
--- a/pipeline/layout.go
+++ b/pipeline/layout.go
@@ -11,8 +11,8 @@
 
 // rebuildPipelines places all n pipelines of a group again, with the servers in the
 // order of the layers that they hold. With atOnce, layers are dropped without waiting
-// for requests; it must be false while a draining server still lets requests through
-// the group.
+// for requests. It must be false while requests can still pass through the group
+// because a draining server holds the missing layers.
 func rebuildPipelines(e *site.Engine, servers []ServerState, n int, atOnce bool) []Order {
 	var orders []Order
 	for _, chain := range partition(e, servers, n) {
@@ -34,22 +34,22 @@
 }
 
 // firstLayer is the sort key of a server by its layers; empty servers come last.
-func firstLayer(c ServerState) int {
-	if !placed(c) {
+func firstLayer(s ServerState) int {
+	if !placed(s) {
 		return math.MaxInt
 	}
-	return c.Assigned.From
+	return s.Assigned.From
 }
 
 func groupByDomain(servers []ServerState) [][]ServerState {
 	byDomain := map[string][]ServerState{}
 	var names []string
-	for _, c := range servers {
-		d := c.Server.FailureDomain
+	for _, s := range servers {
+		d := s.Server.FailureDomain
 		if byDomain[d] == nil {
 			names = append(names, d)
 		}
-		byDomain[d] = append(byDomain[d], c)
+		byDomain[d] = append(byDomain[d], s)
 	}
 	slices.Sort(names)
 	out := make([][]ServerState, 0, len(names))
@@ -60,12 +60,12 @@
 }
 
 // pipelineCount returns how many complete pipelines the servers can hold: one if all
-// layers fit, more if each leaves minPipelineHeadroom for requests.
+// layers fit, and more if minPipelineHeadroom remains for requests in each.
 func pipelineCount(e *site.Engine, servers []ServerState) int {
 	memory, layers := 0.0, 0
-	for _, c := range servers {
-		memory += e.Kinds[c.Server.Kind].MemoryMB
-		layers += e.MaxLayers(c.Server.Kind)
+	for _, s := range servers {
+		memory += e.Kinds[s.Server.Kind].MemoryMB
+		layers += e.MaxLayers(s.Server.Kind)
 	}
 	weights := float64(e.Layers) * e.LayerMB
 	if weights <= 0 || layers < e.Layers {
@@ -83,21 +83,21 @@
 	})
 	chains := make([][]ServerState, n)
 	memory := make([]float64, n)
-	for _, c := range servers {
+	for _, s := range servers {
 		least := 0
 		for i := range memory {
 			if memory[i] < memory[least] {
 				least = i
 			}
 		}
-		chains[least] = append(chains[least], c)
-		memory[least] += e.Kinds[c.Server.Kind].MemoryMB
+		chains[least] = append(chains[least], s)
+		memory[least] += e.Kinds[s.Server.Kind].MemoryMB
 	}
 	return chains
 }
 
-// placePipeline assigns the layers of a pipeline to its empty servers, as layerCounts
-// divides them. Servers that get none receive no order.
+// placePipeline assigns the layers of a pipeline to empty servers, as divided by
+// layerCounts. A server without layers receives no order.
 func placePipeline(e *site.Engine, chain []ServerState) []Order {
 	counts := layerCounts(e, chain)
 	if counts == nil {
@@ -107,9 +107,9 @@
 	for i := range order {
 		order[i] = i
 	}
-	// Servers with the same number of layers are adjacent in every pipeline, so that
-	// a layer has substitutes of the same size. Those with the most layers come
-	// first, since the slots of the first hop limit the pipeline.
+	// Servers are sorted by their number of layers, so that a server is likely to have
+	// a substitute with the same layers in another pipeline. Servers with the most
+	// layers come first, since the slots of the first hop limit the pipeline.
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(counts[b], counts[a]) })
 	var out []Order
 	next := 0
@@ -130,9 +130,9 @@
 const capacityStep = 8
 
 // layerCounts returns how many layers of a pipeline each server takes, nil if they do
-// not fit. Capacity for more requests moves layers to slower servers, so it compares
-// layouts from the highest possible capacity downwards, and returns the one with the
-// highest token throughput at its full capacity.
+// not fit. A layout with capacity for more requests has more layers on slower servers.
+// layerCounts therefore compares layouts from the highest possible capacity downwards
+// and returns the one with the highest token throughput at its full capacity.
 func layerCounts(e *site.Engine, chain []ServerState) []int {
 	best, capacity := divideLayers(e, chain, e.Layers)
 	if best == nil {
@@ -152,15 +152,15 @@
 // requests.
 func throughput(e *site.Engine, chain []ServerState, counts []int, n float64) float64 {
 	ms := 0.0
-	for i, c := range chain {
-		ms += HopStepMS(e, c.Server.Kind, counts[i], n, TypicalRequest(e).Mean())
+	for i, s := range chain {
+		ms += HopStepMS(e, s.Server.Kind, counts[i], n, TypicalRequest(e).Mean())
 	}
 	return n / ms
 }
 
-// divideLayers divides layers among servers, nil if they do not fit. capacity is the
-// number of typical requests that the fullest server can hold; it is the highest for
-// which all layers fit, up to the slots of the first hop.
+// divideLayers divides layers among servers; counts is nil if they do not fit. It
+// maximizes the capacity, the number of typical requests that every server can hold
+// besides its layers, up to the slots of the first hop.
 func divideLayers(e *site.Engine, chain []ServerState, layers int) (counts []int, capacity float64) {
 	low, high := 0.0, float64(max(1, e.Slots))
 	if total(fit(e, chain, low)) < layers {
@@ -185,8 +185,8 @@
 func fit(e *site.Engine, chain []ServerState, n float64) []int {
 	perLayer := e.LayerMB + n*TypicalRequest(e).Mean()*e.KVTokenBytes/float64(e.Layers)/1e6
 	out := make([]int, len(chain))
-	for i, c := range chain {
-		out[i] = min(e.MaxLayers(c.Server.Kind), int(e.Kinds[c.Server.Kind].MemoryMB/perLayer))
+	for i, s := range chain {
+		out[i] = min(e.MaxLayers(s.Server.Kind), int(e.Kinds[s.Server.Kind].MemoryMB/perLayer))
 	}
 	return out
 }
@@ -199,9 +199,9 @@
 	return n
 }
 
-// trim removes surplus layers, from the slowest servers first and among those from
-// the one with the fewest layers. A server without layers can substitute for any
-// other, and a pipeline of fewer servers fails less often.
+// trim removes surplus layers, from the slowest servers first and among equally slow
+// ones from the one with the fewest layers. Servers that end up without layers can
+// substitute for any other, and a pipeline of fewer servers fails less often.
 func trim(e *site.Engine, chain []ServerState, counts []int, layers int) []int {
 	for over := total(counts) - layers; over > 0; over-- {
 		worst := -1
@@ -251,35 +251,37 @@
 	return b
 }
 
-// capacityByLayer returns, for each layer, the requests that its servers can hold.
+// capacityByLayer returns, for each layer, the number of typical requests that the
+// servers with the layer can hold.
 func capacityByLayer(e *site.Engine, servers []ServerState) []float64 {
 	capacities := make([]float64, e.Layers)
-	for _, c := range servers {
-		capacity := capacityOf(e, c, c.Assigned.Len())
-		for l := max(0, c.Assigned.From); l < min(e.Layers, c.Assigned.To); l++ {
+	for _, s := range servers {
+		capacity := capacityOf(e, s, s.Assigned.Len())
+		for l := max(0, s.Assigned.From); l < min(e.Layers, s.Assigned.To); l++ {
 			capacities[l] += capacity
 		}
 	}
 	return capacities
 }
 
-// capacityOf returns the typical requests that a server can hold besides n layers,
-// plus one so that a server without free memory still counts.
-func capacityOf(e *site.Engine, c ServerState, n int) float64 {
+// capacityOf returns the number of typical requests that a server can hold besides n
+// layers, up to the slots of a first hop. One is added so that a server without free
+// memory still counts.
+func capacityOf(e *site.Engine, s ServerState, n int) float64 {
 	if n == 0 {
 		return 0
 	}
 	per := TypicalRequest(e).Mean() * float64(n)
-	return min(float64(max(1, e.Slots)), 1+e.KVCapacity(c.Server.Kind, n)/max(1, per))
+	return min(float64(max(1, e.Slots)), 1+e.KVCapacity(s.Server.Kind, n)/max(1, per))
 }
 
-// lowestCapacityWindow returns the range of layers with the lowest capacity for an
-// empty server to take. Its length leaves the server memory for requests in all slots
-// where possible.
-func lowestCapacityWindow(e *site.Engine, c ServerState, capacities []float64) site.Range {
-	n := fit(e, []ServerState{c}, float64(max(1, e.Slots)))[0]
+// lowestCapacityWindow returns the layers that an empty server should take, the range
+// with the lowest capacity. Its length leaves the server memory for requests in all
+// slots if possible.
+func lowestCapacityWindow(e *site.Engine, s ServerState, capacities []float64) site.Range {
+	n := fit(e, []ServerState{s}, float64(max(1, e.Slots)))[0]
 	if n == 0 {
-		n = max(1, e.MaxLayers(c.Server.Kind)/2)
+		n = max(1, e.MaxLayers(s.Server.Kind)/2)
 	}
 	n = min(n, e.Layers)
 	best, bestScore := 0, math.Inf(1)
--- a/pipeline/layout_test.go
+++ b/pipeline/layout_test.go
@@ -9,8 +9,8 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// emptyServers returns empty servers of one failure domain. Its arguments are kinds,
-// each followed by a count.
+// emptyServers returns empty servers of one failure domain. The arguments are kinds,
+// each followed by a number of servers.
 func emptyServers(kinds ...any) []ServerState {
 	var out []ServerState
 	for i := 0; i < len(kinds); i += 2 {
@@ -32,8 +32,8 @@
 	return e
 }
 
-// Guards against placing layers on slow servers only for capacity. Left without
-// layers, they can substitute for lost servers.
+// Guards against placing layers on slow servers only for capacity. Without layers, they
+// can substitute for lost servers.
 func TestPipelineIsPlacedForThroughput(t *testing.T) {
 	e := unevenEngine()
 	chain := emptyServers("fast", 2, "brisk", 4, "slow", 4)
@@ -44,7 +44,7 @@
 	require.Equal(t, []int{0, 0, 0, 0}, got[6:], "layers on slow servers, %v with capacity for all slots", fullest)
 }
 
-// Where only slow servers exist, a pipeline keeps capacity for all slots.
+// A pipeline of equally slow servers has capacity for all slots.
 func TestPipelineOfEqualServersKeepsCapacity(t *testing.T) {
 	e := unevenEngine()
 	chain := emptyServers("slow", 14)
@@ -53,8 +53,8 @@
 	require.Equal(t, fullest, layerCounts(e, chain))
 }
 
-// Surplus layers are removed from few servers, so that a pipeline uses as few slow
-// ones as possible.
+// Surplus layers are removed from one server after the other, so that a pipeline uses as
+// few slow servers as possible.
 func TestFewestSlowServersAreUsed(t *testing.T) {
 	e := unevenEngine()
 	chain := emptyServers("fast", 1, "brisk", 10, "slow", 4)
--- a/pipeline/neighborsplit.go
+++ b/pipeline/neighborsplit.go
@@ -7,9 +7,9 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// neighborSplit divides an uncovered range between the server before it and the one
-// after it, -1 for none, at layer at. Neither drops a layer, so no request is
-// interrupted.
+// neighborSplit divides an uncovered range between the server (left) before the range and
+// the server (right) after it. They are indices in the group, -1 for none. The right server
+// begins at layer at. Neither drops a layer, so no request is interrupted.
 type neighborSplit struct {
 	left, right, at int
 	capacity        float64 // typical requests that the fuller of the two can then hold
@@ -26,8 +26,8 @@
 	}
 }
 
-// bestNeighborSplit returns the split with the highest capacity, one with zero
-// capacity if there is none.
+// bestNeighborSplit returns the split with the highest capacity. The capacity is zero
+// if there is no split.
 func (g *group) bestNeighborSplit(uncovered site.Range) neighborSplit {
 	best := neighborSplit{left: -1, right: -1, at: uncovered.From}
 	lefts, rights := g.adjacent(uncovered)
@@ -45,25 +45,26 @@
 }
 
 // adjacent returns the servers whose layers end where an uncovered range begins, and
-// those whose layers begin where it ends, each with -1 for none.
+// the servers whose layers begin where it ends. Both lists include -1, which stands for
+// none.
 func (g *group) adjacent(uncovered site.Range) (lefts, rights []int) {
 	lefts, rights = []int{-1}, []int{-1}
-	for i, c := range g.servers {
-		if c.Busy || !placed(c) {
+	for i, s := range g.servers {
+		if s.Busy || !placed(s) {
 			continue
 		}
-		if c.Assigned.To == uncovered.From {
+		if s.Assigned.To == uncovered.From {
 			lefts = append(lefts, i)
 		}
-		if c.Assigned.From == uncovered.To {
+		if s.Assigned.From == uncovered.To {
 			rights = append(rights, i)
 		}
 	}
 	return lefts, rights
 }
 
-// splitCapacity returns the typical requests that the fuller server can hold, 0 if a
-// part of the uncovered range has no server.
+// splitCapacity returns the number of typical requests that the fuller server of a split
+// can hold, 0 if the split leaves a part of the uncovered range without a server.
 func (g *group) splitCapacity(h neighborSplit, uncovered site.Range) float64 {
 	capacity := math.Inf(1)
 	if h.at > uncovered.From {
@@ -81,8 +82,8 @@
 	return capacity
 }
 
-// capacityWith returns the typical requests that a server can hold besides n layers,
-// 0 if they do not fit.
+// capacityWith returns the number of typical requests that a server can hold besides n
+// layers, 0 if the layers do not fit.
 func (g *group) capacityWith(i, n int) float64 {
 	if n > g.e.MaxLayers(g.servers[i].Server.Kind) {
 		return 0
--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -11,11 +11,11 @@
 // ServerState is a backend server with its state as placement uses it.
 type ServerState struct {
 	Server   *site.BackendServer
-	Assigned site.Range // layers that it holds, or will hold once the pending order is carried out
-	Busy     bool       // an order is pending, or one was sent without an answer
+	Assigned site.Range // layers that it holds, or will hold after its pending order
+	Busy     bool       // an order is pending or unanswered
 	// Fresh is set for a short time after an empty server registers. In a rolling
 	// replacement the new server starts before the old one drains, and is reserved
-	// for the layers of that one.
+	// for the layers of the old one.
 	Fresh bool
 }
 
@@ -24,26 +24,26 @@
 	Server *site.BackendServer
 	Layers site.Range
 	// AtOnce drops layers without waiting for the requests that pass through them. It
-	// is set when no server of the group holds some layer, so that those requests
-	// cannot continue there anyway.
+	// is set if no server of the group holds some layer, so that the requests cannot
+	// continue there anyway.
 	AtOnce bool
 	Reason string
 }
 
 // Placement targets.
 const (
-	// minPipelineHeadroom is the memory for requests that each further pipeline of a
-	// group must leave, as a fraction of its weights.
+	// minPipelineHeadroom is the memory for requests that a group with more than one
+	// pipeline must have for each of them, as a fraction of a pipeline's weights.
 	minPipelineHeadroom = 0.5
 	// fillCapacity is the number of typical requests for which a server keeps memory
-	// when it takes an uncovered range. A server with less limits its whole pipeline.
+	// when it takes an uncovered range. A server with less memory would limit its
+	// pipeline.
 	fillCapacity = 80
-	// minCapacity is the same for servers that share the layers of a lost one,
-	// minSoleCapacity where no other server holds these layers.
+	// minCapacity is the same for servers that share the layers of a lost server, and
+	// minSoleCapacity if no other server holds these layers.
 	minCapacity     = 30
 	minSoleCapacity = 8
-	// minHolders is the number of servers in the whole site that should hold each
-	// layer.
+	// minHolders is the number of servers of the site that should hold each layer.
 	minHolders = 2
 )
 
@@ -51,7 +51,7 @@
 type Plan struct {
 	Orders []Order
 	// Incomplete is set if the servers of a group will not cover all layers after these
-	// orders. Only placing the whole group again can then cover them.
+	// orders. Only a rebuild of the group can then cover them.
 	Incomplete bool
 }
 
@@ -61,9 +61,9 @@
 // Servers that hold layers get orders only if their group does not cover a layer or
 // lacks capacity: loading weights is expensive, and requests pass through them.
 //
-// With patient, a group is not rebuilt even if its servers cannot cover a layer. A
-// rebuild loads the weights of all of them again, and a crashed server may return
-// within seconds.
+// With patient, a group is not rebuilt even if its servers cannot cover a layer. In a
+// rebuild all servers load weights again, and a crashed server may return within
+// seconds.
 func Place(e *site.Engine, servers []ServerState, patient bool) Plan {
 	draining := drainingRanges(servers)
 	servers = usableServers(e, servers)
@@ -90,12 +90,12 @@
 }
 
 // drainingRanges returns the layers of draining servers by failure domain. Requests
-// still pass through them.
+// still pass through these servers.
 func drainingRanges(servers []ServerState) map[string][]site.Range {
 	out := map[string][]site.Range{}
-	for _, c := range servers {
-		if d := c.Server.FailureDomain; c.Server.Draining && placed(c) {
-			out[d] = append(out[d], c.Assigned)
+	for _, s := range servers {
+		if d := s.Server.FailureDomain; s.Server.Draining && placed(s) {
+			out[d] = append(out[d], s.Assigned)
 		}
 	}
 	return out
@@ -103,9 +103,9 @@
 
 func usableServers(e *site.Engine, servers []ServerState) []ServerState {
 	var out []ServerState
-	for _, c := range servers {
-		if !c.Server.Draining && e.MaxLayers(c.Server.Kind) > 0 {
-			out = append(out, c)
+	for _, s := range servers {
+		if !s.Server.Draining && e.MaxLayers(s.Server.Kind) > 0 {
+			out = append(out, s)
 		}
 	}
 	slices.SortFunc(out, func(a, b ServerState) int { return cmp.Compare(a.Server.ID, b.Server.ID) })
@@ -137,17 +137,17 @@
 	return Plan{Orders: g.orders, Incomplete: incomplete}
 }
 
-func placed(c ServerState) bool { return c.Assigned.Len() > 0 }
+func placed(s ServerState) bool { return s.Assigned.Len() > 0 }
 
-func busy(c ServerState) bool { return c.Busy }
+func busy(s ServerState) bool { return s.Busy }
 
 // group is the state of placing one group.
 type group struct {
 	e        *site.Engine
 	servers  []ServerState
 	draining []site.Range // layers of draining servers; requests pass through them
-	copies   int          // pipelines, the number of servers that should hold each layer
-	atOnce   bool         // new orders drop layers at once
+	copies   int          // number of servers that should hold each layer
+	atOnce   bool         // whether new orders drop layers at once
 	orders   []Order
 }
 
@@ -159,7 +159,7 @@
 	c.Assigned, c.Busy = r, true
 }
 
-// graceful makes further orders wait for requests before they drop layers.
+// graceful makes further orders wait for requests to end before they drop layers.
 func (g *group) graceful() { g.atOnce = false }
 
 // holders returns the number of servers that hold each layer.
@@ -180,11 +180,10 @@
 }
 
 // blocked reports whether no request can pass through a range: no server of the group
-// holds some of its layers, nor does a draining one.
+// holds one of its layers, and no draining server holds layers of the range.
 func (g *group) blocked(r site.Range) bool { return g.hasUnheldLayer(r) && !g.heldByDraining(r) }
 
-// uncoveredRanges returns the ranges of layers that are held by fewer servers than
-// there are pipelines.
+// uncoveredRanges returns the ranges of layers that fewer than g.copies servers hold.
 func (g *group) uncoveredRanges() []site.Range {
 	var out []site.Range
 	holders := g.holders()
@@ -203,7 +202,7 @@
 
 // assignFreeServers assigns uncovered ranges to servers for which free is true.
 // holders is the number of servers that hold each layer.
-func (g *group) assignFreeServers(free func(c ServerState, holders []int) bool) {
+func (g *group) assignFreeServers(free func(s ServerState, holders []int) bool) {
 	defer g.graceful()
 	for _, uncovered := range g.uncoveredRanges() {
 		g.atOnce = g.blocked(uncovered)
@@ -221,14 +220,14 @@
 
 // sizeFor returns how many layers a server takes for an uncovered range: as many as
 // leave memory for requests in all slots, and more only if the range is larger.
-func (g *group) sizeFor(c ServerState, uncovered site.Range) int {
-	full := fit(g.e, []ServerState{c}, float64(max(1, g.e.Slots)))[0]
-	return max(1, full, min(uncovered.Len(), g.layersWithHeadroom(c)))
+func (g *group) sizeFor(s ServerState, uncovered site.Range) int {
+	full := fit(g.e, []ServerState{s}, float64(max(1, g.e.Slots)))[0]
+	return max(1, full, min(uncovered.Len(), g.layersWithHeadroom(s)))
 }
 
-// rangeAround returns n layers that begin with the uncovered range, or surround it if
-// it is smaller. A server that holds more than the range can substitute for its
-// neighbors.
+// rangeAround returns a range of n layers that begins with the uncovered range, or
+// surrounds it if it has fewer than n layers. A server that holds more than the
+// uncovered range can substitute for its neighbors.
 func rangeAround(uncovered site.Range, n, layers int) site.Range {
 	from := uncovered.From
 	if n > uncovered.Len() {
@@ -238,46 +237,48 @@
 	return site.Range{From: from, To: min(layers, from+n)}
 }
 
-// layersWithHeadroom returns how many layers a server can take with memory for
+// layersWithHeadroom returns how many layers a server can hold besides the memory of
 // fillCapacity requests, at least one.
-func (g *group) layersWithHeadroom(c ServerState) int {
-	n := fit(g.e, []ServerState{c}, fillCapacity)[0]
-	return max(1, min(n, g.e.MaxLayers(c.Server.Kind)))
+func (g *group) layersWithHeadroom(s ServerState) int {
+	n := fit(g.e, []ServerState{s}, fillCapacity)[0]
+	return max(1, min(n, g.e.MaxLayers(s.Server.Kind)))
 }
 
 // freeServer returns the free server that fits an uncovered range best: the smallest
-// that covers it, else the largest; -1 for none.
+// that can take all of it, else the largest; -1 for none.
 func (g *group) freeServer(uncovered site.Range, free func(ServerState, []int) bool) int {
 	best := -1
 	holders := g.holders()
 	for i := range g.servers {
-		c := g.servers[i]
-		if c.Busy || !free(c, holders) || placed(c) && g.heldByDraining(uncovered) {
+		s := g.servers[i]
+		if s.Busy || !free(s, holders) || placed(s) && g.heldByDraining(uncovered) {
 			continue
 		}
-		if best < 0 || fitsBetter(g.layersWithHeadroom(c), g.layersWithHeadroom(g.servers[best]), uncovered.Len()) {
+		if best < 0 || fitsBetter(g.layersWithHeadroom(s), g.layersWithHeadroom(g.servers[best]), uncovered.Len()) {
 			best = i
 		}
 	}
 	return best
 }
 
-func fitsBetter(a, b, want int) bool {
-	if a >= want && b >= want {
+// fitsBetter reports whether a server that can take a layers fits a range of n layers
+// better than one that can take b.
+func fitsBetter(a, b, n int) bool {
+	if a >= n && b >= n {
 		return a < b
 	}
 	return a > b
 }
 
 // empty reports whether a server holds no layers.
-func empty(c ServerState, _ []int) bool { return !placed(c) }
+func empty(s ServerState, _ []int) bool { return !placed(s) }
 
 // redundant reports whether enough other servers hold all layers of a server.
-func (g *group) redundant(c ServerState, holders []int) bool {
-	if !placed(c) {
+func (g *group) redundant(s ServerState, holders []int) bool {
+	if !placed(s) {
 		return false
 	}
-	for l := max(0, c.Assigned.From); l < min(g.e.Layers, c.Assigned.To); l++ {
+	for l := max(0, s.Assigned.From); l < min(g.e.Layers, s.Assigned.To); l++ {
 		if holders[l] <= g.copies {
 			return false
 		}
@@ -289,18 +290,18 @@
 // capacity.
 func (g *group) useEmpty() {
 	for i := range g.servers {
-		c := g.servers[i]
-		if placed(c) || c.Busy || c.Fresh {
+		s := g.servers[i]
+		if placed(s) || s.Busy || s.Fresh {
 			continue
 		}
-		if r := lowestCapacityWindow(g.e, c, capacityByLayer(g.e, g.servers)); r.Len() > 0 {
+		if r := lowestCapacityWindow(g.e, s, capacityByLayer(g.e, g.servers)); r.Len() > 0 {
 			g.assign(i, r, "lowest capacity for requests in these layers")
 		}
 	}
 }
 
-// placeRemaining assigns servers that cannot hold a pipeline by themselves to the
-// layers that the fewest servers of the site hold.
+// placeRemaining assigns servers that together cannot hold a pipeline to the layers
+// that the fewest servers of the site hold. orders are those of the other groups.
 func placeRemaining(e *site.Engine, rest, all []ServerState, orders []Order) []Order {
 	g := &group{e: e, servers: slices.Clone(all), copies: minHolders}
 	for _, o := range orders {
@@ -310,12 +311,12 @@
 			}
 		}
 	}
-	inRest := func(c ServerState) bool {
-		return slices.ContainsFunc(rest, func(r ServerState) bool { return r.Server.ID == c.Server.ID })
+	inRest := func(s ServerState) bool {
+		return slices.ContainsFunc(rest, func(r ServerState) bool { return r.Server.ID == s.Server.ID })
 	}
 	for i := range g.servers {
 		if !inRest(g.servers[i]) {
-			g.servers[i].Busy = true // placed with its own group
+			g.servers[i].Busy = true // placed with another group
 		}
 	}
 	if len(rest) == len(all) {
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -13,8 +13,8 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// testEngine is a model of 80 layers on four kinds of servers: a large, a medium and
-// two small ones, of which one has less memory.
+// testEngine returns a model of 80 layers on four kinds of servers with decreasing
+// memory.
 func testEngine() *site.Engine {
 	return &site.Engine{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 590000, StepMS: 0.85, PerRequestMS: 0.00382,
@@ -36,7 +36,7 @@
 	return ServerState{Server: s}
 }
 
-// siteServers returns the servers of three failure domains, each of which can hold
+// siteServers returns the empty servers of three failure domains. Each domain can hold
 // the model once.
 func siteServers() []ServerState {
 	var out []ServerState
@@ -58,8 +58,8 @@
 	return out
 }
 
-// placeUntilStable carries out orders and repeats the placement until it gives none.
-// It returns the number of orders.
+// placeUntilStable repeats the placement and carries out its orders until there are
+// none. It returns the number of orders.
 func placeUntilStable(t require.TestingT, e *site.Engine, servers []ServerState) (loads int) {
 	for range 20 {
 		orders := Place(e, servers, false).Orders
@@ -74,7 +74,7 @@
 			require.GreaterOrEqual(t, o.Layers.From, 0)
 			require.LessOrEqual(t, o.Layers.To, e.Layers)
 			require.Positive(t, o.Layers.Len())
-			i := slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.ID == o.Server.ID })
+			i := slices.IndexFunc(servers, func(state ServerState) bool { return state.Server.ID == o.Server.ID })
 			require.NotEqual(t, servers[i].Assigned, o.Layers, "order without a change")
 			s := *servers[i].Server
 			s.Held = o.Layers
@@ -88,11 +88,11 @@
 
 func holdersOf(e *site.Engine, servers []ServerState, domain string) []int {
 	out := make([]int, e.Layers)
-	for _, c := range servers {
-		if domain != "" && c.Server.FailureDomain != domain {
+	for _, s := range servers {
+		if domain != "" && s.Server.FailureDomain != domain {
 			continue
 		}
-		for l := c.Assigned.From; l < c.Assigned.To; l++ {
+		for l := s.Assigned.From; l < s.Assigned.To; l++ {
 			out[l]++
 		}
 	}
@@ -105,9 +105,9 @@
 	for _, d := range []string{"a", "b", "c"} {
 		require.Equal(t, 1, slices.Min(holdersOf(e, servers, d)), d)
 	}
-	for _, c := range servers {
-		require.GreaterOrEqual(t, e.KVCapacity(c.Server.Kind, c.Assigned.Len())/TypicalRequest(e).Mean()/float64(max(1, c.Assigned.Len())), 100.0,
-			"%s with %d layers has little capacity for requests", c.Server.Kind, c.Assigned.Len())
+	for _, s := range servers {
+		require.GreaterOrEqual(t, e.KVCapacity(s.Server.Kind, s.Assigned.Len())/TypicalRequest(e).Mean()/float64(max(1, s.Assigned.Len())), 100.0,
+			"%s with %d layers has little capacity for requests", s.Server.Kind, s.Assigned.Len())
 	}
 }
 
@@ -124,8 +124,8 @@
 	}
 }
 
-// The remaining servers share the layers of a lost one evenly. Guards against two
-// neighbors taking all of them with no memory left for requests.
+// Several servers share the layers of a lost one. Guards against two neighbors that take
+// all of them and have no memory left for requests.
 func TestLostServerLeavesCapacity(t *testing.T) {
 	e := testEngine()
 	for lost := range siteServers() {
@@ -134,21 +134,21 @@
 		domain := servers[lost].Server.FailureDomain
 		servers = slices.Delete(servers, lost, lost+1)
 		placeUntilStable(t, e, servers)
-		left := slices.DeleteFunc(servers, func(c ServerState) bool { return c.Server.FailureDomain != domain })
+		left := slices.DeleteFunc(servers, func(s ServerState) bool { return s.Server.FailureDomain != domain })
 		require.GreaterOrEqual(t, BoundOf(e, left).Requests, 60, "server %d", lost)
 	}
 }
 
-// withoutLargeServer returns the servers of the site without a large one, and without
-// the redundant servers of its failure domain, which could take its layers.
+// withoutLargeServer returns the placed servers of the site without the large one and
+// without the redundant servers of its failure domain, which could take its layers.
 func withoutLargeServer(t *testing.T, e *site.Engine) (servers []ServerState, domain string) {
 	servers = siteServers()
 	placeUntilStable(t, e, servers)
-	lost := slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.Kind == "large" })
+	lost := slices.IndexFunc(servers, func(s ServerState) bool { return s.Server.Kind == "large" })
 	domain = servers[lost].Server.FailureDomain
 	holders := holdersOf(e, servers, domain)
-	isRedundant := func(c ServerState) bool {
-		return c.Server.FailureDomain == domain && slices.Min(holders[c.Assigned.From:c.Assigned.To]) > 1
+	isRedundant := func(s ServerState) bool {
+		return s.Server.FailureDomain == domain && slices.Min(holders[s.Assigned.From:s.Assigned.To]) > 1
 	}
 	servers = slices.Delete(servers, lost, lost+1)
 	return slices.DeleteFunc(servers, isRedundant), domain
@@ -163,7 +163,7 @@
 	dropping := 0
 	for _, o := range orders {
 		require.Equal(t, domain, o.Server.FailureDomain)
-		if held := servers[slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.ID == o.Server.ID })].Assigned; held.Overlap(o.Layers) < held.Len() {
+		if held := servers[slices.IndexFunc(servers, func(s ServerState) bool { return s.Server.ID == o.Server.ID })].Assigned; held.Overlap(o.Layers) < held.Len() {
 			dropping++
 			require.True(t, o.AtOnce, "%s drops some of %v for %v", o.Server.ID, held, o.Layers)
 		}
@@ -171,15 +171,14 @@
 	require.Positive(t, dropping)
 }
 
-// A server that took many layers while others were busy gets capacity once they are
-// not.
+// A server that has no memory left for requests is relieved of layers.
 func TestConstrainedServerIsRelieved(t *testing.T) {
 	e := testEngine()
 	servers := siteServers()[:13]
 	placeUntilStable(t, e, servers)
 	last := slices.MaxFunc(servers, func(a, b ServerState) int { return a.Assigned.To - b.Assigned.To })
-	at := slices.IndexFunc(servers, func(c ServerState) bool { return c.Assigned.To == last.Assigned.From })
-	servers = slices.DeleteFunc(servers, func(c ServerState) bool { return c.Server.ID == last.Server.ID })
+	at := slices.IndexFunc(servers, func(s ServerState) bool { return s.Assigned.To == last.Assigned.From })
+	servers = slices.DeleteFunc(servers, func(s ServerState) bool { return s.Server.ID == last.Server.ID })
 	constrained := *servers[at].Server
 	constrained.Held.To = e.Layers
 	servers[at] = ServerState{Server: &constrained, Assigned: constrained.Held}
@@ -201,7 +200,7 @@
 	fresh.Fresh = true
 	servers = append(servers, fresh)
 	require.Empty(t, Place(e, servers, true).Orders)
-	old := slices.IndexFunc(servers, func(c ServerState) bool { return c.Server.FailureDomain == "a" && c.Server.Kind == "small" })
+	old := slices.IndexFunc(servers, func(s ServerState) bool { return s.Server.FailureDomain == "a" && s.Server.Kind == "small" })
 	draining := *servers[old].Server
 	draining.Draining = true
 	servers[old].Server = &draining
@@ -214,7 +213,7 @@
 	placeUntilStable(t, e, servers[:len(servers)-1])
 }
 
-// Requests still pass through a draining server. Its neighbors may take over its
+// While requests still pass through a draining server, its neighbors may take over its
 // layers but drop none of their own.
 func TestNoLayersAreDroppedForDrainingServer(t *testing.T) {
 	for at := range siteServers() {
@@ -242,14 +241,14 @@
 func TestGroupIsNotRebuiltWhileServerMayReturn(t *testing.T) {
 	e := testEngine()
 	servers, domain := withoutLargeServer(t, e)
-	left := slices.DeleteFunc(slices.Clone(servers), func(c ServerState) bool { return c.Server.FailureDomain != domain })
+	left := slices.DeleteFunc(slices.Clone(servers), func(s ServerState) bool { return s.Server.FailureDomain != domain })
 	plan, rebuilt := Place(e, servers, true), Place(e, servers, false).Orders
 	require.True(t, plan.Incomplete)
 	require.Less(t, len(plan.Orders), len(rebuilt))
 	require.GreaterOrEqual(t, len(rebuilt), len(left)-1, "all servers of the domain but at most one that keeps its layers")
 }
 
-// A rebuild while a server drains does not interrupt requests on it.
+// A rebuild does not interrupt requests that pass through a draining server.
 func TestGroupIsRebuiltGracefullyWhileServerDrains(t *testing.T) {
 	e := testEngine()
 	servers, domain := withoutLargeServer(t, e)
@@ -312,8 +311,8 @@
 
 func candidates(servers []ServerState) []Candidate {
 	out := make([]Candidate, 0, len(servers))
-	for _, c := range servers {
-		out = append(out, Candidate{Server: c.Server})
+	for _, s := range servers {
+		out = append(out, Candidate{Server: s.Server})
 	}
 	return out
 }
@@ -401,7 +400,7 @@
 	}
 }
 
-// Records with layers outside the model are ignored.
+// Servers whose records have layers outside the model are ignored.
 func TestServersWithLayersBeyondTheModelAreIgnored(t *testing.T) {
 	e, servers := testEngine(), siteServers()
 	placeUntilStable(t, e, servers)
@@ -433,8 +432,8 @@
 	require.LessOrEqual(t, reduced.Layers.To, lost.To)
 }
 
-// BenchmarkChoose chooses a path among the servers of one site and among 77 times as
-// many.
+// BenchmarkChoose measures the choice of a path among the servers of one site and among
+// 77 times as many.
 func BenchmarkChoose(b *testing.B) {
 	for _, copies := range []int{1, 77} {
 		e, servers := testEngine(), siteServers()
@@ -460,15 +459,15 @@
 	}
 }
 
-// BenchmarkPlace assigns an uncovered range at the size of one site and at 77 times
-// that.
+// BenchmarkPlace measures a placement after the loss of servers, at the size of one site
+// and at 77 times that size.
 func BenchmarkPlace(b *testing.B) {
 	for _, copies := range []int{1, 77} {
 		e := testEngine()
 		var servers []ServerState
 		for n := range copies {
-			for _, c := range siteServers() {
-				s := *c.Server
+			for _, state := range siteServers() {
+				s := *state.Server
 				s.ID, s.Address = fmt.Sprint(s.ID, "-", n), fmt.Sprint(s.Address, "-", n)
 				servers = append(servers, ServerState{Server: &s})
 			}
--- a/pipeline/search.go
+++ b/pipeline/search.go
@@ -15,8 +15,8 @@
 }
 
 // frontier holds the cheapest partial path to each layer, for each failure domain of
-// the last hop. The cost of the remaining hops depends on the previous ones only
-// through that domain.
+// the last hop. The cost of further hops depends on the previous ones only through
+// this failure domain.
 type frontier struct {
 	cs     []Candidate
 	nodes  []node
@@ -62,7 +62,7 @@
 }
 
 // search finds the cheapest path through all layers, layer by layer. steps is nil if
-// there is none.
+// there is no path.
 func search(q *Query, cs []Candidate, hops []hopCost) (steps []step, cost float64) {
 	layers := q.Engine.Layers
 	f := newFrontier(cs, layers)
@@ -143,9 +143,8 @@
 	}
 }
 
-// keptStarts returns the layers at which hops begin that keep their memory of the
-// request. A previous hop may end there so that the kept hop runs the same layers
-// again.
+// keptStarts returns the first layers of the hops in q.Keep. The hop before a kept hop
+// may end there, so that the kept hop runs the same layers as before.
 func keptStarts(q *Query) []int {
 	var out []int
 	for _, r := range q.Keep {
@@ -155,7 +154,7 @@
 	return out
 }
 
-// possibleEnds appends the layers at which a hop that begins at a layer may end.
+// possibleEnds appends to out the layers at which a hop that begins at layer at may end.
 func possibleEnds(out []int, s *site.BackendServer, at int, starts []int) []int {
 	out = append(out, s.Held.To)
 	for _, l := range starts {
@@ -175,8 +174,9 @@
 	return false
 }
 
-// edgeCost is the cost of continuing with candidate i for some layers. A hop that
-// keeps its memory reads no prompt again, and its load includes the request already.
+// edgeCost returns the cost of continuing from one candidate with candidate i for some
+// layers. A kept hop costs only the link: it does not process the prompt again, and its
+// load already includes the request.
 func edgeCost(q *Query, cs []Candidate, hops []hopCost, from, i int, run site.Range) float64 {
 	s, prev := cs[i].Server, cs[from].Server
 	cost := stepsWeight * LinkMS(q.Engine, prev.FailureDomain, s.FailureDomain)
--- a/pipeline/split.go
+++ b/pipeline/split.go
@@ -9,36 +9,36 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// A split assigns the requests of a whole fleet to paths in fixed proportions. It is
-// used when many daemons handle few requests each. A daemon knows the loads of the
-// others with seconds of delay; if each took the cheapest path, all would take the
+// A split assigns the requests of a fleet to paths in fixed proportions. It is used if
+// many daemons handle few requests each. A daemon receives the loads of the others
+// with a delay of seconds. If each daemon took the cheapest path, all would take the
 // same one and later leave it together. A split depends only on the layout and the
-// total load, so all daemons compute nearly the same one, and it does not oscillate
+// total load, so all daemons compute nearly the same split, and it does not oscillate
 // with old loads.
 
 // Parameters of a split.
 const (
 	// splitSlices is the number of slices into which the load is divided. Each slice
-	// takes the cheapest path given the slices before it. A site has at most a few
-	// dozen heads.
+	// takes the path that is cheapest under the load of the previous slices. The
+	// number exceeds that of a site's heads, at most a few dozen.
 	splitSlices = 64
-	// splitFullThreshold is the usage of a backend server's memory, or of a head's
-	// slots, from which a split prefers other paths. The sizes and the number of
-	// requests vary, so a backend server with a higher planned usage is full at
-	// times.
+	// splitFullThreshold is the planned usage of a backend server's memory, or of a
+	// head's slots, as a fraction, from which a split prefers other paths. The size
+	// and the number of requests vary, so a backend server with a higher planned
+	// usage would be full at times.
 	splitFullThreshold = 0.6
-	// minLoadShare is the minimum load for which a split is made, as a fraction of
-	// the total capacity. Reported loads are incomplete after a start, and a split
-	// for too low a load would use too few heads; one for too high a load only uses
+	// minLoadShare is the minimum load for which a split is computed, as a fraction
+	// of the total capacity. Reported loads are incomplete after a start. A split for
+	// too low a load uses too few heads, while a split for too high a load only uses
 	// more paths than needed.
 	minLoadShare = 0.6
 	// ownRequestsThreshold is the mean number of a daemon's own requests per head
-	// from which the daemon spreads them by its own loads rather than by a split.
+	// from which the daemon spreads them by their load rather than by a split.
 	ownRequestsThreshold = 4
 )
 
-// NeedsSplit reports whether the daemons of a fleet handle too few requests each to
-// spread them by their own loads.
+// NeedsSplit reports whether each daemon of a fleet handles too few requests to spread
+// them by their load.
 func NeedsSplit(e *site.Engine, candidates []Candidate, daemons int) bool {
 	heads := 0
 	for _, c := range candidates {
@@ -58,11 +58,12 @@
 	return float64(BoundOf(e, servers).Requests)
 }
 
-// Demand is the load for which a split is made.
+// Demand is the load for which a split is computed.
 type Demand struct {
 	// Requests is the number of requests in flight of all daemons, 0 if unknown.
 	Requests float64
-	// Domains maps the failure domain of the daemons to its share of the requests.
+	// Domains maps each failure domain to the fraction of the requests that its
+	// daemons handle.
 	Domains map[string]float64
 }
 
@@ -71,16 +72,16 @@
 	Choice Choice
 	// Rate is the fraction of the failure domain's requests that take the path.
 	Rate float64
-	// Heads is the planned number of requests of the whole fleet whose first hop is
-	// that of the path.
+	// Heads is the planned number of requests of the fleet that begin at the first
+	// hop of the path.
 	Heads float64
-	// DurationMS is the predicted duration of a request.
+	// DurationMS is the predicted duration of a request, in milliseconds.
 	DurationMS float64
 }
 
-// Split returns the paths for requests of a failure domain, sorted by their names.
-// Candidates are all backend servers that may take work; of their loads only Slowdown
-// is used.
+// Split returns the paths for the requests of daemons in failure domain near, sorted by
+// name. candidates are all backend servers that may take work; only the Slowdown of
+// their loads is used.
 func Split(e *site.Engine, candidates []Candidate, d Demand, near string) []Share {
 	s := newSplitter(e, candidates)
 	slice := max(d.Requests, minLoadShare*totalCapacity(e, candidates)) / splitSlices
@@ -113,7 +114,7 @@
 	return out
 }
 
-// splitter assigns slices of the load to paths, one after the other.
+// splitter assigns slices of the load to paths one by one.
 type splitter struct {
 	engine    *site.Engine
 	tokens    Tokens
@@ -122,15 +123,15 @@
 }
 
 // domainState holds the backend servers of one failure domain and the load assigned
-// to them. Paths stay within a domainState, so a slice invalidates only one cheapest
-// path, and Split need not search all candidates again.
+// to them. Paths stay within a domainState. A slice therefore invalidates the cheapest
+// path of only one of them, and Split need not search all candidates again.
 type domainState struct {
-	domain    string // "" for all of them
+	domain    string // "" for all failure domains
 	cs        []Candidate
 	index     map[string]int // of cs, by ID
 	best      Choice
-	bestValid bool // best is the cheapest path
-	noPath    bool // no path is left
+	bestValid bool // best accounts for the load assigned so far
+	noPath    bool // Choose finds no path
 }
 
 // pathLoad is the load of one failure domain on a path.
@@ -152,12 +153,12 @@
 		s.addDomain(domain, byDomain[domain])
 	}
 	if len(s.domains) == 0 {
-		s.addDomain("", cs) // no failure domain holds all layers
+		s.addDomain("", cs) // no failure domain has a path
 	}
 	return s
 }
 
-// addDomain adds a domainState if it has a path.
+// addDomain adds a failure domain if it has a path.
 func (s *splitter) addDomain(domain string, cs []Candidate) {
 	ds := &domainState{domain: domain, cs: cs, index: map[string]int{}}
 	for i := range cs {
@@ -170,16 +171,16 @@
 	}
 }
 
-// updateBest searches the cheapest path of a domainState.
+// updateBest finds the cheapest path of a failure domain under the assigned load.
 func (s *splitter) updateBest(ds *domainState) {
 	q := &Query{Engine: s.engine, Tokens: s.tokens, FullThreshold: splitFullThreshold}
 	c, err := Choose(q, ds.cs, nil)
 	ds.best, ds.bestValid, ds.noPath = c, true, errors.Is(err, ErrNoPath)
 }
 
-// place assigns a slice of a failure domain's requests to the path that is now
-// cheapest for it. It does nothing without a path; a domainState has none once the
-// slots of all its heads are assigned.
+// place assigns a slice of a failure domain's requests to the path that is now the
+// cheapest for them. It does nothing if there is no path, which is the case once the
+// slots of all heads are assigned.
 func (s *splitter) place(domain string, requests float64) {
 	var best *domainState
 	least := 0.0
@@ -232,7 +233,7 @@
 }
 
 // sharesOf returns the shares of a failure domain, sorted by path name. The rate of a
-// path is proportional to the rate at which its planned requests end.
+// path is proportional to its planned requests divided by their duration.
 func (s *splitter) sharesOf(domain string) []Share {
 	pathLoads := s.pathLoads[domain]
 	out := make([]Share, 0, len(pathLoads))
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -16,13 +16,13 @@
 var fleetDomains = []string{"a", "b", "c", "d", "e"}
 
 // fleetServers returns the placed servers of five failure domains. Each domain has as
-// many servers as siteServers returns in all.
+// many servers as siteServers returns.
 func fleetServers(t testing.TB, e *site.Engine) []Candidate {
 	t.Helper()
 	var servers []ServerState
 	for _, domain := range fleetDomains {
-		for i, c := range siteServers() {
-			servers = append(servers, newServer(fmt.Sprintf("%s-%02d", domain, i), domain, c.Server.Kind))
+		for i, s := range siteServers() {
+			servers = append(servers, newServer(fmt.Sprintf("%s-%02d", domain, i), domain, s.Server.Kind))
 		}
 	}
 	placeUntilStable(t, e, servers)
@@ -39,8 +39,8 @@
 	return d
 }
 
-// plannedUsage returns the memory of each backend server that a split plans to use,
-// as a fraction.
+// plannedUsage returns the fraction of each backend server's memory that a split plans
+// to use.
 func plannedUsage(e *site.Engine, cs []Candidate, d Demand) map[string]float64 {
 	out := map[string]float64{}
 	for _, domain := range fleetDomains {
@@ -59,8 +59,8 @@
 	return out
 }
 
-// A split leaves memory on every server for larger than typical requests, also close
-// to the total capacity.
+// A split leaves memory on every server for requests that are larger than typical, even
+// close to the total capacity.
 func TestSplitLeavesHeadroomOnEveryServer(t *testing.T) {
 	e := testEngine()
 	cs := fleetServers(t, e)
@@ -71,8 +71,8 @@
 	}
 }
 
-// A split routes most requests around slow servers. Those that remain belong to
-// failure domains in which no other server holds the layers.
+// A split routes most requests around slow servers. The rest pass through servers whose
+// layers no other server of the failure domain holds.
 func TestSplitAvoidsSlowServers(t *testing.T) {
 	e := testEngine()
 	cs := fleetServers(t, e)
@@ -161,7 +161,7 @@
 	require.Empty(t, Split(e, nil, evenDemand(10), "d"))
 }
 
-// Few daemons with many requests each spread them by their own loads.
+// Few daemons that handle many requests each spread them by their load.
 func TestFewDaemonsNeedNoSplit(t *testing.T) {
 	e := testEngine()
 	cs := fleetServers(t, e)
@@ -174,17 +174,17 @@
 func TestPathsAreTakenByRate(t *testing.T) {
 	e := choiceEngine()
 	cs := twoPipelines(e)
-	s := &Rotation{}
+	rot := &Rotation{}
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
 	paths := []site.Path{
 		{{Server: cs[0].Server, Layers: cs[0].Server.Held}, {Server: cs[1].Server, Layers: cs[1].Server.Held}},
 		{{Server: cs[2].Server, Layers: cs[2].Server.Held}, {Server: cs[3].Server, Layers: cs[3].Server.Held}},
 	}
-	s.Take([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, DurationMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, DurationMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
+	rot.Take([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, DurationMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, DurationMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
 	count := func(n int, age time.Duration) map[string]int {
 		out := map[string]int{}
 		for range n {
-			c, ok := s.Next(q, cs, age)
+			c, ok := rot.Next(q, cs, age)
 			require.True(t, ok)
 			out[c.Path[0].Server.ID]++
 		}
@@ -202,13 +202,13 @@
 	cs[1].Load.KVUsed = e.KVCapacity("fast", cs[1].Server.Held.Len())
 	require.Zero(t, count(20, 0)["fast0"], "no memory for the request")
 	cs[2].Load.Heads = float64(cs[2].Server.Slots)
-	_, ok := s.Next(q, cs, 0)
+	_, ok := rot.Next(q, cs, 0)
 	require.False(t, ok, "no free slots on the other path")
-	_, ok = s.Next(q, cs[2:], 0)
+	_, ok = rot.Next(q, cs[2:], 0)
 	require.False(t, ok, "backend servers of the path are gone")
 }
 
-// simulation is a fleet of daemons that receive the loads of the others with a delay.
+// simulation simulates a fleet of daemons that receive each other's loads with a delay.
 type simulation struct {
 	engine      *site.Engine
 	cs          []Candidate
@@ -221,11 +221,12 @@
 	own         [][]Load // by daemon
 	reported    [][]Load // reported loads, newest last
 	completions []completion
-	spreads     []Rotation
+	rotations   []Rotation
 	// orphaned are requests of daemons that have ended. No daemon reports them, but
 	// actual includes them.
 	orphaned []Load
-	// serverReports are the reports of the servers, newest last; nil for none.
+	// serverReports are the reports of the servers, newest last, nil if daemons do not
+	// use them.
 	serverReports [][]Load
 	reportAge     time.Duration // age of the reports that daemons use, 0 for none
 	warmup        time.Duration // not included in the results
@@ -250,88 +251,88 @@
 // newSimulation returns a fleet whose daemons know the loads of loadAge ago.
 func newSimulation(t testing.TB, daemons int, loadAge time.Duration) *simulation {
 	e := testEngine()
-	c := &simulation{engine: e, cs: fleetServers(t, e), index: map[string]int{}, daemons: daemons, loadAge: loadAge, rng: rand.New(rand.NewPCG(7, 9))}
-	for i := range c.cs {
-		c.index[c.cs[i].Server.ID] = i
+	sim := &simulation{engine: e, cs: fleetServers(t, e), index: map[string]int{}, daemons: daemons, loadAge: loadAge, rng: rand.New(rand.NewPCG(7, 9))}
+	for i := range sim.cs {
+		sim.index[sim.cs[i].Server.ID] = i
 	}
-	c.actual, c.orphaned, c.warmup, c.duration = make([]Load, len(c.cs)), make([]Load, len(c.cs)), simulationWarmup, simulationDuration
-	c.own = make([][]Load, daemons)
-	for i := range c.own {
-		c.own[i] = make([]Load, len(c.cs))
+	sim.actual, sim.orphaned, sim.warmup, sim.duration = make([]Load, len(sim.cs)), make([]Load, len(sim.cs)), simulationWarmup, simulationDuration
+	sim.own = make([][]Load, daemons)
+	for i := range sim.own {
+		sim.own[i] = make([]Load, len(sim.cs))
 	}
-	c.spreads = make([]Rotation, daemons)
-	return c
+	sim.rotations = make([]Rotation, daemons)
+	return sim
 }
 
-func (c *simulation) domain(daemon int) string { return fleetDomains[daemon%len(fleetDomains)] }
+func (sim *simulation) domain(daemon int) string { return fleetDomains[daemon%len(fleetDomains)] }
 
-// applySplit computes the split of each failure domain once, since all of its daemons
-// compute the same one.
-func (c *simulation) applySplit(d Demand) {
+// applySplit computes the split of each failure domain once, since it is the same for all
+// daemons of the domain.
+func (sim *simulation) applySplit(d Demand) {
 	for i, domain := range fleetDomains {
-		shares := Split(c.engine, c.cs, d, domain)
-		for n := i; n < c.daemons; n += len(fleetDomains) {
-			c.spreads[n].Take(shares, c.rng)
+		shares := Split(sim.engine, sim.cs, d, domain)
+		for n := i; n < sim.daemons; n += len(fleetDomains) {
+			sim.rotations[n].Take(shares, sim.rng)
 		}
 	}
 }
 
 // view returns the candidates with the loads that a daemon knows.
-func (c *simulation) view(daemon int) []Candidate {
-	out := slices.Clone(c.cs)
+func (sim *simulation) view(daemon int) []Candidate {
+	out := slices.Clone(sim.cs)
 	for i := range out {
-		own := c.own[daemon][i]
+		own := sim.own[daemon][i]
 		out[i].Load = own
-		if len(c.reported) > 0 {
-			o := c.reported[0][i]
-			others := float64(c.daemons-1) / float64(c.daemons)
+		if len(sim.reported) > 0 {
+			o := sim.reported[0][i]
+			others := float64(sim.daemons-1) / float64(sim.daemons)
 			out[i].Load = Load{Running: own.Running + o.Running*others, Heads: own.Heads + o.Heads*others, KVUsed: own.KVUsed + o.KVUsed*others}
 		}
-		out[i].Load.OwnKV = own.KVUsed * float64(c.daemons)
-		if len(c.serverReports) > 0 {
-			out[i].Load.Full, out[i].Load.Waiting = c.serverReports[0][i].Full, c.serverReports[0][i].Waiting
+		out[i].Load.OwnKV = own.KVUsed * float64(sim.daemons)
+		if len(sim.serverReports) > 0 {
+			out[i].Load.Full, out[i].Load.Waiting = sim.serverReports[0][i].Full, sim.serverReports[0][i].Waiting
 		}
 	}
 	return out
 }
 
-func (c *simulation) run(perSecond float64, choose func(daemon int, q *Query, cs []Candidate) (Choice, error)) {
-	for ; c.now < c.duration; c.now += simulationStep {
-		c.completeRequests()
-		if c.now%(200*time.Millisecond) == 0 {
-			c.report()
+func (sim *simulation) run(perSecond float64, choose func(daemon int, q *Query, cs []Candidate) (Choice, error)) {
+	for ; sim.now < sim.duration; sim.now += simulationStep {
+		sim.completeRequests()
+		if sim.now%(200*time.Millisecond) == 0 {
+			sim.report()
 		}
-		for n := c.arrivals(perSecond); n > 0; n-- {
-			daemon := c.rng.IntN(c.daemons)
-			q := &Query{Engine: c.engine, Tokens: TypicalRequest(c.engine), Near: c.domain(daemon), Jitter: 0.25}
-			c.begin(daemon, q, choose)
+		for n := sim.arrivals(perSecond); n > 0; n-- {
+			daemon := sim.rng.IntN(sim.daemons)
+			q := &Query{Engine: sim.engine, Tokens: TypicalRequest(sim.engine), Near: sim.domain(daemon), Jitter: 0.25}
+			sim.begin(daemon, q, choose)
 		}
 	}
 }
 
 // arrivals draws the number of requests in one step.
-func (c *simulation) arrivals(perSecond float64) int {
+func (sim *simulation) arrivals(perSecond float64) int {
 	n := 0
-	for at := c.rng.ExpFloat64() / perSecond; at < simulationStep.Seconds(); at += c.rng.ExpFloat64() / perSecond {
+	for at := sim.rng.ExpFloat64() / perSecond; at < simulationStep.Seconds(); at += sim.rng.ExpFloat64() / perSecond {
 		n++
 	}
 	return n
 }
 
-func (c *simulation) report() {
-	reported := slices.Clone(c.actual)
+func (sim *simulation) report() {
+	reported := slices.Clone(sim.actual)
 	for i := range reported {
-		reported[i].Running -= c.orphaned[i].Running
-		reported[i].Heads -= c.orphaned[i].Heads
-		reported[i].KVUsed -= c.orphaned[i].KVUsed
+		reported[i].Running -= sim.orphaned[i].Running
+		reported[i].Heads -= sim.orphaned[i].Heads
+		reported[i].KVUsed -= sim.orphaned[i].KVUsed
 	}
-	c.reported = recent(append(c.reported, reported), c.loadAge)
-	if c.reportAge > 0 {
-		c.serverReports = recent(append(c.serverReports, c.currentReports()), c.reportAge)
+	sim.reported = recent(append(sim.reported, reported), sim.loadAge)
+	if sim.reportAge > 0 {
+		sim.serverReports = recent(append(sim.serverReports, sim.currentReports()), sim.reportAge)
 	}
 }
 
-// recent returns the reports without the oldest one if that is older than age.
+// recent returns the reports without the oldest one if it is older than age.
 func recent(reports [][]Load, age time.Duration) [][]Load {
 	if keep := int(age/(200*time.Millisecond)) + 1; len(reports) > keep {
 		return reports[1:]
@@ -340,11 +341,11 @@
 }
 
 // currentReports returns the reports of the servers at this moment.
-func (c *simulation) currentReports() []Load {
-	out := make([]Load, len(c.actual))
-	for i, l := range c.actual {
-		s := c.cs[i].Server
-		out[i].Full = l.KVUsed / c.engine.KVCapacity(s.Kind, s.Held.Len())
+func (sim *simulation) currentReports() []Load {
+	out := make([]Load, len(sim.actual))
+	for i, l := range sim.actual {
+		s := sim.cs[i].Server
+		out[i].Full = l.KVUsed / sim.engine.KVCapacity(s.Kind, s.Held.Len())
 		if out[i].Full > 1 {
 			out[i] = Load{Full: 1, Waiting: 1}
 		}
@@ -352,38 +353,38 @@
 	return out
 }
 
-func (c *simulation) begin(daemon int, q *Query, choose func(int, *Query, []Candidate) (Choice, error)) {
-	counts := c.now >= c.warmup
+func (sim *simulation) begin(daemon int, q *Query, choose func(int, *Query, []Candidate) (Choice, error)) {
+	counts := sim.now >= sim.warmup
 	if counts {
-		c.requests++
+		sim.requests++
 	}
-	choice, err := choose(daemon, q, c.view(daemon))
-	if err != nil || c.actual[c.index[choice.Path[0].Server.ID]].Heads >= float64(c.engine.Slots) {
+	choice, err := choose(daemon, q, sim.view(daemon))
+	if err != nil || sim.actual[sim.index[choice.Path[0].Server.ID]].Heads >= float64(sim.engine.Slots) {
 		if counts {
-			c.refused++
+			sim.refused++
 		}
 		return
 	}
-	c.add(daemon, choice.Path, 1)
+	sim.add(daemon, choice.Path, 1)
 	steps := make([]step, len(choice.Path))
 	for i, h := range choice.Path {
-		n := c.index[h.Server.ID]
-		steps[i] = step{cand: &Candidate{Server: h.Server, Load: c.actual[n]}, run: h.Layers}
+		n := sim.index[h.Server.ID]
+		steps[i] = step{cand: &Candidate{Server: h.Server, Load: sim.actual[n]}, run: h.Layers}
 	}
 	got := predict(q, steps)
 	if counts && got.Fullest > 1 {
-		c.late++ // waits for memory
+		sim.late++ // waits for memory
 	}
 	duration := time.Duration((got.FirstMS + got.StepMS*q.Tokens.Answer) * float64(time.Millisecond))
-	c.completions = append(c.completions, completion{at: c.now + duration, daemon: daemon, path: choice.Path})
+	sim.completions = append(sim.completions, completion{at: sim.now + duration, daemon: daemon, path: choice.Path})
 }
 
-func (c *simulation) completeRequests() {
-	c.completions = slices.DeleteFunc(c.completions, func(e completion) bool {
-		if e.at > c.now {
+func (sim *simulation) completeRequests() {
+	sim.completions = slices.DeleteFunc(sim.completions, func(e completion) bool {
+		if e.at > sim.now {
 			return false
 		}
-		c.add(e.daemon, e.path, -1)
+		sim.add(e.daemon, e.path, -1)
 		return true
 	})
 }
@@ -391,30 +392,30 @@
 // endedDaemon marks requests of daemons that have ended.
 const endedDaemon = -1
 
-// restart ends and restarts all daemons. The servers continue the running requests,
-// which are distributed according to the split.
-func (c *simulation) restart(requests float64) {
+// restart simulates a restart of all daemons. The servers continue a number of running
+// requests, which are distributed according to the split.
+func (sim *simulation) restart(requests float64) {
 	d := evenDemand(requests)
 	for _, domain := range fleetDomains {
-		for _, sh := range Split(c.engine, c.cs, d, domain) {
+		for _, sh := range Split(sim.engine, sim.cs, d, domain) {
 			duration := time.Duration(sh.DurationMS * float64(time.Millisecond))
 			for range int(sh.Rate * requests * d.Domains[domain]) {
-				c.add(endedDaemon, sh.Choice.Path, 1)
-				c.completions = append(c.completions, completion{at: time.Duration(c.rng.Int64N(int64(duration))), daemon: endedDaemon, path: sh.Choice.Path})
+				sim.add(endedDaemon, sh.Choice.Path, 1)
+				sim.completions = append(sim.completions, completion{at: time.Duration(sim.rng.Int64N(int64(duration))), daemon: endedDaemon, path: sh.Choice.Path})
 			}
 		}
 	}
 }
 
-func (c *simulation) add(daemon int, p site.Path, sign float64) {
+func (sim *simulation) add(daemon int, p site.Path, sign float64) {
 	for i, h := range p {
-		of := c.orphaned
+		of := sim.orphaned
 		if daemon != endedDaemon {
-			of = c.own[daemon]
+			of = sim.own[daemon]
 		}
-		for _, l := range []*Load{&c.actual[c.index[h.Server.ID]], &of[c.index[h.Server.ID]]} {
+		for _, l := range []*Load{&sim.actual[sim.index[h.Server.ID]], &of[sim.index[h.Server.ID]]} {
 			l.Running += sign
-			l.KVUsed += sign * TypicalRequest(c.engine).Mean() * float64(h.Layers.Len())
+			l.KVUsed += sign * TypicalRequest(sim.engine).Mean() * float64(h.Layers.Len())
 			if i == 0 {
 				l.Heads += sign
 			}
@@ -422,8 +423,8 @@
 	}
 }
 
-func (c *simulation) lateShare() float64    { return float64(c.late) / float64(c.requests) }
-func (c *simulation) refusedShare() float64 { return float64(c.refused) / float64(c.requests) }
+func (sim *simulation) lateShare() float64    { return float64(sim.late) / float64(sim.requests) }
+func (sim *simulation) refusedShare() float64 { return float64(sim.refused) / float64(sim.requests) }
 
 // rateOf returns the requests per second that keep a fraction of the total capacity
 // in use.
@@ -444,32 +445,32 @@
 // simulateLoad simulates a load with delayed reports. Paths are chosen by the split
 // or by the lowest cost.
 func simulateLoad(t testing.TB, load float64, split bool) *simulation {
-	c := newSimulation(t, 300, 6*time.Second)
-	rate := rateOf(c.engine, c.cs, load)
-	cheapest := func(_ int, q *Query, cs []Candidate) (Choice, error) { return Choose(q, cs, c.rng) }
+	sim := newSimulation(t, 300, 6*time.Second)
+	rate := rateOf(sim.engine, sim.cs, load)
+	cheapest := func(_ int, q *Query, cs []Candidate) (Choice, error) { return Choose(q, cs, sim.rng) }
 	if !split {
-		c.run(rate, cheapest)
-		return c
+		sim.run(rate, cheapest)
+		return sim
 	}
-	c.applySplit(evenDemand(load * totalCapacity(c.engine, c.cs)))
-	c.run(rate, func(daemon int, q *Query, cs []Candidate) (Choice, error) {
-		if got, ok := c.spreads[daemon].Next(q, cs, c.loadAge); ok {
+	sim.applySplit(evenDemand(load * totalCapacity(sim.engine, sim.cs)))
+	sim.run(rate, func(daemon int, q *Query, cs []Candidate) (Choice, error) {
+		if got, ok := sim.rotations[daemon].Next(q, cs, sim.loadAge); ok {
 			return got, nil
 		}
-		return Choose(q, cs, c.rng)
+		return Choose(q, cs, sim.rng)
 	})
-	return c
+	return sim
 }
 
-// Guards against oscillation with loads that are six seconds old: at 0.8 of the
-// capacity, 300 daemons that each take the cheapest path choose the same heads, at
-// which requests wait for memory.
+// Guards against oscillation with loads that are six seconds old, at 0.8 of the capacity:
+// if 300 daemons take the cheapest path each, they choose the same heads, and requests
+// wait for memory there.
 func TestSplitWithStaleLoadsKeepsRequestsInTime(t *testing.T) {
-	c := simulateLoad(t, 0.8, true)
-	require.Less(t, c.lateShare(), 0.02)
-	require.Less(t, c.refusedShare(), 0.005)
+	sim := simulateLoad(t, 0.8, true)
+	require.Less(t, sim.lateShare(), 0.02)
+	require.Less(t, sim.refusedShare(), 0.005)
 	before := simulateLoad(t, 0.8, false)
-	require.Greater(t, before.lateShare()+before.refusedShare(), c.lateShare()+c.refusedShare())
+	require.Greater(t, before.lateShare()+before.refusedShare(), sim.lateShare()+sim.refusedShare())
 }
 
 // BenchmarkStaleLoads reports the fractions of requests that wait for memory and that
@@ -479,9 +480,9 @@
 		for _, split := range []bool{false, true} {
 			b.Run(fmt.Sprintf("load=%v/split=%v", load, split), func(b *testing.B) {
 				for b.Loop() {
-					c := simulateLoad(b, load, split)
-					b.ReportMetric(c.lateShare(), "late_share")
-					b.ReportMetric(c.refusedShare(), "refused_share")
+					sim := simulateLoad(b, load, split)
+					b.ReportMetric(sim.lateShare(), "late_share")
+					b.ReportMetric(sim.refusedShare(), "refused_share")
 				}
 			})
 		}
@@ -501,24 +502,24 @@
 // simulateRestart simulates the first four seconds after a restart of all daemons, at
 // twice the request rate, while the servers continue the previous requests.
 func simulateRestart(t testing.TB, reportAge time.Duration) *simulation {
-	c := newSimulation(t, 75, 3*time.Second)
-	c.warmup, c.reportAge, c.duration = 0, reportAge, 4*time.Second
-	load := 0.8 * totalCapacity(c.engine, c.cs)
-	rate := 2 * rateOf(c.engine, c.cs, 0.8)
-	c.restart(load)
-	c.applySplit(evenDemand(load))
-	c.run(rate, func(daemon int, q *Query, cs []Candidate) (Choice, error) {
-		if got, ok := c.spreads[daemon].Next(q, cs, c.loadAge); ok {
+	sim := newSimulation(t, 75, 3*time.Second)
+	sim.warmup, sim.reportAge, sim.duration = 0, reportAge, 4*time.Second
+	load := 0.8 * totalCapacity(sim.engine, sim.cs)
+	rate := 2 * rateOf(sim.engine, sim.cs, 0.8)
+	sim.restart(load)
+	sim.applySplit(evenDemand(load))
+	sim.run(rate, func(daemon int, q *Query, cs []Candidate) (Choice, error) {
+		if got, ok := sim.rotations[daemon].Next(q, cs, sim.loadAge); ok {
 			return got, nil
 		}
-		return Choose(q, cs, c.rng)
+		return Choose(q, cs, sim.rng)
 	})
-	return c
+	return sim
 }
 
-// After a restart of all daemons, no daemon counts the requests that still run. With
-// reports of the servers, fewer requests are sent to servers where they wait for
-// memory.
+// After a restart of all daemons, no daemon counts the requests that are still running.
+// With reports of the servers, fewer new requests are sent to servers where they wait
+// for memory.
 func TestServerReportsIncludeUncountedRequests(t *testing.T) {
 	before, after := simulateRestart(t, 0), simulateRestart(t, time.Second)
 	t.Logf("waiting for memory %.3f, without reports %.3f; refused %.3f, without reports %.3f", after.lateShare(), before.lateShare(), after.refusedShare(), before.refusedShare())
@@ -526,15 +527,15 @@
 	require.Less(t, after.lateShare()+after.refusedShare(), before.lateShare()+before.refusedShare())
 }
 
-// Guards the use of own loads with few daemons: six daemons with loads that are one
-// second old, at 1.5 times the capacity, refuse and delay fewer requests by their own
-// loads than by reports of the servers, which are the same for all daemons.
+// Guards against the use of server reports with few daemons: six daemons with loads that
+// are one second old, at 1.5 times the capacity, refuse and delay fewer requests without
+// the reports, which are the same for all daemons.
 func TestFewDaemonsDoBetterWithOwnLoads(t *testing.T) {
 	simulate := func(reportAge time.Duration) *simulation {
-		c := newSimulation(t, 6, time.Second)
-		c.reportAge, c.warmup, c.duration = reportAge, 5*time.Second, 13*time.Second
-		c.run(rateOf(c.engine, c.cs, 1.5), func(_ int, q *Query, cs []Candidate) (Choice, error) { return Choose(q, cs, c.rng) })
-		return c
+		sim := newSimulation(t, 6, time.Second)
+		sim.reportAge, sim.warmup, sim.duration = reportAge, 5*time.Second, 13*time.Second
+		sim.run(rateOf(sim.engine, sim.cs, 1.5), func(_ int, q *Query, cs []Candidate) (Choice, error) { return Choose(q, cs, sim.rng) })
+		return sim
 	}
 	own, reported := simulate(0), simulate(500*time.Millisecond)
 	t.Logf("waiting for memory %.3f, with reports %.3f; refused %.3f, with reports %.3f", own.lateShare(), reported.lateShare(), own.refusedShare(), reported.refusedShare())
--- a/pipeline/spread.go
+++ b/pipeline/spread.go
@@ -7,44 +7,47 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Rotation selects the paths of a split by weighted round-robin. Known loads correct
-// the weights; the correction shrinks with the age of the loads.
+// Rotation selects the paths of a split by weighted round-robin. The weights are the rates
+// of the paths, corrected by the known loads; the correction shrinks with the age of the
+// loads.
 type Rotation struct{ entries []*entry }
 
-// entry is a path of the split with its state in the rotation.
+// entry is a path of the split and its state in the rotation.
 type entry struct {
 	share  Share
 	key    string  // String of the path
-	credit float64 // requests by which it is behind its rate
+	credit float64 // number of requests that the path is due
 }
 
 // Limits of the rotation.
 const (
 	// minCorrection and maxCorrection bound the correction of a rate. Reported loads
-	// are incomplete while daemons start or links fail, and must not give a path no
-	// requests or all of them.
+	// are incomplete while daemons start or links fail. They must not cause a path to
+	// get no requests or all requests.
 	minCorrection = 0.2
 	maxCorrection = 1.5
-	// maxCorrectionGain is the highest correction, as a fraction of the relative
-	// error of the load. A value below one converges however old the loads are.
+	// maxCorrectionGain is the maximum correction, as a fraction of the relative
+	// deviation of the load from the plan. With a value below one the loads converge
+	// regardless of the age of the reports.
 	maxCorrectionGain = 0.5
-	// halfRateWaitMS is the wait for a first token at a head, as this daemon's own
-	// requests observe it, that halves the rate of its paths. It is twice the time to
-	// read a prompt at an idle head.
+	// halfRateWaitMS is the wait of this daemon's own requests for a first token at a
+	// head that halves the rate of the head's paths. It is twice the time that an idle
+	// head takes to process a prompt.
 	halfRateWaitMS = 100.0
-	// maxCredit bounds the credit of a path, so that one that was unusable for a
-	// while does not catch up.
+	// maxCredit bounds the credit of a path. It limits the requests in a row that a
+	// path gets.
 	maxCredit = 1.5
 )
 
-// Take replaces the split. Remaining paths keep their credit. New ones start with a
-// random credit, so that daemons with the same split do not send in step.
-func (s *Rotation) Take(shares []Share, r *rand.Rand) {
-	oldCredits := make(map[string]float64, len(s.entries))
-	for _, e := range s.entries {
+// Take replaces the split. Paths that are also in the new split keep their credit. New
+// paths start with a random credit, so that daemons with the same split do not take
+// the paths in the same order.
+func (rot *Rotation) Take(shares []Share, r *rand.Rand) {
+	oldCredits := make(map[string]float64, len(rot.entries))
+	for _, e := range rot.entries {
 		oldCredits[e.key] = e.credit
 	}
-	s.entries = make([]*entry, 0, len(shares))
+	rot.entries = make([]*entry, 0, len(shares))
 	for _, sh := range shares {
 		e := &entry{share: sh, key: sh.Choice.Path.String()}
 		credit, known := oldCredits[e.key]
@@ -52,15 +55,14 @@
 			credit = r.Float64()
 		}
 		e.credit = credit
-		s.entries = append(s.entries, e)
+		rot.entries = append(rot.entries, e)
 	}
 }
 
-// Next returns the next path among those with capacity for the request; ok is false
-// if there is none. The loads of the candidates are loadAge old, 0 if they were never
-// reported.
-func (s *Rotation) Next(q *Query, candidates []Candidate, loadAge time.Duration) (c Choice, ok bool) {
-	usable := s.usablePaths(q, candidates, loadAge)
+// Next returns the next path that has capacity for the request; ok is false if there is
+// none. loadAge is the age of the candidates' loads, 0 if they are unknown.
+func (rot *Rotation) Next(q *Query, candidates []Candidate, loadAge time.Duration) (c Choice, ok bool) {
+	usable := rot.usablePaths(q, candidates, loadAge)
 	sum := 0.0
 	for _, t := range usable {
 		sum += t.rate
@@ -80,7 +82,7 @@
 	return best.choice, true
 }
 
-// usablePath is a path with capacity for the request.
+// usablePath is a path with capacity for the request and its corrected rate.
 type usablePath struct {
 	entry  *entry
 	choice Choice
@@ -88,13 +90,13 @@
 }
 
 // usablePaths returns the paths with capacity for the request.
-func (s *Rotation) usablePaths(q *Query, candidates []Candidate, loadAge time.Duration) []usablePath {
+func (rot *Rotation) usablePaths(q *Query, candidates []Candidate, loadAge time.Duration) []usablePath {
 	byID := make(map[string]*Candidate, len(candidates))
 	for i := range candidates {
 		byID[candidates[i].Server.ID] = &candidates[i]
 	}
-	out := make([]usablePath, 0, len(s.entries))
-	for _, e := range s.entries {
+	out := make([]usablePath, 0, len(rot.entries))
+	for _, e := range rot.entries {
 		if t, ok := e.evaluate(q, byID, loadAge); ok {
 			out = append(out, t)
 		}
@@ -129,13 +131,13 @@
 }
 
 // correction returns the factor on the rate of a path whose head has loadRatio times
-// its planned requests. The older the loads are relative to the duration of a
-// request, the less they predict the load that a new request meets.
-func correction(loadRatio, lastsMS float64, loadAge time.Duration) float64 {
+// its planned requests. Loads that are old relative to the duration of a request say
+// little about the load that a new request meets, so their correction is smaller.
+func correction(loadRatio, durationMS float64, loadAge time.Duration) float64 {
 	if loadAge <= 0 {
 		return 1
 	}
 	age := float64(loadAge) / float64(time.Millisecond)
-	gain := min(maxCorrectionGain, lastsMS/(4*age))
+	gain := min(maxCorrectionGain, durationMS/(4*age))
 	return min(maxCorrection, max(minCorrection, 1+gain*(1-loadRatio)))
 }
--- a/pipeline/window.go
+++ b/pipeline/window.go
@@ -9,21 +9,21 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Limits of a window, the run of adjacent servers that share the layers of a lost
-// one.
+// Limits of a window, a run of adjacent servers that share the layers of a lost server.
 const (
 	// targetSlotShare is the capacity that a window grows to reach, as a fraction of
 	// the slots of the first hop.
 	targetSlotShare = 0.5
 	// minWindowGain is the factor by which a larger window must raise the capacity,
-	// since every further server loads weights.
+	// since each additional server loads weights.
 	minWindowGain = 1.15
 	// maxPatientLoadTime bounds the time to load the weights of a window in a patient
-	// placement, and of one that relieves a server. Most crashed servers return empty
-	// within seconds.
+	// placement, and of any window that relieves a server. Most crashed servers return
+	// empty within seconds.
 	maxPatientLoadTime = 2 * time.Second
-	// minReliefGain is the factor by which a window must raise the capacity for
-	// servers to load weights although all layers are held.
+	// minReliefGain is the factor by which a window must raise the capacity compared
+	// with a split between neighbors or, for a window that relieves a server, with no
+	// change. In both cases fewer servers load weights.
 	minReliefGain = 2
 )
 
@@ -35,8 +35,8 @@
 	capacity float64
 }
 
-// extendNeighbors assigns each uncovered range with layers that no server holds to
-// its two neighbors if that leaves them enough capacity.
+// extendNeighbors assigns each uncovered range with a layer that no server holds to its
+// neighbors if that leaves them enough capacity.
 func (g *group) extendNeighbors() {
 	defer g.graceful()
 	for _, uncovered := range g.uncoveredRanges() {
@@ -47,9 +47,9 @@
 	}
 }
 
-// shareUncovered assigns each uncovered range to the servers around it: to the two
-// neighbors if they have the capacity, else, if no server holds one of its layers, to
-// the smallest window with enough capacity.
+// shareUncovered assigns each uncovered range to the servers around it: to its neighbors
+// if they have the capacity, else to the smallest window with enough capacity. A window
+// is used only if no server holds some layer of the range.
 func (g *group) shareUncovered(patient bool) {
 	defer g.graceful()
 	for _, uncovered := range g.uncoveredRanges() {
@@ -85,13 +85,13 @@
 	return slices.ContainsFunc(g.draining, func(r site.Range) bool { return r.Overlap(uncovered) > 0 })
 }
 
-// targetCapacity is the capacity that servers should have that share the layers of a
-// lost one.
+// targetCapacity returns the capacity that servers should have left when they share the
+// layers of a lost server.
 func (g *group) targetCapacity() float64 { return targetSlotShare * float64(g.e.Slots) }
 
-// relieve lets the servers around the one with the lowest capacity share its layers,
-// if the group has no pending orders and no uncovered ranges. A server without
-// capacity limits its whole pipeline.
+// relieve divides the layers of the server with the lowest capacity among the servers
+// around it, if the group has no pending orders and no uncovered ranges. A server
+// without capacity limits its pipeline.
 func (g *group) relieve() {
 	if len(g.orders) > 0 || slices.ContainsFunc(g.servers, busy) || len(g.uncoveredRanges()) > 0 {
 		return
@@ -100,12 +100,12 @@
 	if least >= minCapacity {
 		return
 	}
-	c := g.servers[constrained]
-	w := g.widen(window{layers: c.Assigned, servers: []int{constrained}}, maxPatientLoadTime)
+	s := g.servers[constrained]
+	w := g.widen(window{layers: s.Assigned, servers: []int{constrained}}, maxPatientLoadTime)
 	if w.capacity < minReliefGain*least {
 		return
 	}
-	g.orderWindow(w, fmt.Sprintf("capacity for %d requests in layers %d-%d, shared by %d backend servers", int(least), c.Assigned.From, c.Assigned.To, len(w.servers)))
+	g.orderWindow(w, fmt.Sprintf("capacity for %d requests in layers %d-%d, shared by %d backend servers", int(least), s.Assigned.From, s.Assigned.To, len(w.servers)))
 }
 
 // mostConstrained returns a server of the layer with the lowest capacity, and that
@@ -114,16 +114,17 @@
 	capacities := capacityByLayer(g.e, g.servers)
 	capacity = slices.Min(capacities)
 	layer := slices.Index(capacities, capacity)
-	server = slices.IndexFunc(g.servers, func(c ServerState) bool { return c.Assigned.Has(layer) })
+	server = slices.IndexFunc(g.servers, func(s ServerState) bool { return s.Assigned.Has(layer) })
 	return server, capacity
 }
 
-// noTimeLimit is the load time limit of windows that may take any time to load.
+// noTimeLimit is the limit for windows whose load time does not matter.
 const noTimeLimit = time.Duration(math.MaxInt64)
 
 // widen adds neighbors to a window one by one, on the side that gives more capacity.
-// It returns the smallest window that reaches the target capacity, else the one with
-// the highest capacity, among those that load their weights within maxLoadTime.
+// Among the windows that load their weights within maxLoadTime, it returns the smallest
+// one that reaches the target capacity, else one with the highest capacity. Larger
+// windows must raise the capacity by minWindowGain.
 func (g *group) widen(w window, maxLoadTime time.Duration) window {
 	var best window
 	for best.capacity < g.targetCapacity() {
@@ -142,8 +143,8 @@
 	return best
 }
 
-// loadTime predicts how long the servers of a window load weights. They share the
-// rate of the weight store if more than LoadsAtOnce of them load at a time.
+// loadTime predicts how long the servers of a window take to load weights. They share
+// the bandwidth of the weight store if more than LoadsAtOnce of them load concurrently.
 func (g *group) loadTime(w window) time.Duration {
 	all, longest := 0, 0
 	for i, r := range w.ranges() {
@@ -202,15 +203,15 @@
 	})
 }
 
-// neighbor returns the server with the most free memory among those that may join a
-// window, -1 for none.
+// neighbor returns the server with the most free memory among the servers that may join
+// a window because of their layers, -1 for none.
 func (g *group) neighbor(w window, adjacent func(site.Range) bool) int {
 	best, bestCapacity := -1, 0.0
-	for i, c := range g.servers {
-		if c.Busy || !placed(c) || slices.Contains(w.servers, i) || !adjacent(c.Assigned) {
+	for i, s := range g.servers {
+		if s.Busy || !placed(s) || slices.Contains(w.servers, i) || !adjacent(s.Assigned) {
 			continue
 		}
-		if capacity := g.e.KVCapacity(c.Server.Kind, c.Assigned.Len()); best < 0 || capacity > bestCapacity {
+		if capacity := g.e.KVCapacity(s.Server.Kind, s.Assigned.Len()); best < 0 || capacity > bestCapacity {
 			best, bestCapacity = i, capacity
 		}
 	}
