--- a/placer/placer.go
+++ b/placer/placer.go
@@ -25,35 +25,34 @@
 const (
 	// pollInterval is the time between two checks without a change of the inventory.
 	pollInterval = 500 * time.Millisecond
-	// orderRetryDelay is how long a backend server counts as busy after an order
-	// without an answer, or while it carries out an order that is unknown here. An
-	// unanswered order may still be carried out many seconds later. It and the retry
-	// name the same number of previous orders, so only one of them is carried out.
+	// orderRetryDelay is how long a backend server counts as busy after an unanswered
+	// order, or if it does not report or reports that it is busy. An unanswered order may still be
+	// carried out many seconds later. The order and its retry state the same number of
+	// previous orders, so only one of them is carried out.
 	orderRetryDelay = time.Second
-	// orderVisibleTimeout is how long a finished order may take to show in the record
-	// of the backend server, in addition to the load time.
+	// orderVisibleTimeout is how long the result of an order may take to appear in the
+	// record of the backend server, in addition to the load time.
 	orderVisibleTimeout = 3 * time.Second
-	// maxLoadSlowdown is the factor on the load time while others use the weight
-	// store.
+	// maxLoadSlowdown is the maximum factor on the load time while several backend
+	// servers use the weight store.
 	maxLoadSlowdown = 4
-	// probeRetryInterval is the time between two probes of a backend server that did
-	// not answer one.
+	// probeRetryInterval is the time between two probes of a dead backend server.
 	probeRetryInterval = time.Second
-	// settleDelay is how long the number of empty backend servers must be unchanged
-	// before a first placement, since they register one after the other.
+	// settleDelay is how long the number of empty backend servers must stay the same
+	// before a first placement, since they register one by one.
 	settleDelay = 1200 * time.Millisecond
-	// freshPeriod is how long a backend server that registered empty is reserved for
-	// the layers of one that is about to drain. A rolling replacement starts the new
-	// one first.
+	// freshPeriod is how long a new empty backend server is reserved for the layers of
+	// one that is about to drain. A rolling replacement starts the new backend server
+	// before the old one drains.
 	freshPeriod = 1500 * time.Millisecond
 	// rebuildDelay is how long the backend servers of a group may fail to cover a
-	// layer before the group is rebuilt. A rebuild takes seconds, and most crashed
-	// backend servers return empty within seconds and then load layers as well.
+	// layer before the group is rebuilt. A rebuild takes seconds, while most crashed
+	// backend servers return empty within seconds and can load the missing layers.
 	rebuildDelay = 3500 * time.Millisecond
-	// departureGracePeriod is how long a backend server whose record vanished without
-	// a sign of death may still serve, for example while it drains. No layers are
-	// dropped at once meanwhile, so that requests that pass through it are not
-	// interrupted.
+	// departureGracePeriod is how long a backend server may still serve after its
+	// record was removed without a sign of failure, for example while it drains. No
+	// layers are dropped at once during this time, so that requests that pass through
+	// it are not interrupted.
 	departureGracePeriod = 8 * time.Second
 	// maxConcurrentOrders bounds the orders that are sent concurrently.
 	maxConcurrentOrders = 8
@@ -67,10 +66,11 @@
 // Backends sends orders to backend servers.
 type Backends interface {
 	Report(ctx context.Context, s *site.BackendServer) (forward.Report, error)
-	// Hold orders a backend server to hold layers if it has accepted exactly after
-	// orders before. With atOnce, layers that it no longer holds are dropped at once
-	// together with the requests that pass through them, else when those requests
-	// have ended.
+	// Hold orders a backend server to hold layers. It is refused with
+	// forward.ErrOrderRefused unless the number of previous orders that the backend
+	// server has accepted equals after. With atOnce, the backend server drops other
+	// layers at once and interrupts the requests that pass through them, else it drops
+	// them when those requests have ended.
 	Hold(ctx context.Context, s *site.BackendServer, layers site.Range, atOnce bool, after, fence uint64) error
 }
 
@@ -80,13 +80,13 @@
 	Changed() <-chan struct{}
 }
 
-// Health reports which backend servers look dead to this daemon's requests.
+// Health reports the backend servers that this daemon considers dead.
 type Health interface {
 	Failed(id string) bool
 }
 
-// Observer receives the number of requests that the layout of a service can hold at
-// once.
+// Observer receives the bound of each service, the number of requests that its layout can
+// hold at once.
 type Observer interface {
 	Bound(service string, requests int)
 }
@@ -100,29 +100,29 @@
 	observer Observer
 	logger   log.Logger
 
-	dead          map[string]time.Time           // by backend server ID, when the probe failed
+	dead          map[string]time.Time           // by backend server ID, time of the last failed probe
 	freshSince    map[string]time.Time           // by backend server ID, when it was first found empty; zero if it restarted
 	holders       map[string]*site.BackendServer // by ID, the backend servers that held layers at the last check
-	lastDeparture time.Time                      // when one of holders last vanished without a sign of death
+	lastDeparture time.Time                      // when a record of holders was last removed without a sign of failure
 	lastServerAt  map[string]string              // by address, the ID of the last backend server there
 
 	mu      sync.Mutex
 	pending map[string]pendingOrder // by backend server ID
 
-	incompleteSince time.Time                 // since when a group does not cover all layers, zero if all do
+	incompleteSince time.Time                 // when a group stopped covering all layers, zero if all groups cover them
 	bounds          map[string]pipeline.Bound // last logged value, by service
 
-	emptyCount     int       // backend servers found while none held layers
+	emptyCount     int       // number of backend servers while none holds layers
 	emptyChangedAt time.Time // when emptyCount last changed
 }
 
-// pendingOrder is an order that was sent but does not show yet.
+// pendingOrder is an order whose result is not in the backend server's record yet.
 type pendingOrder struct {
 	layers site.Range
-	until  time.Time // when it counts as lost
+	until  time.Time // when it no longer counts as pending
 }
 
-// New returns a placer; the caller must call Run.
+// New returns a Placer. It places layers while Run is running.
 func New(lease Lease, inv Inventory, b Backends, h Health, o Observer, logger log.Logger) *Placer {
 	return &Placer{
 		lease: lease, inv: inv, backends: b, health: h, observer: o, logger: logger,
@@ -175,9 +175,9 @@
 	}
 }
 
-// noteDepartures records that backend servers with layers have vanished although they
-// neither drained nor looked dead. It must run before probe removes the entries of
-// p.dead that have no record.
+// noteDepartures records when the record of a backend server with layers was last removed
+// although the server neither drained nor looked dead. It must run before probe, which
+// removes entries of p.dead without a record.
 func (p *Placer) noteDepartures(view *inventory.View, svc *site.Service, now time.Time) {
 	addresses := map[string]bool{}
 	for _, s := range view.OfService(svc.Name) {
@@ -223,8 +223,8 @@
 		"requests_at_once", b.Requests, "from", b.Layers.From, "to", b.Layers.To)
 }
 
-// probe requests a report from the backend servers that look dead. One that does not
-// answer is excluded from placement, well before its record expires.
+// probe requests a report from each backend server that looks dead. A backend server that
+// does not answer is excluded from placement well before its record expires.
 func (p *Placer) probe(ctx context.Context, view *inventory.View, svc *site.Service) {
 	now := time.Now()
 	for id := range p.dead {
@@ -252,8 +252,8 @@
 	}
 }
 
-// decide returns the orders of a patient placement until a group has been incomplete
-// for rebuildDelay, then those of one that may rebuild groups.
+// decide returns the orders of a patient placement. Once a group has been incomplete for
+// rebuildDelay, it returns those of a placement that may rebuild groups.
 func (p *Placer) decide(e *site.Engine, servers []pipeline.ServerState, now time.Time) []pipeline.Order {
 	plan := pipeline.Place(e, servers, true)
 	if !plan.Incomplete {
@@ -269,11 +269,10 @@
 	return pipeline.Place(e, servers, false).Orders
 }
 
-// settled reports whether a placement may begin: at once when some backend server
-// holds layers, else when the number of backend servers has been unchanged for
-// settleDelay.
+// settled reports whether a placement may begin: at once if some backend server holds
+// layers, else once the number of backend servers has not changed for settleDelay.
 func (p *Placer) settled(servers []pipeline.ServerState) bool {
-	if slices.ContainsFunc(servers, func(c pipeline.ServerState) bool { return c.Assigned.Len() > 0 }) {
+	if slices.ContainsFunc(servers, func(s pipeline.ServerState) bool { return s.Assigned.Len() > 0 }) {
 		return true
 	}
 	now := time.Now()
@@ -283,6 +282,8 @@
 	return now.Sub(p.emptyChangedAt) >= settleDelay
 }
 
+// servers returns the backend servers of a service, except dead ones, with the state that
+// placement uses.
 func (p *Placer) servers(view *inventory.View, svc *site.Service) []pipeline.ServerState {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -293,22 +294,23 @@
 		if _, dead := p.dead[s.ID]; dead {
 			continue
 		}
-		c := pipeline.ServerState{Server: s, Assigned: s.Held}
+		state := pipeline.ServerState{Server: s, Assigned: s.Held}
 		if o, ok := p.pending[s.ID]; ok {
 			if s.Held == o.layers || now.After(o.until) {
 				delete(p.pending, s.ID)
 			} else {
-				c.Assigned, c.Busy = o.layers, true
+				state.Assigned, state.Busy = o.layers, true
 			}
 		}
-		c.Fresh = p.isFresh(s, now)
-		out = append(out, c)
+		state.Fresh = p.isFresh(s, now)
+		out = append(out, state)
 	}
 	return out
 }
 
-// isFresh reports whether a backend server registered empty less than freshPeriod
-// ago, at a new address. One at a known address has restarted and replaces no other.
+// isFresh reports whether a backend server registered empty at a new address less than
+// freshPeriod ago. A backend server at a known address has restarted and does not replace
+// another.
 func (p *Placer) isFresh(s *site.BackendServer, now time.Time) bool {
 	before := p.lastServerAt[s.Address]
 	p.lastServerAt[s.Address] = s.ID
@@ -324,8 +326,7 @@
 	return now.Sub(p.freshSince[s.ID]) < freshPeriod
 }
 
-// sendOrders sends orders concurrently. A backend server that gets an order counts as
-// busy until the order shows in its record.
+// sendOrders sends orders concurrently and returns when all are sent.
 func (p *Placer) sendOrders(ctx context.Context, e *site.Engine, orders []pipeline.Order, fence uint64) {
 	limit := make(chan struct{}, maxConcurrentOrders)
 	var wg sync.WaitGroup
@@ -339,8 +340,8 @@
 	wg.Wait()
 }
 
-// markBusy marks a backend server as busy with an order until the order shows in its
-// record, or for the timeout.
+// markBusy marks a backend server as busy with an order until its record shows the ordered
+// layers or the timeout has passed.
 func (p *Placer) markBusy(o pipeline.Order, timeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -349,7 +350,7 @@
 
 func (p *Placer) sendOrder(ctx context.Context, e *site.Engine, o pipeline.Order, fence uint64) {
 	if _, ok := p.lease.Held(); !ok {
-		return // lost while previous orders were sent
+		return // the lease was lost while previous orders were sent
 	}
 	rep, err := p.backends.Report(ctx, o.Server)
 	if err != nil || rep.Busy {
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -19,7 +19,8 @@
 
 const model = "model"
 
-// cluster is an inventory, a lease, the backend servers and the observer of a placer.
+// cluster simulates the backend servers of one service. It implements Lease, Inventory,
+// Backends, Health and Observer.
 type cluster struct {
 	mu      sync.Mutex
 	held    bool
@@ -30,10 +31,10 @@
 	dead    map[string]bool
 	changed chan struct{}
 	onOrder func()
-	load    time.Duration // of the whole model
+	load    time.Duration // time to load all layers
 	bound   int           // last observed value, in requests
 	routes  []*site.Route
-	dropped int // orders that drop layers at once
+	dropped int // number of orders that drop layers at once
 }
 
 func newCluster(servers int) *cluster {
@@ -130,8 +131,8 @@
 	return c.apply(s.ID, layers, after)
 }
 
-// apply carries out an order if its number of previous orders is correct. The caller
-// must hold c.mu.
+// apply carries out an order if its number of previous orders is correct. c.mu must be
+// held.
 func (c *cluster) apply(id string, layers site.Range, after uint64) error {
 	if int(after) != len(c.orders[id]) {
 		return forward.ErrOrderRefused
@@ -173,7 +174,7 @@
 	return len(c.orders[id])
 }
 
-// kill makes a backend server fail that holds the given number of layers.
+// kill makes one of the backend servers fail that hold the given number of layers.
 func (c *cluster) kill(t *testing.T, layers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,6 +187,7 @@
 	require.Fail(t, "no backend server holds this number of layers")
 }
 
+// startPlacer runs a placer until the end of the test.
 func startPlacer(t *testing.T, c *cluster) {
 	p := New(c, c, c, c, c, log.NewNopLogger())
 	ctx, cancel := context.WithCancel(t.Context())
@@ -257,13 +259,13 @@
 
 func TestDeadServerIsReplacedBeforeItsRecordExpires(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		c := newCluster(3) // they hold two layers, one and one
+		c := newCluster(3) // the servers hold two layers, one and one
 		startPlacer(t, c)
 		time.Sleep(10 * time.Second)
 		before := c.totalOrders()
 		c.kill(t, 1)
 		time.Sleep(3 * time.Second)
-		require.Greater(t, c.totalOrders(), before, "a neighbor takes its layer over")
+		require.Greater(t, c.totalOrders(), before, "a neighbor takes over its layer")
 	})
 }
 
@@ -301,7 +303,7 @@
 		startPlacer(t, c)
 		time.Sleep(10 * time.Second)
 		before := c.totalOrders()
-		c.kill(t, 2) // the others would load weights for longer than a crashed server is away
+		c.kill(t, 2) // loading weights takes the others longer than a crashed server takes to return
 		time.Sleep(rebuildDelay - time.Second)
 		require.Equal(t, before, c.totalOrders(), "the server may return")
 		time.Sleep(3 * time.Second)
@@ -330,7 +332,7 @@
 	}
 }
 
-// A backend server whose record vanishes without a sign of death may still serve.
+// A backend server may still serve after its record was removed without a sign of failure.
 // Guards against dropping layers of requests that pass through it.
 func TestLayersAreKeptWhileDepartedServerMayServe(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
