--- a/forward/admit.go
+++ b/forward/admit.go
@@ -11,10 +11,10 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// maxStartHold bounds the wait of a request until a daemon that has just started knows
-// the configuration and the backend servers. After a restart of all daemons, callers
-// retry within milliseconds and do not retry a second refusal. They leave a daemon that
-// has not read their request within a second.
+// maxStartHold is the maximum wait of a request at a daemon that has just started and does
+// not know the configuration and the backend servers yet. After a restart of all daemons,
+// callers retry within milliseconds and do not retry a second refusal. They leave a daemon
+// that does not read their request within a second.
 const maxStartHold = 900 * time.Millisecond
 
 // AwaitStart blocks until the configuration and the backend servers are known, the
@@ -35,7 +35,7 @@
 	return b
 }
 
-// Admission is the route and the caller of a request by the configuration in force.
+// Admission holds what the configuration in force states about a request.
 type Admission struct {
 	Route     *site.Route
 	Service   string
@@ -43,8 +43,8 @@
 	Limits    site.Limits
 }
 
-// Admit resolves a request by the configuration in force. key is the one that the caller
-// presented, "" for none.
+// Admit resolves a request by the configuration in force. key is the caller's key, "" for
+// none. Its errors are of type *apierror.Error.
 func (f *Forwarder) Admit(host, path, key string) (Admission, error) {
 	c := f.inv.View().Config
 	if c == nil {
--- a/forward/backend.go
+++ b/forward/backend.go
@@ -17,34 +17,33 @@
 // ErrOrderRefused is returned when a backend server refuses an order.
 var ErrOrderRefused = errors.New("forward: order refused")
 
-// ErrRestarted is returned when an answer comes from a later incarnation of a backend server
+// ErrRestarted is returned when an answer is from a later incarnation of a backend server
 // than the one addressed.
 var ErrRestarted = errors.New("forward: backend server has started again")
 
-// errUnknownServer is returned for a backend server that is not, or no longer, in the
-// inventory.
+// errUnknownServer is returned for a backend server that is not in the inventory.
 var errUnknownServer = errors.New("forward: unknown backend server")
 
 // Outgoing is a request as it is sent to one backend server.
 type Outgoing struct {
 	Request   *Request
 	Server    *site.BackendServer
-	Path      site.Path // nil for plain services
-	Left      time.Duration
-	LastEvent string // ID of the last event that the caller has, "" for none
-	Priority  int    // 0 is the most urgent
-	Fresh     bool   // use a new connection, or one that was used recently
-	Permitted bool   // the permit has counted the call already
-	MaxIdle   int    // maximum number of idle connections kept to the backend server
+	Path      site.Path     // nil for plain services
+	Left      time.Duration // time until the deadline of the request
+	LastEvent string        // ID of the last event that the caller has received, "" for none
+	Priority  int           // 0 is the most urgent
+	Fresh     bool          // use a new or recently used connection
+	Permitted bool          // a permit was taken, which has already counted the call
+	MaxIdle   int           // maximum number of idle connections kept to the backend server
 }
 
-// MaxIdle bounds the idle connections of one daemon to one backend server.
+// MaxIdle is the maximum number of idle connections of one daemon to one backend server.
 const MaxIdle = 64
 
-// idleShare returns how many idle connections a daemon may keep to one backend server: an
-// even share of the maxConns connections that it accepts, 0 for unlimited, less one for
-// each of its slots. A server resets connections beyond that number, so the bound must
-// hold for all daemons together.
+// idleShare returns how many idle connections a daemon may keep to one backend server. All
+// daemons together may keep as many as the maxConns connections that the server accepts
+// (0 for unlimited), less one for each of its slots. The server resets connections beyond
+// maxConns.
 func idleShare(maxConns, slots, daemons int) int {
 	if maxConns <= 0 {
 		return MaxIdle
@@ -60,11 +59,11 @@
 	Body    io.ReadCloser
 	NotRun  bool   // the backend server reports that the request did not run
 	AtFault string // address of the backend server that caused a refusal, "" if unknown
-	Signed  bool   // carries the backend server's signature
-	Length  int64  // of the body, -1 if unknown
+	Signed  bool   // the answer has the backend server's signature
+	Length  int64  // length of the body in bytes, -1 if unknown
 }
 
-// Stall identifies a stalled stream and the address of the hop at fault.
+// Stall is a stalled stream with the address of the hop at fault.
 type Stall struct {
 	RequestID string
 	Address   string
@@ -73,12 +72,12 @@
 // Report is the state that a backend server reports.
 type Report struct {
 	Held    site.Range
-	Busy    bool // an order is in progress
-	Orders  uint64
-	Waiting int
-	Running int
-	KVUsed  float64 // tokens x layers
-	KVTotal float64
+	Busy    bool    // an order is in progress
+	Orders  uint64  // number of accepted orders
+	Waiting int     // number of waiting requests
+	Running int     // number of running requests
+	KVUsed  float64 // memory of requests, in tokens x layers
+	KVTotal float64 // memory for requests, in tokens x layers
 	Pace    float64 // slowdown, above 1 for a slow server
 	Stalled []Stall
 }
@@ -93,27 +92,27 @@
 	CallOrder   CallKind = "order" // including those that move a stream
 )
 
-// LimitReport is what one answer of a backend server states about its limit on the requests
-// of all daemons together.
+// LimitReport is what one answer of a backend server states about its limit on requests,
+// which applies to all daemons together.
 type LimitReport struct {
 	Server    string // ID
 	Call      CallKind
-	RequestID string // empty unless Call is CallRequest
-	Ran       bool   // the backend server ran the request
-	Named     bool   // the answer names a limit, which is Rate
-	Rate      float64
+	RequestID string    // empty unless Call is CallRequest
+	Ran       bool      // the backend server ran the request
+	Named     bool      // the answer states a limit
+	Rate      float64   // the limit in requests per second, if stated
 	SentAt    time.Time // on the clock of package boottime
 }
 
-// Backends makes calls to backend servers. Errors of Send wrap those of package
+// Backends makes calls to backend servers. Errors of Send wrap an error of package
 // execution.
 type Backends interface {
 	Send(ctx context.Context, o *Outgoing) (*Answer, error)
 	Report(ctx context.Context, s *site.BackendServer) (Report, error)
-	// Reach connects to a backend server and returns an error if it is dead.
+	// Reach connects to a backend server and returns an error if that fails.
 	Reach(ctx context.Context, s *site.BackendServer) error
 	// Repath moves a running stream to a path with the same first hop. It returns
-	// a *HopError when another hop refused.
+	// a *HopError if another hop refused.
 	Repath(ctx context.Context, head *site.BackendServer, requestID string, p site.Path) error
 }
 
@@ -129,7 +128,7 @@
 // Unwrap returns the wrapped error.
 func (e *HopError) Unwrap() error { return e.Err }
 
-// Request is a caller's request. Header holds the headers that are passed on.
+// Request is a caller's request. Header holds the headers that are forwarded.
 type Request struct {
 	ID        string
 	Method    string
@@ -141,12 +140,12 @@
 	Service   string
 	Workspace *site.Workspace // nil on public routes
 	Received  time.Time       // Received and Deadline are on the clock of package boottime
-	Deadline  time.Time       // set by the caller
+	Deadline  time.Time       // as requested by the caller
 	Model     string
-	Prompt    float64 // tokens
-	MaxAnswer float64 // maximum number of output tokens
+	Prompt    float64 // number of tokens, 0 if unknown
+	MaxAnswer float64 // maximum number of output tokens, 0 for no maximum
 	Hint      float64 // the caller's estimate of the output tokens, 0 for none
-	LastEvent string  // ID of the event after which the caller resumes
+	LastEvent string  // ID of the event after which the caller resumes, "" for none
 }
 
 // Fingerprint identifies the content of the request. It is the same for each attempt, at
@@ -159,8 +158,8 @@
 	return quarantine.FingerprintOf([]byte(workspace), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body)
 }
 
-// Sink receives the answer. Its methods are called from one goroutine; an error means
-// that the caller is gone.
+// Sink writes the answer to the caller. Its methods are called from one goroutine. An error
+// means that the caller is gone.
 type Sink interface {
 	// Head begins a stream.
 	Head(status int, h http.Header) error
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -14,7 +14,7 @@
 )
 
 // BenchmarkPlainRequest measures a plain request without network, with three backend
-// servers that have no limit or each name one.
+// servers without limits and with limits.
 func BenchmarkPlainRequest(b *testing.B) {
 	for _, limited := range []bool{false, true} {
 		b.Run(fmt.Sprintf("limits=%t", limited), func(b *testing.B) {
@@ -46,7 +46,7 @@
 }
 
 // BenchmarkChoice measures the selection of a path among 41 servers, without limits and
-// with two heads whose limits are reached.
+// with two heads at their limits.
 func BenchmarkChoice(b *testing.B) {
 	for _, denied := range []int{0, 2} {
 		b.Run(fmt.Sprintf("denied=%d", denied), func(b *testing.B) {
--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -10,33 +10,34 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// conditions holds the slow and saturated backend servers, as they report and as daemons
-// send each other, and those that this daemon suspects of being slow.
+// conditions holds the reported conditions of slow and saturated backend servers, which
+// daemons exchange, and the backend servers that this daemon suspects of being slow.
 //
-// A daemon that sees few requests cannot tell which hop of a stream is slow. If events of
-// a stream are repeatedly late, all its hops become suspects, one daemon of the fleet
-// asks them for reports, and all daemons use the result.
+// A daemon with few requests cannot determine which hop of a stream is slow. If events of
+// a stream are repeatedly late, all its hops become suspects. One daemon of the fleet asks
+// the suspects for reports, and all daemons use the result.
 //
-// A first hop may fill up within a second, while the loads that daemons send each other
-// are several seconds old and omit requests of daemons that have ended. Reports of the
-// backend servers correct them.
+// A first hop may fill up within a second, while the loads that daemons exchange are
+// several seconds old and omit requests of daemons that have ended. Reports of the backend
+// servers compensate for this.
 //
 // It is safe for concurrent use.
 type conditions struct {
 	mu        sync.Mutex
-	known     map[string]relay.Condition // slow and saturated ones, as they report
+	known     map[string]relay.Condition // by ID, the reported conditions of slow and saturated backend servers
 	version   int                        // incremented when a slowdown changes
-	suspects  map[string]bool            // not sent yet
-	suspected map[string]time.Time
-	baseline  float64 // average ratio of the pause between two events to the predicted step
-	samples   int     // number of pauses observed
+	suspects  map[string]bool            // IDs of suspects that are not sent yet
+	suspected map[string]time.Time       // by ID, when a backend server was last suspected
+	baseline  float64                    // average ratio of the pause between two events to the predicted step
+	samples   int                        // number of pauses observed
 }
 
 // Bounds of suspicion.
 const (
-	// lateFactor is the multiple of the average ratio above which a pause is late, and
-	// lateThreshold the number of consecutive late pauses that make a stream's hops
-	// suspects. A single pause is often late, because prompts are read between events.
+	// lateFactor is the multiple of the average ratio above which a pause is late.
+	// lateThreshold is the number of consecutive late pauses from which a stream's hops
+	// are suspects. A single pause is often late, because prompts are processed between
+	// events.
 	lateFactor    = 1.6
 	lateThreshold = 3
 	// baselineGain is the weight of a new pause in the average after the first
@@ -44,9 +45,8 @@
 	baselineGain = 0.002
 	minSamples   = 50
 	// resuspectInterval is the minimum time between two suspicions of one backend server.
-	// Slow ones are checked by the daemon that asks.
 	resuspectInterval = time.Second
-	// maxSuspects bounds the suspects that are not sent yet.
+	// maxSuspects is the maximum number of suspects that are not sent yet.
 	maxSuspects = 64
 )
 
@@ -56,90 +56,91 @@
 
 // of returns the condition of a backend server, the zero Condition if it is not known to
 // be slow or saturated.
-func (s *conditions) of(id string) relay.Condition {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.known[id]
+func (c *conditions) of(id string) relay.Condition {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.known[id]
 }
 
 // slowVersion returns a number that grows whenever a slowdown changes.
-func (s *conditions) slowVersion() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.version
+func (c *conditions) slowVersion() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.version
 }
 
 // late updates the average with a pause between two events and reports whether the pause
 // was late. stepMS is the predicted step of the path, 0 if unknown.
-func (s *conditions) late(pause time.Duration, stepMS float64) bool {
+func (c *conditions) late(pause time.Duration, stepMS float64) bool {
 	if stepMS <= 0 {
 		return false
 	}
 	ratio := float64(pause) / float64(time.Millisecond) / stepMS
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.samples++
-	if s.samples <= minSamples {
-		s.baseline += (ratio - s.baseline) / float64(s.samples)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.samples++
+	if c.samples <= minSamples {
+		c.baseline += (ratio - c.baseline) / float64(c.samples)
 		return false
 	}
-	threshold := lateFactor * s.baseline
-	s.baseline += baselineGain * (min(threshold, ratio) - s.baseline)
+	threshold := lateFactor * c.baseline
+	c.baseline += baselineGain * (min(threshold, ratio) - c.baseline)
 	return ratio > threshold
 }
 
-// suspect adds the hops of a stream whose events are late to the suspects.
-func (s *conditions) suspect(path site.Path, now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// suspect adds the hops of a path to the suspects.
+func (c *conditions) suspect(path site.Path, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, h := range path {
 		id := h.Server.ID
-		if now.Sub(s.suspected[id]) < resuspectInterval || len(s.suspects) >= maxSuspects {
+		if now.Sub(c.suspected[id]) < resuspectInterval || len(c.suspects) >= maxSuspects {
 			continue
 		}
-		s.suspected[id] = now
-		s.suspects[id] = true
+		c.suspected[id] = now
+		c.suspects[id] = true
 	}
 }
 
-func (s *conditions) prune(known map[string]*site.BackendServer) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for id := range s.suspected {
+// prune removes backend servers that are gone.
+func (c *conditions) prune(known map[string]*site.BackendServer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id := range c.suspected {
 		if known[id] == nil {
-			delete(s.suspected, id)
+			delete(c.suspected, id)
 		}
 	}
 }
 
-// TakeSuspects implements relay.LoadBook.
+// TakeSuspects implements relay.LoadExchange: it returns and removes the suspects.
 func (l *Loads) TakeSuspects() []string {
-	s := l.conditions
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	out := make([]string, 0, len(s.suspects))
-	for id := range s.suspects {
+	c := l.conditions
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]string, 0, len(c.suspects))
+	for id := range c.suspects {
 		out = append(out, id)
 	}
-	clear(s.suspects)
+	clear(c.suspects)
 	return out
 }
 
-// SetConditions implements relay.LoadBook.
+// SetConditions implements relay.LoadExchange: it replaces the known conditions.
 func (l *Loads) SetConditions(known map[string]relay.Condition) {
-	s := l.conditions
-	s.mu.Lock()
-	before := s.known
-	s.known = known
+	c := l.conditions
+	c.mu.Lock()
+	before := c.known
+	c.known = known
 	changed := !maps.Equal(slowdowns(before), slowdowns(known))
 	if changed {
-		s.version++
+		c.version++
 	}
-	s.mu.Unlock()
+	c.mu.Unlock()
 	l.onConditions(known, changed)
 }
 
-// slowdowns returns the slowdown factors of the slow backend servers.
+// slowdowns returns the slowdowns of the slow backend servers by ID.
 func slowdowns(known map[string]relay.Condition) map[string]float64 {
 	out := map[string]float64{}
 	for id, c := range known {
@@ -150,8 +151,8 @@
 	return out
 }
 
-// noteConditions logs the slow backend servers if they have changed, and the number of
-// saturated ones if that has.
+// noteConditions logs the number of saturated backend servers if it has changed, and the
+// slow backend servers if a slowdown has changed.
 func (f *Forwarder) noteConditions(known map[string]relay.Condition, slowChanged bool) {
 	saturated := 0
 	for _, c := range known {
@@ -174,7 +175,7 @@
 	f.log.Add("slow", "backends", len(slow), "worst", worst, "slowdown", slow[worst])
 }
 
-// Condition implements relay.Asker: it asks a backend server for a report.
+// Condition implements relay.ConditionReader: it asks a backend server for a report.
 func (f *Forwarder) Condition(ctx context.Context, id string) (relay.Condition, error) {
 	s := f.inv.View().Servers[id]
 	if s == nil {
@@ -191,20 +192,20 @@
 	return c, err
 }
 
-// saturationThreshold is the known use of a backend server's memory, or of a first hop's
-// slots, as a fraction, from which the server is asked for a report. Known loads are
-// seconds old and omit requests of daemons that have ended.
+// saturationThreshold is the fraction of a backend server's memory, or of a first hop's
+// slots, that is used by the known loads from which the server is asked for a report. Known
+// loads are seconds old and omit requests of daemons that have ended.
 const saturationThreshold = 0.7
 
 // startupGrace is the time after the start of a daemon during which any backend server
-// may be saturated: those that ran requests of a previous process still run them, and no
-// daemon counts these.
+// may be saturated: it may still be running requests of previous processes, which no
+// daemon counts.
 const startupGrace = 8 * time.Second
 
-// MaybeSaturated implements relay.Asker. While the loads of other daemons are unknown, as
-// after a restart of the fleet, it returns all backend servers of the own failure domain.
-// Later it returns the nearly full ones of services that have too few requests for each
-// daemon to know their load.
+// MaybeSaturated implements relay.ConditionReader. While the loads of other daemons are
+// unknown, as after a restart of the fleet, it returns all backend servers of this
+// daemon's failure domain. Later it returns the nearly full ones, and only of services
+// with too few requests per daemon to spread them without reports.
 func (f *Forwarder) MaybeSaturated() []string {
 	now, daemons := time.Now(), float64(max(1, f.fleet.Daemons()))
 	unknown, view := f.loadsUnknown(now), f.inv.View()
@@ -230,7 +231,7 @@
 	return out
 }
 
-// DomainOf implements relay.Asker.
+// DomainOf implements relay.ConditionReader.
 func (f *Forwarder) DomainOf(id string) string {
 	if s := f.inv.View().Servers[id]; s != nil {
 		return s.FailureDomain
--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -12,10 +12,10 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// While the other daemons' loads are unknown, every server of the own failure domain may
-// be saturated; later only the nearly full ones of a service whose requests follow a
+// While the other daemons' loads are unknown, every server of the daemon's failure domain
+// may be saturated; later only a nearly full server of a service whose requests follow a
 // split.
-func TestMaybeCrowded(t *testing.T) {
+func TestMaybeSaturated(t *testing.T) {
 	l := newLab(1)
 	f := l.forwarder("a", labFleet(60))
 	of := func(domain string) int {
@@ -29,7 +29,7 @@
 	}
 	require.Len(t, f.MaybeSaturated(), of("a"))
 	f.loads.SetOthers(relay.Loads{Daemons: 59})
-	require.Empty(t, f.MaybeSaturated(), "all servers are idle by the received loads")
+	require.Empty(t, f.MaybeSaturated(), "by the received loads all servers are idle")
 
 	var full *site.BackendServer
 	for _, s := range l.view.Servers {
@@ -39,13 +39,12 @@
 	}
 	capacity := l.engine.KVCapacity(full.Kind, full.Held.Len())
 	f.loads.SetOthers(relay.Loads{Daemons: 59, Items: []relay.LoadItem{{Server: full.ID, KV: 2 * capacity}}})
-	require.Empty(t, f.MaybeSaturated(), "no split is needed yet")
+	require.Empty(t, f.MaybeSaturated(), "requests do not follow a split yet")
 	f.splits.byService[labService] = &split{needed: true}
 	require.Equal(t, []string{full.ID}, f.MaybeSaturated())
 }
 
-// Reported conditions affect the selection of paths. Only a changed slowdown causes a new
-// split.
+// Reported conditions are part of the loads. Only a changed slowdown causes a new split.
 func TestConditionsAffectLoads(t *testing.T) {
 	l := NewLoads()
 	before := l.conditions.slowVersion()
@@ -59,7 +58,7 @@
 	require.Zero(t, l.Of("s", 10, time.Now()).Full)
 }
 
-// Reported memory use counts only after a start or if requests follow a split; otherwise
+// Reported memory usage counts only after a start or if requests follow a split; otherwise
 // all daemons would select the same servers at once. Waiting requests always count.
 func TestReportedMemoryIsUsedWhileLoadsAreUnknown(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -16,20 +16,20 @@
 )
 
 // A request may crash the process that runs it, on any backend server. Whether it may be
-// sent again therefore depends on its history in the whole fleet: the caller may retry it
+// sent again therefore depends on its history in the fleet, since the caller may retry it
 // at another daemon under a new ID.
 
-// Times by which the end of a backend server is attributed to a request.
+// Times that decide whether the end of a backend server is attributed to a request.
 const (
 	// attributionWindow is the time after the head of an answer within which the end of
 	// the backend server is attributed to the request. A request that crashes its backend
 	// server does so when it begins to run; most others have run for longer.
 	attributionWindow = 500 * time.Millisecond
-	// survivalThreshold is the time after the head of an answer at which the request is
-	// known not to crash its backend server.
+	// survivalThreshold is the time after the head of an answer from which the request
+	// counts as not crashing its backend server.
 	survivalThreshold = time.Second
-	// quarantineSpread is the range of the random delay added to the retry times of
-	// quarantined requests.
+	// quarantineSpread is the range of the random delay that is added to the retry times
+	// of quarantined requests.
 	quarantineSpread = 500 * time.Millisecond
 )
 
@@ -51,7 +51,7 @@
 	headAt time.Time // zero until the head of the answer is received
 }
 
-// stage returns the stage of the send at a time since the head of the answer.
+// stage returns the stage of the send at the given time after the head of the answer.
 func (p progress) stage(sinceHead time.Duration) sendStage {
 	switch {
 	case p.headAt.IsZero():
@@ -62,16 +62,16 @@
 	return stageRunning
 }
 
-// sinceHead returns the time from the head of the answer to at, less the time for which
-// this process did not run. An end during that time is noticed late, and the backend
-// server would seem to have survived the request.
+// sinceHead returns the time from the head of the answer to at, excluding time for which
+// this process did not run. An end during such time is noticed late. If the time counted,
+// the backend server would seem to have survived the request.
 func (r *run) sinceHead(at time.Time) time.Duration {
 	return at.Sub(r.progress.headAt) - r.f.stalls.StallTime(r.progress.headAt, at)
 }
 
-// weight returns how strongly the end of a backend server at a stage counts against the
-// request, 0 for not at all. The head of a stream is received when it begins to run; that
-// of a plain answer only when it is complete.
+// weight returns the weight of the end of a backend server at a stage as evidence against
+// the request, 0 for none. The head of a stream is received when the request begins to run,
+// the head of a plain answer only when the answer is complete.
 func (st sendStage) weight(stream bool) quarantine.Weight {
 	switch {
 	case st == stageBegun, st == stageSent && !stream:
@@ -82,15 +82,15 @@
 	return 0
 }
 
-// lostContact reports whether a send ended because the backend server stopped responding,
-// rather than because this daemon ended it.
+// lostContact reports whether a send ended because contact with the backend server was
+// lost, and not because this daemon ended the send.
 func lostContact(err error) bool {
 	abandoned := errors.Is(err, errSilent) || errors.Is(err, errResumeElsewhere) || errors.Is(err, errHeadDead) || errors.Is(err, errQuarantined)
 	return !abandoned && (errors.Is(err, execution.ErrLost) || errors.Is(err, errBroken))
 }
 
-// hasEnded reports whether an error of a probe shows that the process of the backend
-// server is gone: its VM responds, but refuses connections. A timeout does not show that.
+// hasEnded reports whether an error is a sign that the process of the backend server has
+// ended: the VM responds but refuses connections. A timeout is no such sign.
 func hasEnded(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 // quarantineServer returns the quarantine ID of a backend server.
@@ -103,21 +103,22 @@
 
 // admit refuses a quarantined request.
 func (r *run) admit(now time.Time) error {
-	v := r.f.quarantine.Admit(r.fingerprint, now)
+	d := r.f.quarantine.Admit(r.fingerprint, now)
 	switch {
-	case v.Held:
-		r.logQuarantine("held back", v)
+	case d.Held:
+		r.logQuarantine("held back", d)
 		r.f.observer.Quarantined()
-		wait := v.Until.Sub(now) + rand.N(quarantineSpread)
-		return apierror.New(apierror.Quarantined, "%d backend servers ended as they ran it", v.Ends).WithRetryAfter(wait)
-	case v.Trial:
-		r.logQuarantine("tried", v)
+		wait := d.Until.Sub(now) + rand.N(quarantineSpread)
+		return apierror.New(apierror.Quarantined, "%d backend servers ended as they ran it", d.Ends).WithRetryAfter(wait)
+	case d.Trial:
+		r.logQuarantine("tried", d)
 	}
 	return nil
 }
 
-// recordOutcome updates the quarantine with the outcome of a send. It returns after a
-// probe that the decision to send the request again depends on.
+// recordOutcome updates the quarantine with the outcome of a send. If the end of the head
+// would count against the request, it waits for a probe of the head, since the decision to
+// send the request again depends on it.
 func (r *run) recordOutcome(ctx context.Context, head *site.BackendServer, err error) {
 	now := time.Now()
 	if err == nil || errors.Is(err, errFailed) {
@@ -133,7 +134,7 @@
 		if since >= survivalThreshold {
 			r.recordSurvival(now)
 		}
-		// The probe updates whether the head counts as an attempt.
+		// The probe determines whether the head still counts as an attempt.
 		go func() { _ = r.f.probe(context.WithoutCancel(ctx), head) }()
 		return
 	}
@@ -147,30 +148,31 @@
 	}
 }
 
-// attributeEnd records the end of a backend server, if it has ended, against the request,
-// and reports whether the request is now quarantined.
+// attributeEnd probes a backend server. If the server has ended, attributeEnd records this
+// against the request and reports whether the request is now quarantined.
 func (r *run) attributeEnd(ctx context.Context, s *site.BackendServer, stage sendStage) (quarantined bool) {
 	if !hasEnded(r.f.probe(context.WithoutCancel(ctx), s)) {
 		return false
 	}
-	v := r.f.quarantine.Ended(r.fingerprint, quarantineServer(s), stage.weight(r.isStream()), time.Now())
+	d := r.f.quarantine.Ended(r.fingerprint, quarantineServer(s), stage.weight(r.isStream()), time.Now())
 	r.f.log.Add("ended", "server", s.ID, "address", s.Address, "request", r.req.ID, "fingerprint", r.fingerprint, "stage", string(stage),
-		"ends", v.Ends, "score", v.Score, "held", v.Held)
+		"ends", d.Ends, "score", d.Score, "held", d.Held)
 	r.f.observer.ServerEnded()
-	return v.Held
+	return d.Held
 }
 
-// isQuarantined reports whether a request that may have run must not be sent again.
+// isQuarantined reports whether a request that may have run must not be sent again, and
+// logs and counts it if so.
 func (r *run) isQuarantined() bool {
-	v := r.f.quarantine.Look(r.fingerprint, time.Now())
-	if v.Held {
-		r.logQuarantine("not sent again", v)
+	d := r.f.quarantine.Look(r.fingerprint, time.Now())
+	if d.Held {
+		r.logQuarantine("not sent again", d)
 		r.f.observer.Quarantined()
 	}
-	return v.Held
+	return d.Held
 }
 
-func (r *run) logQuarantine(outcome string, v quarantine.Decision) {
-	r.f.log.Add("quarantine", "request", r.req.ID, "fingerprint", r.fingerprint, "outcome", outcome, "ends", v.Ends, "score", v.Score,
-		"until", v.Until.UTC().Format(time.RFC3339))
+func (r *run) logQuarantine(outcome string, d quarantine.Decision) {
+	r.f.log.Add("quarantine", "request", r.req.ID, "fingerprint", r.fingerprint, "outcome", outcome, "ends", d.Ends, "score", d.Score,
+		"until", d.Until.UTC().Format(time.RFC3339))
 }
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -25,18 +25,18 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Crashing requests, which end the servers that run them.
+// Parameters of crashing requests, which end the servers that run them.
 const (
 	crashPrefix        = "crash "               // prefix of their bodies
 	crashDelay         = 60 * time.Millisecond  // from the head of the answer to the end of the server
-	restartDelay       = 3 * time.Second        // until the server holds its layers again
-	crashInterval      = 2 * time.Second        // between two attempts of one such request
-	crashRetryInterval = 100 * time.Millisecond // after an attempt that reached no server
-	crashRunLength     = 16 * time.Second       // length of a run: eight attempts
-	propagationDelay   = 900 * time.Millisecond // until all daemons know what one has observed
+	restartDelay       = 3 * time.Second        // from the end of a server until it holds its layers again
+	crashInterval      = 2 * time.Second        // pause between two attempts of one such request
+	crashRetryInterval = 100 * time.Millisecond // pause after an attempt that reached no server
+	crashRunLength     = 16 * time.Second       // length of a run, for eight attempts
+	propagationDelay   = 900 * time.Millisecond // until an end recorded by one daemon is known to all
 )
 
-// crashBody returns the body of a crashing request, or one that no request has.
+// crashBody returns the body of a crashing request, or a body that no request has.
 func (l *lab) crashBody(r *Request) string {
 	if bytes.HasPrefix(r.Body, []byte(crashPrefix)) {
 		return string(r.Body)
@@ -53,6 +53,7 @@
 	return a, nil
 }
 
+// crashingAnswer is the body of the answer to a crashing request.
 type crashingAnswer struct {
 	lab    *lab
 	ctx    context.Context
@@ -68,7 +69,7 @@
 
 func (c *crashingAnswer) Close() error { return nil }
 
-// restart ends a server, which returns after restartDelay as another incarnation.
+// restart ends a server and starts it again after restartDelay.
 func (l *lab) restart(s *site.BackendServer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,6 +81,7 @@
 	time.AfterFunc(restartDelay, func() { l.revive(s) })
 }
 
+// revive replaces an ended server by another incarnation with the same layers.
 func (l *lab) revive(s *site.BackendServer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,8 +122,8 @@
 	}
 }
 
-// sendCrashing sends one crashing request repeatedly, at another daemon each time, until
-// ctx ends. An attempt that reached no server is repeated sooner.
+// sendCrashing sends one crashing request repeatedly, to another daemon each time, until
+// ctx ends. It pauses less after an attempt that reached no server.
 func (l *lab) sendCrashing(ctx context.Context, body string, at int) {
 	pause := crashInterval
 	for n := at; wait.For(ctx, pause); n += 7 {
@@ -137,7 +139,7 @@
 		}
 		if apierror.Is(err, apierror.Quarantined) {
 			l.mu.Lock()
-			l.quarantined-- // only other requests are counted
+			l.quarantined-- // crashing requests are not counted
 			l.mu.Unlock()
 		}
 	}
@@ -147,14 +149,14 @@
 type crashResult struct {
 	ended       int // servers
 	maxArrivals int // maximum arrivals of one crashing request
-	late        int // maximum arrivals of one after all daemons know of the third end
-	whole       int // other requests that were answered completely
+	late        int // maximum arrivals of one after all daemons know the third end
+	completed   int // other requests that were answered completely
 	lost        int // other requests, refused or cut
-	quarantined int // other requests and attempts that were quarantined
+	quarantined int // quarantined attempts of other requests
 }
 
-// runWithCrashes runs 30 streams per second with a number of crashing requests, and with
-// unrelated ends of servers at a rate per minute.
+// runWithCrashes runs 30 streams per second with a number of crashing requests. Servers
+// also end for unrelated reasons at a rate per minute.
 func runWithCrashes(p quarantine.Policy, daemons, requests int, unrelated float64) crashResult {
 	l := newFleetLab(1, daemons)
 	l.arrivals = map[string][]time.Time{}
@@ -178,7 +180,7 @@
 	l.run(30, crashRunLength)
 	cancel()
 	wg.Wait()
-	r := crashResult{ended: l.ended, whole: l.whole, lost: l.refused + l.cut, quarantined: l.quarantined}
+	r := crashResult{ended: l.ended, completed: l.completed, lost: l.refused + l.cut, quarantined: l.quarantined}
 	for _, at := range l.arrivals {
 		r.maxArrivals = max(r.maxArrivals, len(at))
 		late := 0
@@ -245,8 +247,8 @@
 	}
 }
 
-// A quarantined request is refused at once as not run, with a retry time. It is sent when
-// a trial is due, and is cleared if a backend server survives it.
+// A quarantined request is refused at once as not run, with a retry time. It is sent as a
+// trial when that is due, and is cleared if the backend server survives.
 func TestQuarantinedRequestGetsRetryTime(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		b := &scriptedBackends{}
--- a/forward/crossing.go
+++ b/forward/crossing.go
@@ -9,26 +9,26 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Utilization of the links between failure domains. All daemons share them; a link
-// transfers one prompt at a time and queues the rest.
+// Utilization of the cross-domain links. All daemons share the links. A link transfers one
+// prompt at a time and queues the rest.
 const (
-	// linkUtilization is the fraction of the links' capacity that new requests use. It
-	// exceeds 1, so that short queues form rather than requests be refused.
+	// linkUtilization is the fraction of the links' capacity that new requests may use.
+	// It exceeds 1 so that short queues form before requests are refused.
 	linkUtilization = 1.3
-	// crossBurst is the number of prompts that a daemon may send across at once.
+	// crossBurst is the number of prompts that a daemon may send over the links at once.
 	crossBurst = 6
 )
 
-// crossings limits the prompts that this daemon sends across failure domains. It is safe
+// crossings limits the prompts that this daemon sends over cross-domain links. It is safe
 // for concurrent use.
 type crossings struct {
 	mu     sync.Mutex
 	bucket admission.Bucket
 }
 
-// stuckThreshold is the wait of a stream for its first event from which the links that
-// its prompt crosses count as stuck. It detects links that have become slow; most first
-// events arrive well within it.
+// stuckThreshold is the wait of a stream for its first event from which the links on its
+// path count as stuck. It detects links that have become slow; most first events arrive
+// much earlier.
 const stuckThreshold = 700 * time.Millisecond
 
 // domainPair identifies the link between two failure domains.
@@ -36,8 +36,7 @@
 
 func newDomainPair(x, y string) domainPair { return domainPair{min(x, y), max(x, y)} }
 
-// linksOf returns the cross-domain links that a prompt passes on a path, one for each
-// crossing.
+// linksOf returns the cross-domain links of a path, one for each crossing.
 func linksOf(p site.Path) []domainPair {
 	var out []domainPair
 	for i := 1; i < len(p); i++ {
@@ -49,11 +48,12 @@
 	return out
 }
 
-// maxStuck is the maximum time for which a waiting stream marks links as stuck. Callers
-// give up two seconds after they have sent a request.
+// maxStuck is how long after the start of a waiting stream its links are expected to be
+// free again. Callers give up two seconds after they have sent a request.
 const maxStuck = 2 * time.Second
 
-// linksFreeIn returns the maximum time until no link of a path is stuck, 0 if none is.
+// linksFreeIn returns the expected maximum time until no link of a path is stuck, 0 if none
+// is stuck.
 func (f *Forwarder) linksFreeIn(path site.Path, now time.Time) time.Duration {
 	since := f.live.stuckSince(linksOf(path), now)
 	if since.IsZero() {
--- a/forward/crossing_test.go
+++ b/forward/crossing_test.go
@@ -10,7 +10,7 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// crossingPath returns a path of two hops in two failure domains.
+// crossingPath returns a path of one hop in each of two failure domains.
 func crossingPath(from, to string) site.Path {
 	return site.Path{
 		{Server: &site.BackendServer{ID: "head-" + from, FailureDomain: from}, Layers: site.Range{From: 0, To: 40}},
@@ -18,8 +18,8 @@
 	}
 }
 
-// A link with a stream that waits too long for its first event gets no more prompts until
-// the event arrives. Other links are not affected.
+// A link gets no more prompts while a stream that uses it waits too long for its first
+// event. Other links are not affected.
 func TestStuckLinkGetsNoMorePrompts(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		f := newLab(1).forward[0]
--- a/forward/deadlines.go
+++ b/forward/deadlines.go
@@ -9,8 +9,7 @@
 )
 
 // deadlines cancels requests whose deadline has passed. Timers stop while the VM is
-// suspended, so the deadlines are checked again on resume; no backend server is given
-// time that the caller does not have. It is safe for concurrent use.
+// suspended, so deadlines are checked again when it resumes. It is safe for concurrent use.
 type deadlines struct {
 	mu  sync.Mutex
 	all map[*deadline]struct{}
@@ -56,7 +55,7 @@
 	return n
 }
 
-// onWake is called after a suspension of the VM.
+// onWake drops outdated state and cancels expired requests after a suspension of the VM.
 func (f *Forwarder) onWake(suspended time.Duration) {
 	f.loads.forgetOthers()
 	f.log.Add("woken", "suspended", suspended.Round(time.Millisecond), "deadlines_passed", f.deadlines.expire(),
--- a/forward/events.go
+++ b/forward/events.go
@@ -11,8 +11,8 @@
 	id  string // "" if it has none
 }
 
-// nextEvent splits the first complete event off a buffer; ok is false if there is none.
-// An event ends with an empty line.
+// nextEvent splits a buffer into its first complete event and the rest; ok is false if there
+// is no complete event. An event ends with an empty line.
 func nextEvent(buf []byte) (ev event, rest []byte, ok bool) {
 	for at := 0; ; {
 		i := bytes.IndexByte(buf[at:], '\n')
@@ -31,8 +31,8 @@
 	}
 }
 
-// after reports whether an event ID follows the last one delivered. Numeric IDs must
-// increase; events with other IDs are always delivered.
+// after reports whether an event follows the last delivered one by its ID. Numeric IDs must
+// increase; events with other IDs always follow.
 func after(id, last string) bool {
 	if id == "" || last == "" {
 		return true
--- a/forward/events_test.go
+++ b/forward/events_test.go
@@ -14,11 +14,11 @@
 		in, raw, id, rest string
 		ok                bool
 	}{
-		"whole":            {"id: 4\ndata: x\n\nid: 5", "id: 4\ndata: x\n\n", "4", "id: 5", true},
+		"complete":         {"id: 4\ndata: x\n\nid: 5", "id: 4\ndata: x\n\n", "4", "id: 5", true},
 		"carriage returns": {"id:4\r\ndata: x\r\n\r\nrest", "id:4\r\ndata: x\r\n\r\n", "4", "rest", true},
 		"no ID":            {"data: x\n\n", "data: x\n\n", "", "", true},
 		"ID within data":   {"data: id: 9\n\n", "data: id: 9\n\n", "", "", true},
-		"not whole":        {"id: 4\ndata: x\n", "", "", "id: 4\ndata: x\n", false},
+		"incomplete":       {"id: 4\ndata: x\n", "", "", "id: 4\ndata: x\n", false},
 		"empty":            {"", "", "", "", false},
 	} {
 		ev, rest, ok := nextEvent([]byte(c.in))
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -22,6 +22,7 @@
 // Inventory provides the cached state of the site.
 type Inventory interface {
 	View() *inventory.View
+	// Age returns the time since the configuration was last read.
 	Age(now time.Time) time.Duration
 	// Complete reports whether the configuration and all backend servers are known.
 	Complete() bool
@@ -36,18 +37,22 @@
 
 // Observer receives the events that metrics count.
 type Observer interface {
+	// Finished reports the result and the duration of a request.
 	Finished(kind string, d time.Duration)
+	// FirstEvent reports the time from a request to its first event.
 	FirstEvent(d time.Duration)
+	// Recovered reports the end of an interruption of a stream, with the gap between
+	// two events.
 	Recovered(cause string, gap time.Duration)
-	// LoadsAge reports the age of the other daemons' loads on arrival.
+	// LoadsAge reports the age of the other daemons' loads when they are received.
 	LoadsAge(age time.Duration)
-	// LoadsRefused reports loads that were dropped as impossible.
+	// LoadsRefused reports the number of loads that were dropped as impossible.
 	LoadsRefused(n int)
 	// ServerEnded reports that a backend server ended while it may have run a request.
 	ServerEnded()
 	// Quarantined reports that a quarantined request was not sent.
 	Quarantined()
-	// Limits reports the number of known limits of backend servers when it changes.
+	// Limits reports the number of known limits of backend servers.
 	Limits(known int)
 	// LimitReached reports that a request was refused because of limits.
 	LimitReached()
@@ -56,12 +61,12 @@
 // Options configures a Forwarder.
 type Options struct {
 	FailureDomain string
-	RetryRatio    float64 // retries of the whole fleet as a fraction of its requests
-	RetrySlack    float64 // retries of the whole fleet allowed per window beyond the ratio
+	RetryRatio    float64 // retries of the fleet as a fraction of its requests
+	RetrySlack    float64 // retries of the fleet allowed per window in addition to the ratio
 	RetryWindow   time.Duration
-	// Restarted says that a previous process may have spent retries within the window.
+	// Restarted is set if a previous process may have used retries within the window.
 	Restarted bool
-	// MaxKeyAge is the maximum age of the configuration at which its keys are
+	// MaxKeyAge is the maximum age of the configuration up to which its keys are
 	// accepted, 0 for no maximum.
 	MaxKeyAge time.Duration
 }
@@ -73,14 +78,14 @@
 	Backends  Backends
 	Log       *Log
 	Observer  Observer
-	// Stalls records when this process did not run, so that such times do not count
-	// against backend servers; nil for none.
+	// Stalls records when this process did not run. Such time does not count against
+	// backend servers. nil for none.
 	Stalls *stall.Monitor
-	// Quarantine is shared with the other daemons; nil for a private one.
+	// Quarantine is shared with the other daemons, nil for a private registry.
 	Quarantine *quarantine.Registry
-	// Limits holds the limits that backend servers have named, Sends the calls made to
-	// each, and Permits grants permits. All are nil for a daemon that does not share
-	// limits.
+	// Limits holds the limits that backend servers have stated, Sends counts the calls
+	// to each backend server, and Permits grants permits. All are nil for a daemon that
+	// does not share limits.
 	Limits  *quota.Limits
 	Sends   *quota.Sends
 	Permits Permits
@@ -111,39 +116,39 @@
 	permits    Permits
 	denials    *quota.Denials
 
-	started   time.Time    // set one window back if no process ran before
-	maxKeyAge atomic.Int64 // time.Duration, see Options.KeysFreshFor
-	requests  atomic.Int64
-	saturated atomic.Int64 // number of saturated backend servers in the last conditions received
+	started   time.Time    // one window earlier if there was no previous process
+	maxKeyAge atomic.Int64 // time.Duration, see Options.MaxKeyAge
+	requests  atomic.Int64 // number of requests since the start
+	saturated atomic.Int64 // number of saturated backend servers when conditions were last received
 }
 
 // defaultRetryWindow is used when Options.RetryWindow is not set.
 const defaultRetryWindow = 10 * time.Second
 
-// cooldowns are the times for which a backend server gets no new work. A full one has
-// capacity again after about the time that a request takes to end. The record of a dead
-// one expires after three heartbeats, a few seconds.
+// cooldowns are the times for which a backend server gets no new work. A full backend
+// server has capacity again once one of its requests ends. The record of a dead one expires
+// after three heartbeats, a few seconds.
 var cooldowns = health.CooldownConfig{Refused: 250 * time.Millisecond, Failed: 4 * time.Second, FailedMost: 8 * time.Second}
 
 // New returns a Forwarder.
-func New(o Options, p Dependencies) *Forwarder {
+func New(o Options, d Dependencies) *Forwarder {
 	if o.RetryWindow <= 0 {
 		o.RetryWindow = defaultRetryWindow
 	}
-	if p.Quarantine == nil {
-		p.Quarantine = quarantine.NewRegistry(quarantine.DefaultPolicy)
+	if d.Quarantine == nil {
+		d.Quarantine = quarantine.NewRegistry(quarantine.DefaultPolicy)
 	}
-	if p.Limits == nil {
-		p.Limits, p.Sends = quota.NewLimits(), quota.NewSends()
-		p.Permits = localPermits{quota.NewPool(localDaemonName, p.Limits, p.Sends), localDaemonName}
+	if d.Limits == nil {
+		d.Limits, d.Sends = quota.NewLimits(), quota.NewSends()
+		d.Permits = localPermits{quota.NewPool(localDaemonName, d.Limits, d.Sends), localDaemonName}
 	}
 	f := &Forwarder{
-		limits: p.Limits, sends: p.Sends, permits: p.Permits, denials: quota.NewDenials(), quarantine: p.Quarantine, stalls: p.Stalls, deadlines: newDeadlines(),
-		started: time.Now(), opts: o, inv: p.Inventory, fleet: p.Fleet, log: p.Log, observer: p.Observer,
+		limits: d.Limits, sends: d.Sends, permits: d.Permits, denials: quota.NewDenials(), quarantine: d.Quarantine, stalls: d.Stalls, deadlines: newDeadlines(),
+		started: time.Now(), opts: o, inv: d.Inventory, fleet: d.Fleet, log: d.Log, observer: d.Observer,
 		loads: NewLoads(), health: health.NewCooldowns(cooldowns), budget: admission.NewBudget(o.RetryRatio, o.RetrySlack, o.RetryWindow),
 		reports: newResultCache[Report](reportAge), probes: newResultCache[struct{}](probeAge), silences: newSilences(), live: newLiveStreams(), splits: newSplits(),
 	}
-	f.backends = metered{p.Backends, f}
+	f.backends = metered{d.Backends, f}
 	f.maxKeyAge.Store(int64(o.MaxKeyAge))
 	f.loads.onAge = f.noteLoadsAge
 	f.loads.onRefused = f.noteRefusedLoads
@@ -161,7 +166,7 @@
 // Loads returns the loads that this daemon causes and those received from others.
 func (f *Forwarder) Loads() *Loads { return f.loads }
 
-// SetBounds changes the retry ratio and slack and the maximum age of keys.
+// SetBounds changes the retry ratio, the retry slack and the maximum key age. See Options.
 func (f *Forwarder) SetBounds(ratio, slack float64, maxKeyAge time.Duration) {
 	f.budget.Set(ratio, slack)
 	f.maxKeyAge.Store(int64(maxKeyAge))
@@ -171,8 +176,8 @@
 func (f *Forwarder) Failed(id string) bool { return f.health.Dead(id, time.Now()) }
 
 // Do forwards a request and writes its answer to the sink. Its errors are of type
-// *apierror.Error and state correctly whether the request ran. If Sink.Head was called
-// before, the caller's connection must be cut.
+// *apierror.Error and state whether the request ran. If Sink.Head was called before an
+// error, the caller's connection must be cut.
 func (f *Forwarder) Do(ctx context.Context, req *Request, sink Sink) error {
 	deadline := req.Deadline
 	if t := req.Route.Timeout; t > 0 && req.Received.Add(t).Before(deadline) {
@@ -188,7 +193,7 @@
 	f.budget.Earn(time.Now())
 	r := &run{
 		f: f, req: req, sink: sink, deadline: deadline, lastEvent: req.LastEvent, fingerprint: req.Fingerprint(),
-		life: execution.New(req.Route.Repeatable()),
+		tracker: execution.New(req.Route.Repeatable()),
 	}
 	err := r.admit(time.Now())
 	if err == nil {
@@ -198,10 +203,10 @@
 	return err
 }
 
-// pruneInterval is the number of requests between two removals of state of backend
-// servers that are gone.
+// pruneInterval is the number of requests between two calls of prune.
 const pruneInterval = 1000
 
+// prune removes the state of backend servers that are gone.
 func (f *Forwarder) prune(known map[string]*site.BackendServer) {
 	f.loads.Prune(known)
 	f.loads.conditions.prune(known)
@@ -230,8 +235,8 @@
 }
 
 // candidates returns the backend servers of a service that may take work, with their
-// loads. The order starts at a random server: the first of several equal candidates is
-// selected, and daemons must not all select the same one.
+// loads. The list starts at a random server: of equal candidates the first one is
+// selected, and daemons must not all select the same server.
 func (f *Forwarder) candidates(view *inventory.View, service string, engine *site.Engine, now time.Time) []pipeline.Candidate {
 	daemons := float64(max(1, f.fleet.Daemons()))
 	servers := view.OfService(service)
@@ -259,17 +264,17 @@
 	return out
 }
 
-// loadsUnknown reports whether the loads caused by other daemons, or by previous
-// processes, are largely unknown.
+// loadsUnknown reports whether the loads caused by other daemons or by previous processes
+// are unknown.
 func (f *Forwarder) loadsUnknown(now time.Time) bool {
 	return f.loads.othersLoadAge(now) == 0 || now.Sub(f.started) < startupGrace
 }
 
-// useReportedMemory reports whether the memory use that backend servers report is used:
-// if the other daemons' loads are unknown, or if each daemon sees too few requests to
-// spread them by itself. Otherwise daemons spread requests by what they have sent. The
-// reports are half a second old and the same for all daemons, which would make all of
-// them select the same backend servers at once.
+// useReportedMemory reports whether the selection of paths considers the memory usage that
+// backend servers report. It does if other loads are unknown, or if each daemon handles too
+// few requests to spread them by their load. Otherwise the reports would do harm: they are
+// half a second old and the same for all daemons, so that all daemons would select the same
+// backend servers at once.
 func (f *Forwarder) useReportedMemory(service string, now time.Time) bool {
 	return f.loadsUnknown(now) || f.splits.needed(service)
 }
@@ -280,13 +285,13 @@
 	return !s.Draining && (engine == nil || s.Held.Len() > 0) && !f.health.Dead(s.ID, now)
 }
 
-// queueWaitThreshold is the wait for a first event above which it counts against a head.
-// Shorter waits are within the time to read a prompt. The waits of this daemon's own
-// streams are more recent than the loads received from other daemons.
+// queueWaitThreshold is the wait for a first event above which the rest of the wait adds to
+// the cost of a head. Shorter waits are normal while a prompt is processed. The waits of
+// this daemon's own streams are more recent than the loads received from other daemons.
 const queueWaitThreshold = 100 * time.Millisecond
 
-// costJitter is the fraction by which path costs vary at random: daemons with the same
-// cached loads must not all select the same path.
+// costJitter is the maximum random increase of a hop's cost, as a fraction. Daemons with
+// the same known loads must not all select the same path.
 const costJitter = 0.25
 
 func (f *Forwarder) query(req *Request, engine *site.Engine) *pipeline.Query {
--- a/forward/heads.go
+++ b/forward/heads.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// triedHeads is the set of first hops that a request was sent to, by ID. It is safe for
+// triedHeads is the set of first hops to which a request was sent, by ID. It is safe for
 // concurrent use, since a stream's timer may read it while the next send begins.
 type triedHeads struct {
 	mu  sync.Mutex
 	ids map[string]headState
 }
 
-// headState says whether a head counts against the maximum number of attempts.
+// headState determines whether a head counts against the maximum number of attempts.
 type headState uint8
 
 const (
 	headActive     headState = iota
-	headEnded                // has terminated since
+	headTerminated           // has terminated since
 	headNotReached           // no send has reached the head
 )
 
-// add records a send that may reach a head.
+// add records a send to a head.
 func (h *triedHeads) add(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -28,7 +28,7 @@
 	h.ids[id] = headActive
 }
 
-// drop records that the only send to a head has not reached it.
+// drop records that the only send to a head did not reach it.
 func (h *triedHeads) drop(id string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,13 +52,13 @@
 
 // countActive returns the number of heads that count as attempts. A head for which
 // hasEnded once returned true never counts again.
-func (h *triedHeads) countActive(hasEnded func(id string) bool) int {
+func (h *triedHeads) countActive(hasTerminated func(id string) bool) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	n := 0
 	for id, state := range h.ids {
-		if state == headActive && hasEnded(id) {
-			h.ids[id] = headEnded
+		if state == headActive && hasTerminated(id) {
+			h.ids[id] = headTerminated
 		}
 		if h.ids[id] == headActive {
 			n++
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -18,13 +18,13 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// lab simulates a site of backend servers in virtual time, with one forwarder that stands
-// for all daemons, or several. Each server reads prompts one after the other; a token
-// takes the predicted step of each hop under its load.
+// lab simulates a site of backend servers and one or several daemons in virtual time. Each
+// server processes prompts one after the other. A token takes the predicted step time of
+// each hop under its load. It implements Backends and Observer.
 type lab struct {
 	engine  *site.Engine
 	view    *inventory.View
-	forward []*Forwarder // of the daemons; requests arrive at any of them
+	forward []*Forwarder // of the daemons, which receive requests in turn
 	rng     *rand.Rand
 
 	slow float64 // factor of the time of each token
@@ -35,37 +35,37 @@
 
 	gaps        []time.Duration // pauses between two events at the caller
 	recovered   []time.Duration // durations of interruptions
-	inTime      int
-	whole       int
+	inTime      int             // completed streams without a late event
+	completed   int
 	refused     int
-	cut         int
+	cut         int // streams that ended early
 	tokens      int
 	inFlight    int
 	maxInFlight int
 	probes      int                    // connections made by probes
-	hopFaults   int                    // sends that a head refused because of another hop
+	hopFaults   int                    // sends refused because of a dead hop
 	arrivals    map[string][]time.Time // of crashing requests, by body
 	ended       int                    // servers that ended and were restarted
-	quarantined int                    // requests and attempts
+	quarantined int                    // quarantined attempts
 }
 
 type labServer struct {
 	id       string
-	readFree time.Time // time at which its last prompt has been read
+	readFree time.Time // when it has processed its last prompt
 	streams  int
 	killed   bool // connections are refused
 	silent   bool // connections time out
 }
 
-func (c *labServer) dead() bool { return c.killed || c.silent }
+func (s *labServer) dead() bool { return s.killed || s.silent }
 
-// labStream is one send at its head. It implements io.ReadCloser.
+// labStream is the answer to one send of a streamed request. It implements io.ReadCloser.
 type labStream struct {
 	lab     *lab
 	ctx     context.Context
 	request *Request
-	next    int // next event
-	ready   time.Time
+	next    int       // number of events sent to the caller, including those of previous sends
+	ready   time.Time // when all hops have processed the prompt
 
 	mu   sync.Mutex
 	path site.Path
@@ -96,26 +96,26 @@
 	}
 }
 
-// newLab returns a lab with layers placed in three failure domains.
+// newLab returns a lab with layers placed in three failure domains and one daemon.
 func newLab(seed uint64) *lab {
 	l := &lab{
 		engine: labEngine(), slow: 1, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*labServer{}, streams: map[string]*labStream{},
 	}
-	var cards []pipeline.ServerState
+	var states []pipeline.ServerState
 	for domain, kinds := range map[string]map[string]int{
 		"a": {"middle": 2, "small": 4, "least": 7}, "b": {"large": 1, "middle": 1, "small": 5, "least": 7}, "c": {"middle": 1, "small": 8, "least": 3},
 	} {
 		for kind, n := range kinds {
 			for i := range n {
 				id := fmt.Sprintf("%s-%s-%d", domain, kind, i)
-				cards = append(cards, pipeline.ServerState{Server: &site.BackendServer{
+				states = append(states, pipeline.ServerState{Server: &site.BackendServer{
 					ID: id, Service: labService, Address: id, FailureDomain: domain, Slots: l.engine.Slots, Kind: kind,
 				}})
 			}
 		}
 	}
 	servers := map[string]*site.BackendServer{}
-	for _, o := range pipeline.Place(l.engine, cards, false).Orders {
+	for _, o := range pipeline.Place(l.engine, states, false).Orders {
 		s := *o.Server
 		s.Held = o.Layers
 		servers[s.ID] = &s
@@ -127,6 +127,7 @@
 	return l
 }
 
+// forwarder returns the forwarder of a new daemon.
 func (l *lab) forwarder(domain string, fleet Fleet) *Forwarder {
 	return New(Options{FailureDomain: domain, RetryRatio: 0.2, RetrySlack: 200, RetryWindow: 10 * time.Second},
 		Dependencies{Inventory: labInventory{l}, Fleet: fleet, Backends: l, Log: NewLog(io.Discard), Observer: l})
@@ -163,24 +164,24 @@
 	return l
 }
 
-// capacity returns the number of typical requests that the layout holds at once.
+// capacity returns the number of typical requests that the layout can hold at once.
 func (l *lab) capacity() int {
-	var cards []pipeline.ServerState
+	var states []pipeline.ServerState
 	for _, s := range l.view.Servers {
-		cards = append(cards, pipeline.ServerState{Server: s, Assigned: s.Held})
+		states = append(states, pipeline.ServerState{Server: s, Assigned: s.Held})
 	}
-	return pipeline.BoundOf(l.engine, cards).Requests
+	return pipeline.BoundOf(l.engine, states).Requests
 }
 
-// kill ends the server that runs a layer for the most streams. It times out if silent,
-// and refuses connections otherwise.
+// kill ends the server that runs a layer for the most streams. If silent, connections to
+// the server time out, else they are refused.
 func (l *lab) kill(layer int, silent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var busiest *labServer
-	for id, c := range l.servers {
-		if l.view.Servers[id].Held.Has(layer) && (busiest == nil || c.streams > busiest.streams) {
-			busiest = c
+	for id, server := range l.servers {
+		if l.view.Servers[id].Held.Has(layer) && (busiest == nil || server.streams > busiest.streams) {
+			busiest = server
 		}
 	}
 	busiest.killed, busiest.silent = !silent, silent
@@ -197,6 +198,7 @@
 	wg.Wait()
 }
 
+// call sends a stream and records its result.
 func (l *lab) call(n int) {
 	now := time.Now()
 	req := &Request{
@@ -211,7 +213,7 @@
 	l.inFlight--
 	switch {
 	case err == nil:
-		l.whole++
+		l.completed++
 		if got.first <= req.Route.Objective && got.longest <= labMaxPause {
 			l.inTime++
 		}
@@ -222,6 +224,7 @@
 	}
 }
 
+// count adds n to the number of streams in flight.
 func (l *lab) count(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -326,6 +329,7 @@
 	return a, nil
 }
 
+// deadHop returns the address of a dead hop of a path, "" for none.
 func (l *lab) deadHop(p site.Path) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -337,7 +341,7 @@
 	return ""
 }
 
-// pass routes a stream over a path; new hops read all its tokens.
+// pass routes a stream over a path. New hops process all its tokens so far.
 func (l *lab) pass(s *labStream, p site.Path) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -348,14 +352,14 @@
 	}
 	at := time.Now()
 	for _, h := range p {
-		c := l.servers[h.Server.ID]
-		c.streams++
+		server := l.servers[h.Server.ID]
+		server.streams++
 		if had[h.Server.ID] == h.Layers {
 			continue
 		}
-		read := pipeline.HopReadMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(labPrompt+s.next*labTokens))
-		at = later(at, c.readFree).Add(milliseconds(read))
-		c.readFree = at
+		prefill := pipeline.HopReadMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(labPrompt+s.next*labTokens))
+		at = later(at, server.readFree).Add(milliseconds(prefill))
+		server.readFree = at
 	}
 	s.mu.Lock()
 	s.path, s.ready = p, at
@@ -387,7 +391,7 @@
 }
 
 // Read returns one event when it is due. A stream with a dead hop stalls until it is
-// moved, and is cut after labCutTimeout.
+// moved. It fails if its head was killed, or after labCutTimeout.
 func (s *labStream) Read(buf []byte) (int, error) {
 	if s.next >= labEvents {
 		return 0, io.EOF
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -7,33 +7,35 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// ApplyLimit updates a backend server's limit from one of its answers. Any answer may name
-// a limit; only the answer to a request that ran may end one, since refusals, reports and
-// answers to orders may omit it.
-func (f *Forwarder) ApplyLimit(w LimitReport) {
-	if !w.Named && !(w.Call == CallRequest && w.Ran) {
+// ApplyLimit updates a backend server's limit from one of its answers. Any answer may state
+// a limit. Only the answer to a request that ran ends a limit by not stating one, since
+// refusals, reports and answers to orders may omit it.
+func (f *Forwarder) ApplyLimit(report LimitReport) {
+	if !report.Named && !(report.Call == CallRequest && report.Ran) {
 		return
 	}
-	update := quota.LimitReport{Server: w.Server, Named: w.Named, Rate: w.Rate, SentAt: w.SentAt, At: boottime.Now()}
-	f.applyLimit(update, "by", w.Call, "request", w.RequestID)
+	update := quota.LimitReport{Server: report.Server, Named: report.Named, Rate: report.Rate, SentAt: report.SentAt, At: boottime.Now()}
+	f.applyLimit(update, "by", report.Call, "request", report.RequestID)
 }
 
-// ApplyLimitFrom updates a backend server's limit from another daemon.
-func (f *Forwarder) ApplyLimitFrom(w quota.LimitReport, daemon string) {
-	if f.applyLimit(w, "told_by", daemon) == quota.Unchanged && !w.Named {
-		f.limits.Retell(w.Server)
+// ApplyLimitFrom updates a backend server's limit by a report of another daemon.
+func (f *Forwarder) ApplyLimitFrom(report quota.LimitReport, daemon string) {
+	if f.applyLimit(report, "told_by", daemon) == quota.Unchanged && !report.Named {
+		f.limits.Retell(report.Server)
 	}
 }
 
-func (f *Forwarder) applyLimit(w quota.LimitReport, source ...any) quota.Change {
-	change, before, limit := f.limits.Apply(w)
+// applyLimit applies a report and logs a change. source holds log keys and values that
+// describe where the report is from.
+func (f *Forwarder) applyLimit(report quota.LimitReport, source ...any) quota.Change {
+	change, before, limit := f.limits.Apply(report)
 	if change == quota.Unchanged {
 		return change
 	}
 	now := boottime.Now()
 	f.observer.Limits(f.limits.Size())
-	f.log.Add("limit", append([]any{"server", w.Server, "change", change, "rate", limit.Rate, "rate_before", before.Rate,
-		"known_for", limitAge(before, now), "sent_recently", f.sends.Recent(w.Server, now), "daemons", f.fleet.Daemons()}, source...)...)
+	f.log.Add("limit", append([]any{"server", report.Server, "change", change, "rate", limit.Rate, "rate_before", before.Rate,
+		"known_for", limitAge(before, now), "sent_recently", f.sends.Recent(report.Server, now), "daemons", f.fleet.Daemons()}, source...)...)
 	return change
 }
 
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -19,32 +19,32 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Times and rates of tests in which heads name limits.
+// Times and rates of tests in which heads state limits.
 const (
 	limitPropagation  = 100 * time.Millisecond // until all daemons know a limit
-	permitLatency     = 3 * time.Millisecond   // latency of a permit
+	permitLatency     = 3 * time.Millisecond   // until a daemon has a permit
 	sharePollInterval = 500 * time.Millisecond
 	lendDuration      = 1500 * time.Millisecond
-	limitStart        = 4 * time.Second // from the start of the run until limits are named
+	limitStart        = 4 * time.Second // from the start of the run until heads state limits
 	limitRunLength    = 14 * time.Second
-	limitGrace        = 3 * time.Second // from the naming of a limit until it must be kept
+	limitGrace        = 3 * time.Second // until a stated limit must be kept
 	limitRate         = 36.0            // streams that callers send per second
 )
 
-// limitedLab is a lab in which heads name limits that the daemons keep together.
+// limitedLab is a lab in which heads state limits that all daemons together must keep.
 type limitedLab struct {
 	*lab
 	pools  []*quota.Pool
 	limits []*quota.Limits
 
 	mu            sync.Mutex
-	named         map[string]float64     // by head
-	sends         map[string][]time.Time // by head
-	refusals      []time.Duration        // from a request to its refusal for limits
-	withRetryTime int                    // refused callers that got a retry time
+	named         map[string]float64     // by head, the limits in calls per second
+	sends         map[string][]time.Time // by head, the times of calls
+	refusals      []time.Duration        // times from a request to its refusal
+	withRetryTime int                    // number of refusals with a retry time
 }
 
-// limitedBackends makes calls on behalf of one daemon. It implements Backends.
+// limitedBackends makes the calls of one daemon and records them. It implements Backends.
 type limitedBackends struct {
 	*limitedLab
 	daemon int
@@ -112,7 +112,7 @@
 
 func (discard) Write(p []byte) (int, error) { return len(p), nil }
 
-// share makes all daemons contribute to the pool of the first one until ctx ends.
+// share makes all daemons contribute to the pool of the first daemon until ctx ends.
 func (l *limitedLab) share(ctx context.Context) {
 	for wait.For(ctx, sharePollInterval) {
 		now := boottime.Now()
@@ -128,24 +128,25 @@
 	}
 }
 
+// propagate merges the limits that daemons know until ctx ends.
 func (l *limitedLab) propagate(ctx context.Context) {
 	versions := make([]uint64, len(l.limits))
 	for wait.For(ctx, limitPropagation) {
 		var updates []quota.LimitReport
 		for n, limits := range l.limits {
-			words, version := limits.Since(versions[n])
+			reports, version := limits.Since(versions[n])
 			versions[n] = version
-			updates = append(updates, words...)
+			updates = append(updates, reports...)
 		}
 		for _, limits := range l.limits {
-			for _, w := range updates {
-				limits.Apply(w)
+			for _, report := range updates {
+				limits.Apply(report)
 			}
 		}
 	}
 }
 
-// limit makes the busiest heads name a limit, a fraction of their current rate.
+// limit makes the busiest heads state a limit, a fraction of their rate so far.
 func (l *limitedLab) limit(heads int, part float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,7 +173,7 @@
 	defer l.mu.Unlock()
 	switch {
 	case err == nil:
-		l.whole++
+		l.completed++
 	case got.events > 0:
 		l.cut++
 	default:
@@ -194,7 +195,7 @@
 	calls.Wait()
 }
 
-// excess returns the maximum number of calls to a head beyond those allowed, over the
+// excess returns the maximum number of calls to a head in excess of its limit, over all
 // windows that end at from or later.
 func (l *limitedLab) excess(head string, from time.Time) float64 {
 	worst, at := -1e9, l.sends[head]
@@ -208,9 +209,9 @@
 	return worst
 }
 
-// Two or all of three heads name a limit of a third of their rate. They receive up to
-// that rate and no more, regardless of the number of daemons. Requests that cannot be
-// served elsewhere are refused at once with a retry time.
+// Two or all of three heads state a limit of a third of their rate. They receive nearly as
+// many calls as allowed and no more, regardless of the number of daemons. Requests that
+// cannot be served elsewhere are refused at once with a retry time.
 func TestLimitsOfHeadsAreKeptAndUsed(t *testing.T) {
 	for _, c := range []struct {
 		daemons, heads int
@@ -246,7 +247,7 @@
 					assert.GreaterOrEqual(t, float64(used+1), c.least*allowed, "one call may fall outside the interval")
 				}
 				slices.Sort(l.refusals)
-				t.Logf("whole %d, refused %d, cut %d", l.whole, l.refused, l.cut)
+				t.Logf("completed %d, refused %d, cut %d", l.completed, l.refused, l.cut)
 				assert.Zero(t, l.cut)
 				require.Equal(t, c.heads == 3, len(l.refusals) > 0)
 				if len(l.refusals) > 0 {
@@ -258,8 +259,7 @@
 	}
 }
 
-// After a backend server stops naming a limit, all daemons drop the limit within a
-// second.
+// After a backend server stops stating a limit, all daemons drop the limit within a second.
 func TestLoadReturnsWithinASecondOfTheEndOfALimit(t *testing.T) {
 	for _, daemons := range []int{8, 300} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
@@ -289,8 +289,7 @@
 	}
 }
 
-// Reports on stalled streams leave the capacity of a limit to requests; orders precede
-// both.
+// Reports leave the capacity of a limit to requests; orders precede both.
 func TestReportsLeaveTheLimitToRequests(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		const rate, length = 4.0, 20 * time.Second
--- a/forward/linelimit.go
+++ b/forward/linelimit.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Bounds of the lines of one kind. A storm of configuration changes can otherwise log
-// each backend server many times a second.
+// Limits on lines of one kind. Frequent configuration changes would otherwise log each
+// backend server many times a second.
 const (
 	linesPerSecond = 100
 	linesBurst     = 400 // enough for one list of all backend servers
@@ -42,7 +42,7 @@
 	return kind
 }
 
-// allows reports whether a line of a kind may be written, and counts it.
+// allows reports whether a line of a kind may be written, and counts the line.
 func (l *lineLimit) allows(kind string, now time.Time) bool {
 	if l.kinds == nil {
 		l.kinds = map[string]*lineBucket{}
--- a/forward/live.go
+++ b/forward/live.go
@@ -31,7 +31,7 @@
 	delete(l.streams, s)
 }
 
-// checkNow triggers the check of all streams that pass a backend server.
+// checkNow triggers the check of each stream that passes through a backend server.
 func (l *liveStreams) checkNow(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,8 +42,8 @@
 	}
 }
 
-// firstEventWaits returns for each head the longest time that a stream has waited for its
-// first event there.
+// firstEventWaits returns, by head, the longest time for which a stream has been waiting
+// for its first event there.
 func (l *liveStreams) firstEventWaits(now time.Time) map[string]time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,9 +59,8 @@
 	return out
 }
 
-// stuckSince returns the latest start of a stream that has waited for its first event for
-// stuckThreshold or longer and whose path uses one of these links, the zero time if there
-// is none.
+// stuckSince returns the latest start of a stream that uses one of these links and has been
+// waiting for its first event for stuckThreshold or longer, the zero time if there is none.
 func (l *liveStreams) stuckSince(links []domainPair, now time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,8 +79,8 @@
 	return last
 }
 
-// activeSince returns the backend servers on whose paths an event was received after a
-// time.
+// activeSince returns the backend servers on the paths of streams that have received an
+// event after a time.
 func (l *liveStreams) activeSince(at time.Time) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,8 +97,8 @@
 	return active
 }
 
-// resultCache caches the last result for each backend server and makes one request at a
-// time. Concurrent callers share its result. It is safe for concurrent use.
+// resultCache caches the last result for each backend server and fetches at most one result
+// at a time. Concurrent callers share the result. It is safe for concurrent use.
 type resultCache[T any] struct {
 	maxAge time.Duration
 	mu     sync.Mutex
@@ -107,7 +106,7 @@
 }
 
 type cachedResult[T any] struct {
-	sem   chan struct{} // holds a token during a request; unlike a mutex it is durably blocking, which virtual time needs
+	sem   chan struct{} // mutex; virtual time does not advance while a goroutine waits for a sync.Mutex
 	at    time.Time
 	value T
 	err   error
@@ -147,13 +146,12 @@
 const (
 	probeAge = 150 * time.Millisecond
 	// reportAge is short because reports themselves lag by a few hundred milliseconds.
-	// They are cached because each has a cost.
 	reportAge = 80 * time.Millisecond
 )
 
-// probePath connects to the hops of a silent stream, except those on whose paths an event
-// was received recently, and marks dead ones as failed. It reports whether it connected
-// to all hops: a skipped one may have died since.
+// probePath probes the hops of a silent stream, except hops on the paths of streams that
+// have received an event recently. all is false if it skipped a hop, which may have died
+// since that event.
 func (f *Forwarder) probePath(ctx context.Context, path site.Path) (all bool) {
 	active := f.live.activeSince(time.Now().Add(-recentEventWindow))
 	all = true
--- a/forward/loads.go
+++ b/forward/loads.go
@@ -10,16 +10,16 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Loads holds the known load of backend servers. It is safe for concurrent use.
+// Loads holds the known loads of backend servers. It is safe for concurrent use.
 type Loads struct {
 	mu       sync.Mutex
 	servers  map[string]*serverLoad
 	inFlight int
 
-	others        map[string]relay.LoadItem // sum over the other daemons
-	othersAt      time.Time
-	othersDaemons int
-	othersAge     time.Duration // age of the loads when they were received
+	others        map[string]relay.LoadItem // by backend server ID, sum over the other daemons
+	othersAt      time.Time                 // when the loads were received
+	othersDaemons int                       // number of daemons in the sum
+	othersAge     time.Duration             // age of the loads when they were received
 	conditions    *conditions
 	onAge         func(age time.Duration)
 	onRefused     func(n int)
@@ -27,20 +27,20 @@
 }
 
 type serverLoad struct {
-	running int     // own requests that pass the server
-	heads   int     // own requests of which the server is the first hop
+	running int     // own requests that pass through the server
+	heads   int     // own requests whose first hop is the server
 	kv      float64 // tokens x layers of own requests
 }
 
-// othersTTL is the time for which received loads of other daemons are used. Without them,
-// the other daemons are assumed to be as busy as this one.
+// othersTTL is the time for which received loads of other daemons are used. Afterwards the
+// other daemons are assumed to be as busy as this one.
 const othersTTL = 10 * time.Second
 
-// maxAssumedDaemons bounds the number of daemons assumed to be as busy as this one: after
-// a restart all callers come at once, and an estimate must not cause refusals.
+// maxAssumedDaemons bounds the number of daemons that are assumed to be as busy as this
+// one. After a restart all callers return at once, and an estimate must not cause refusals.
 const maxAssumedDaemons = 3
 
-// NewLoads returns an empty table.
+// NewLoads returns Loads without requests.
 func NewLoads() *Loads {
 	return &Loads{
 		servers: map[string]*serverLoad{}, conditions: newConditions(),
@@ -48,6 +48,7 @@
 	}
 }
 
+// begin and end count the requests in progress.
 func (l *Loads) begin() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +112,7 @@
 }
 
 // othersLoadAge returns the approximate age of the other daemons' loads, 0 if they are
-// expired.
+// unknown or have expired.
 func (l *Loads) othersLoadAge(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +122,7 @@
 	return now.Sub(l.othersAt) + l.othersAge
 }
 
-// OwnLoads implements relay.LoadBook.
+// OwnLoads implements relay.LoadExchange: it returns the loads that this daemon causes.
 func (l *Loads) OwnLoads() []relay.LoadItem {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +135,7 @@
 	return out
 }
 
-// SetOthers implements relay.LoadBook.
+// SetOthers implements relay.LoadExchange: it sets the loads that other daemons cause.
 func (l *Loads) SetOthers(others relay.Loads) {
 	byServer := make(map[string]relay.LoadItem, len(others.Items))
 	for _, i := range others.Items {
@@ -153,7 +154,7 @@
 	l.SetConditions(map[string]relay.Condition{})
 }
 
-// RefuseLoads implements relay.LoadBook.
+// RefuseLoads implements relay.LoadExchange: it counts dropped loads.
 func (l *Loads) RefuseLoads(n int) { l.onRefused(n) }
 
 func (l *Loads) setOthers(byServer map[string]relay.LoadItem, others relay.Loads) {
@@ -165,10 +166,11 @@
 	l.others, l.othersAt, l.othersDaemons, l.othersAge = byServer, time.Now(), others.Daemons, others.Age
 }
 
-// othersSmoothing is the weight of newly received loads against the previous ones. It
-// damps oscillation, since all daemons react to the same old loads at once.
+// othersSmoothing is the weight of newly received loads in the mean with the previous ones.
+// The smoothing damps oscillation, since all daemons react to the same old loads at once.
 const othersSmoothing = 0.4
 
+// smooth replaces the loads in now by their weighted mean with those in before.
 func smooth(now, before map[string]relay.LoadItem) {
 	mix := func(a, b float64) float64 { return othersSmoothing*a + (1-othersSmoothing)*b }
 	for id, b := range before {
@@ -219,8 +221,8 @@
 	}
 }
 
-// staleLoadAge is the age above which received loads are logged. Requests last two to
-// five seconds, so older loads describe none that still run.
+// staleLoadAge is the age above which received loads are logged. Requests take two to five
+// seconds, so the requests of older loads have ended.
 const staleLoadAge = 8 * time.Second
 
 func (f *Forwarder) noteLoadsAge(age time.Duration) {
@@ -230,8 +232,8 @@
 	}
 }
 
-// noteRefusedLoads counts and logs loads that were dropped as impossible; another daemon,
-// or the connection to it, is at fault.
+// noteRefusedLoads counts and logs loads that were dropped as impossible. They indicate a
+// fault of another daemon or of the connection to it.
 func (f *Forwarder) noteRefusedLoads(n int) {
 	f.observer.LoadsRefused(n)
 	f.log.Add("refused_loads", "loads", n)
--- a/forward/log.go
+++ b/forward/log.go
@@ -16,8 +16,8 @@
 	maxWriteBytes    = 4096                   // writes to a pipe of up to PIPE_BUF bytes are atomic
 )
 
-// Log writes one key=value line for each decision. It never blocks: lines are buffered
-// and written a few times a second, and dropped and counted if the output is too slow.
+// Log writes one key=value line for each decision. It never blocks: lines are buffered and
+// written a few times a second. If the output is too slow, lines are dropped and counted.
 type Log struct {
 	out io.Writer
 
@@ -25,7 +25,7 @@
 	buf             []byte
 	dropped         int
 	limit           lineLimit
-	leftOutLoggedAt time.Time // when omitted lines were last logged
+	leftOutLoggedAt time.Time // when the numbers of omitted lines were last logged
 	logger          log.Logger
 }
 
@@ -123,7 +123,7 @@
 	return buf
 }
 
-// Run flushes until done is closed.
+// Run writes buffered lines periodically until done is closed.
 func (l *Log) Run(done <-chan struct{}) {
 	t := time.NewTicker(flushInterval)
 	defer t.Stop()
--- a/forward/log_test.go
+++ b/forward/log_test.go
@@ -14,7 +14,7 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// pipeWriter accepts complete lines of at most maxWriteBytes per write.
+// pipeWriter checks that each write has complete lines and at most maxWriteBytes.
 type pipeWriter struct {
 	t      *testing.T
 	got    strings.Builder
@@ -32,8 +32,8 @@
 	return p.got.Write(b)
 }
 
-// The log is written in pieces of complete lines that a pipe accepts atomically, and no
-// line is lost.
+// The log is written in pieces of complete lines that a pipe accepts atomically. No line is
+// lost.
 func TestLogWritesCompleteLines(t *testing.T) {
 	p := &pipeWriter{t: t}
 	l := NewLog(p)
@@ -60,8 +60,7 @@
 	require.Contains(t, p.got.String(), fmt.Sprintf("msg=\"log lines dropped\" count=%d", 100-written))
 }
 
-// Lines of one kind are limited and the omitted ones counted; lines of other kinds are
-// written.
+// Excess lines of one kind are omitted and counted. Lines of other kinds are written.
 func TestLogLimitsLinesOfAKind(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
--- a/forward/metered.go
+++ b/forward/metered.go
@@ -15,16 +15,16 @@
 var ErrNoPermit = fmt.Errorf("forward: the backend server's limit is reached: %w", execution.ErrNotSent)
 
 // Priorities of calls other than requests. Orders are few and precede all requests,
-// because requests in progress depend on them. Reports come last: those on stalled
-// streams are many and would use up the limit.
+// because requests in progress depend on them. Reports come last, because the many reports
+// on stalled streams would use up the limit.
 const (
 	orderPriority  = -1
 	reportPriority = 1 << 10
 )
 
-// metered counts all calls of this daemon to backend servers, and makes reports and
-// orders to a server with a limit only with a permit. Requests have taken theirs before
-// they are sent. A connection alone is not a call. It implements Backends.
+// metered counts all calls of this daemon to backend servers. It takes permits for reports
+// and orders to a server with a limit; the permit for a request is taken before Send. A
+// connection alone is not a call. It implements Backends.
 type metered struct {
 	Backends
 	f *Forwarder
@@ -60,6 +60,8 @@
 	return f.permitCall(ctx, server, orderPriority)
 }
 
+// permitCall takes a permit for one call if the backend server has a limit, and counts the
+// call.
 func (f *Forwarder) permitCall(ctx context.Context, server string, priority int) error {
 	if _, limited := f.limits.Of(server); !limited {
 		f.sends.Add(server, boottime.Now())
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -27,23 +27,23 @@
 
 const (
 	unreachable behaviour = iota
-	refusing              // reports that it did not run
-	lost                  // runs, without an answer
-	failing               // runs and answers 500
-	ambiguous             // runs and answers 503 without reporting that it did not run
-	unsigned              // runs and answers without a signature
+	refusing              // reports that the request did not run
+	lost                  // runs the request, without an answer
+	failing               // runs the request and answers 500
+	ambiguous             // runs the request and answers 503 without reporting that it did not run
+	unsigned              // runs the request and answers without a signature
 	serving
 	behaviourCount
 )
 
 func (b behaviour) runs() bool { return b != unreachable && b != refusing }
 
-// scriptedBackends reacts to each send with the next behaviour of a script, then serves.
-// It implements Backends.
+// scriptedBackends reacts to each send with the next behaviour of a script. After the end
+// of the script it serves all requests. It implements Backends.
 type scriptedBackends struct {
 	script   []behaviour
-	arrivals int
-	ran      int
+	arrivals int // number of sends that reached a backend server
+	ran      int // number of sends that ran
 }
 
 func (s *scriptedBackends) Send(context.Context, *Outgoing) (*Answer, error) {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// scriptedPermits grants or denies permits by a script, then grants all. It implements
-// Permits.
+// scriptedPermits grants or denies permits by a script. After the end of the script it
+// grants all. It implements Permits.
 type scriptedPermits struct{ script []bool }
 
 // Permit implements Permits.
@@ -96,7 +96,7 @@
 	return quota.Decision{Granted: granted, Server: r.Servers[0], After: time.Minute, Back: time.Minute}
 }
 
-// fixed is an inventory and a fleet that do not change.
+// fixed is an inventory and a fleet of one daemon that do not change.
 type fixed struct{ view *inventory.View }
 
 func (f fixed) View() *inventory.View       { return f.view }
@@ -105,6 +105,7 @@
 func (f fixed) Daemons() int                { return 1 }
 func (f fixed) Shares() map[string]float64  { return map[string]float64{"": 1} }
 
+// noObserver ignores all events. It implements Observer.
 type noObserver struct{}
 
 func (noObserver) Finished(string, time.Duration)  {}
@@ -130,6 +131,7 @@
 	return nil
 }
 
+// plainForwarder returns a forwarder for a plain service with the given number of servers.
 func plainForwarder(servers int, backends Backends) *Forwarder {
 	services := []*site.Service{{Name: "cards"}}
 	known := map[string]*site.BackendServer{}
@@ -143,8 +145,8 @@
 }
 
 // For any behaviour of backend servers and any limits, a request that may not be repeated
-// runs at most once, "not run" is correct, and only the answer of one that ran is a
-// success.
+// runs at most once, a request that is reported as not run did not run, and a request that
+// is reported as successful ran.
 func TestReportedOutcomesAreCorrect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) behaviour {
@@ -182,8 +184,8 @@
 	})
 }
 
-// The logged cause of an interruption is correct, including when this daemon ended the
-// send.
+// The logged cause of an interruption is correct if the stream broke and if this daemon
+// ended the send.
 func TestCauseOfAnInterruption(t *testing.T) {
 	ctx := context.Background()
 	broken := fmt.Errorf("%w: %w", errBroken, io.ErrUnexpectedEOF)
@@ -196,8 +198,8 @@
 	require.Equal(t, errBroken.Error(), causeOf(withCause(gone, sctx, broken)), "the caller left")
 }
 
-// A begun stream waits for a retry while the budget has none; another request is refused
-// at once.
+// While the budget has no retry, a begun stream waits for one; other requests are refused at
+// once.
 func TestBegunStreamsWaitForARetry(t *testing.T) {
 	f := plainForwarder(1, &scriptedBackends{})
 	f.budget = admission.NewBudget(1, 0, time.Second)
--- a/forward/permit.go
+++ b/forward/permit.go
@@ -13,14 +13,14 @@
 	"github.com/snowspoke/snowspoke/quota"
 )
 
-// A request is sent to backend servers with limits only with a permit of the fleet
-// (package quota). Without one it goes elsewhere; if no other backend server can serve
-// it, it is refused at once, since later requests would overtake it while it waited.
+// A request is sent to a backend server with a limit only with a permit of the fleet, see
+// package quota. Without a permit it is sent elsewhere. If no other backend server can
+// serve it, it is refused at once, since later requests would overtake a waiting one.
 
 // Permits grants permits for calls to backend servers with limits.
 type Permits interface {
-	// Permit requests one call to each of some backend servers. A granted call counts as
-	// sent.
+	// Permit requests a permit for one call to each backend server of r. A granted call
+	// counts as sent.
 	Permit(ctx context.Context, r quota.PermitRequest) quota.Decision
 }
 
@@ -46,8 +46,8 @@
 	return c
 }
 
-// permit takes a permit for each hop of a path that has a limit. It returns false if one
-// is denied; that hop then counts as full for the request's class.
+// permit takes a permit for each hop of a target that has a limit. If a hop is denied, it
+// returns false, and the hop then counts as full for the request's class.
 func (r *run) permit(ctx context.Context, t *target) bool {
 	var limited []string
 	for _, h := range t.path {
@@ -71,9 +71,9 @@
 	return false
 }
 
-// withoutDenied removes the backend servers whose limits leave no capacity for the
-// request's class, and returns the earliest time at which one of them is available again,
-// the zero time if none was removed.
+// withoutDenied removes the backend servers that count as full for the request's class. It
+// returns the earliest time at which one of these is available again, the zero time if none
+// was removed.
 func (r *run) withoutDenied(cs []pipeline.Candidate) (allowed []pipeline.Candidate, availableAt time.Time) {
 	if r.f.limits.Size() == 0 {
 		return cs, time.Time{}
@@ -93,11 +93,12 @@
 	return allowed, availableAt
 }
 
-// errLimits marks a refusal of a request that could be served without limits.
+// errLimits marks a refusal because of limits.
 var errLimits = errors.New("forward: backend servers have named limits")
 
-// limitReached refuses a request because of limits. The retry time is when a call for it
-// is due, or earlier if another backend server becomes available before that.
+// limitReached returns the refusal of a request because of limits. Its retry time is when a
+// limit has capacity again, or earlier if a backend server that refused work becomes
+// available before that.
 func (r *run) limitReached(err error, availableAt, now time.Time) error {
 	wait := max(0, boottime.Until(availableAt)) + rand.N(retryAfterSpread)
 	if again := r.f.nextAvailable(r.req.Service, now); !again.IsZero() {
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -13,8 +13,8 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// pick returns a target for the next send. If there is none, it polls until the time
-// returned by holdUntil.
+// pick returns a target for the next send. If there is none, it polls for one until the
+// time that holdUntil returns.
 func (r *run) pick(ctx context.Context) (*target, error) {
 	began := time.Now()
 	var until time.Time
@@ -24,7 +24,7 @@
 			return t, nil
 		}
 		if err == nil {
-			continue // without the denied server
+			continue // find skips the denied server
 		}
 		now := time.Now()
 		if until.IsZero() {
@@ -42,7 +42,7 @@
 	}
 }
 
-// find looks for a target once.
+// find returns a target among the backend servers that may take the request now.
 func (r *run) find() (*target, error) {
 	now := time.Now()
 	view := r.f.inv.View()
@@ -58,7 +58,7 @@
 	return t, err
 }
 
-// findAmong looks for a target among some candidates.
+// findAmong returns a target among some candidates.
 func (r *run) findAmong(cs []pipeline.Candidate, view *inventory.View, now time.Time) (*target, error) {
 	if r.engine == nil {
 		return r.findPlain(cs)
@@ -84,7 +84,7 @@
 }
 
 // choose returns the next path of the split of the fleet's load, or the cheapest path if
-// no split is followed.
+// the requests of the service do not follow a split.
 func (r *run) choose(q *pipeline.Query, view *inventory.View, cs []pipeline.Candidate, now time.Time) (pipeline.Choice, error) {
 	if c, ok := r.f.nextBySplit(q, r.req.Service, view, cs, now); ok {
 		return c, nil
@@ -92,28 +92,27 @@
 	return pipeline.Choose(q, cs, newRand())
 }
 
-// checkLayers asserts that a path's layers are in order, given the error of the check.
+// checkLayers asserts that the check of a path's layers returned no error.
 func checkLayers(err error) error {
 	return invariant.Check(err == nil, invariant.LayersOnceInOrder, "%v", err)
 }
 
-// attemptsExhausted reports whether the request was sent to as many backend servers as
-// its route allows. Those that have certainly terminated since do not count.
+// attemptsExhausted reports whether the request was sent to as many first hops as its route
+// allows. First hops that have certainly terminated since do not count.
 func (r *run) attemptsExhausted() bool {
 	return r.tried.countActive(r.f.hasTerminated) >= r.req.Route.MaxAttempts
 }
 
-// hasTerminated reports whether the process of a backend server is certainly gone: its
-// record is gone, and either connections were refused or it looks dead. None of these
-// suffices alone: a server without a record may be draining, one that looks dead may be
-// alive, and a partitioned network may refuse connections on behalf of a server that
-// serves others.
+// hasTerminated reports whether a backend server has certainly terminated: its record is
+// gone, and it has refused a connection or looks dead. Neither suffices alone. A server
+// without a record may be draining, and a server that looks dead may be alive. In a
+// partitioned network, connections may be refused on behalf of a server that still serves
+// others.
 func (f *Forwarder) hasTerminated(id string) bool {
 	return f.inv.View().Servers[id] == nil && (f.health.Ended(id) || f.health.Dead(id, time.Now()))
 }
 
-// filterTried removes the candidates that could be a first hop, except those that were
-// one before.
+// filterTried removes the candidates that would be a new first hop of the request.
 func (r *run) filterTried(cs []pipeline.Candidate) []pipeline.Candidate {
 	var out []pipeline.Candidate
 	for _, c := range cs {
@@ -161,10 +160,11 @@
 	return &target{path: site.Path{{Server: best.Server}}, tokens: 0}, nil
 }
 
-// plainCrossDomainCost is the cost of a server in another failure domain, as a fraction
-// of its slots. It weighs paid traffic between failure domains against the caller's wait.
+// plainCrossDomainCost is the extra cost of a server in another failure domain, as a
+// fraction of its slots. It weighs billed traffic between failure domains against the
+// caller's wait.
 const plainCrossDomainCost = 0.35
 
-// plainRefusedCost is the cost of a recent refusal. It exceeds all other costs, so that
-// such a server is selected last.
+// plainRefusedCost is the extra cost of a server that refused work recently. It exceeds all
+// other costs, so that such a server is selected last.
 const plainRefusedCost = 10
--- a/forward/policy_test.go
+++ b/forward/policy_test.go
@@ -10,8 +10,7 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// labSeeds is the number of seeds of each benchmark, of which the worst result is
-// reported.
+// labSeeds is the number of seeds that each benchmark runs.
 const labSeeds = 3
 
 // labRate is the peak rate of streams per second of a typical site.
@@ -27,19 +26,19 @@
 
 func inMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// BenchmarkSaturation sends four times the usual rate. It reports the used fraction of
-// the layout's capacity, and the number of streams in time relative to that at the usual
-// rate.
+// BenchmarkSaturation runs four times the typical rate. It reports the used fraction of the
+// layout's capacity, and the number of streams in time as a fraction of the number at the
+// typical rate.
 func BenchmarkSaturation(b *testing.B) {
 	for b.Loop() {
 		bound, goodput := 1e9, 1e9
 		for seed := range uint64(labSeeds) {
 			virtual.Run(b, func() {
-				usual, over := newLab(seed), newLab(seed)
-				usual.run(labRate, 20*time.Second)
+				typical, over := newLab(seed), newLab(seed)
+				typical.run(labRate, 20*time.Second)
 				over.run(4*labRate, 20*time.Second)
 				bound = min(bound, float64(over.maxInFlight)/float64(over.capacity()))
-				goodput = min(goodput, float64(over.inTime)/float64(usual.inTime))
+				goodput = min(goodput, float64(over.inTime)/float64(typical.inTime))
 			})
 		}
 		b.ReportMetric(bound, "bound_ratio")
@@ -47,7 +46,7 @@
 	}
 }
 
-// BenchmarkGaps measures pauses at the usual rate without failures.
+// BenchmarkGaps measures the pauses between events at the typical rate without failures.
 func BenchmarkGaps(b *testing.B) {
 	for b.Loop() {
 		worst := time.Duration(0)
@@ -62,8 +61,8 @@
 	}
 }
 
-// Daemons that have just started do not know each other's loads. Their requests must not
-// all go to the cheapest path, whose head would run out of slots.
+// Daemons that have just started do not know each other's loads. They must not all use the
+// cheapest path, whose head would run out of slots.
 func TestStartingFleetServesRequests(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newFleetLab(1, 60)
@@ -71,7 +70,7 @@
 		l.run(0.6*capacity/3, 3*time.Second)
 		require.Zero(t, l.refused)
 		require.Zero(t, l.cut)
-		require.Greater(t, float64(l.inTime), 0.95*float64(l.whole))
+		require.Greater(t, float64(l.inTime), 0.95*float64(l.completed))
 	})
 }
 
@@ -87,7 +86,7 @@
 	{"middle_silent", 40, true},
 }
 
-// runWithLoss runs the usual rate and loses a server during the run.
+// runWithLoss runs the typical rate and kills a server during the run.
 func runWithLoss(seed uint64, layer int, silent bool) *lab {
 	l := newLab(seed)
 	time.AfterFunc(6*time.Second, func() { l.kill(layer, silent) })
@@ -119,7 +118,7 @@
 	}
 }
 
-// Streams that lose a hop are resumed before their callers give up, and none is cut.
+// Streams that lose a hop are resumed before their callers give up. No stream is cut.
 func TestStreamsSurviveServerLoss(t *testing.T) {
 	for _, c := range losses {
 		t.Run(c.name, func(t *testing.T) {
@@ -128,7 +127,7 @@
 				require.Zero(t, l.cut)
 				require.NotEmpty(t, l.recovered, "the busiest server was lost")
 				require.Less(t, percentile(l.recovered, 0.99), 2*time.Second)
-				require.Greater(t, l.whole, 9*labRate)
+				require.Greater(t, l.completed, 9*labRate)
 			})
 		})
 	}
--- a/forward/recover.go
+++ b/forward/recover.go
@@ -11,7 +11,7 @@
 )
 
 // check probes the hops of a silent stream, asks its head for a report and moves the
-// stream away from a hop at fault. It runs on the timer's goroutine.
+// stream away from a hop at fault. The stream's timer calls it.
 func (s *stream) check(ctx context.Context) {
 	s.mu.Lock()
 	if s.ended || s.checking {
@@ -48,7 +48,7 @@
 		return
 	}
 	if errors.Is(err, ErrNoPermit) {
-		s.timer.Reset(askRetryInterval) // its hops are still probed
+		s.timer.Reset(askRetryInterval) // the hops are probed without permits
 		return
 	}
 	if err != nil {
@@ -75,8 +75,8 @@
 	s.timer.Reset(askRetryInterval)
 }
 
-// silentFor returns the silence of the stream, less the time for which this process did
-// not run; s.mu must be held.
+// silentFor returns how long the stream has been silent, excluding time for which this
+// process did not run. s.mu must be held.
 func (s *stream) silentFor(now time.Time) time.Duration {
 	return now.Sub(s.silentSince) - s.r.f.stalls.StallTime(s.silentSince, now)
 }
@@ -91,11 +91,10 @@
 	}
 }
 
-// giveUp ends a stalled send so that the request is resumed elsewhere. If it cannot be
-// sent again, the send continues if the stream has begun, since silence alone does not
-// justify cutting off an answer, or if it only waits for its first event: ending all
-// waiting sends would waste what their heads have read, and the queue would not get
-// shorter.
+// giveUp ends a stalled send so that the request is resumed elsewhere. If the request
+// cannot be sent again, the send continues in two cases: if the stream has begun, since
+// silence alone does not justify cutting off an answer, and if the head responds. Ending
+// all waiting sends of a head would waste the prompts that it has processed.
 func (s *stream) giveUp(why error) {
 	waits := s.r.headSent.Load() || errors.Is(why, errSilent)
 	if waits && !s.reserveSend() {
@@ -105,14 +104,14 @@
 	s.cancel(why)
 }
 
-// reserveSend reports whether the stream may be sent once more, and takes a retry for
-// that send.
+// reserveSend reports whether the request may be sent once more, and takes a retry for that
+// send.
 func (s *stream) reserveSend() bool {
 	return s.r.req.Route.Repeatable() && s.attempt < maxSends && s.r.reserveRetry()
 }
 
-// avoidHop routes the stream around a failed hop, unless the failure is attributed to the
-// request, which would end other hops as well.
+// avoidHop routes the stream around a failed hop. It ends the send if the request is
+// quarantined because of the failure.
 func (s *stream) avoidHop(ctx context.Context, head, failed *site.BackendServer) {
 	if stage := s.stageAtLastEvent(); stage != stageRunning && s.r.attributeEnd(ctx, failed, stage) {
 		s.cancel(errQuarantined)
@@ -136,8 +135,8 @@
 	return nil
 }
 
-// move orders the head to continue over another path. Hops that both paths share keep the
-// state of the request.
+// move orders the head to continue the stream over another path. Hops that are on both
+// paths keep the state of the request.
 func (s *stream) move(ctx context.Context, failed *site.BackendServer) {
 	r := s.r
 	for range maxRepathAttempts {
@@ -177,9 +176,9 @@
 	}
 }
 
-// addsCrossing reports whether a repaired path has new hops in another failure domain
-// than its head. All tokens so far would cross the link between the two for every stream
-// of the lost hop; reading them again within one failure domain is faster.
+// addsCrossing reports whether a repaired path has new hops outside the failure domain of
+// its head. Each stream of the lost hop would send all its tokens so far over the
+// cross-domain link. Processing them again within one failure domain is faster.
 func addsCrossing(p, old site.Path) bool {
 	kept := map[string]site.Range{}
 	for _, h := range old {
@@ -193,14 +192,15 @@
 	return false
 }
 
-// reserveResume reports whether the stream may be resumed at another head, and takes a
-// retry for that send.
+// reserveResume reports whether the request may be sent to another head, and takes a retry
+// for that send.
 func (s *stream) reserveResume() bool {
 	return !s.r.attemptsExhausted() && s.reserveSend()
 }
 
 func samePath(a, b site.Path) bool { return a.String() == b.String() }
 
+// setPath records that the stream was moved to a path.
 func (s *stream) setPath(p site.Path) {
 	leave := s.r.f.loads.Enter(p, s.tokens)
 	s.mu.Lock()
@@ -238,8 +238,8 @@
 	return c.Path, checkLayers(c.Path.CheckOrder(r.engine.Layers))
 }
 
-// withoutNewLimits removes the backend servers with a limit that the stream does not pass
-// yet: moving it there would be another call to them.
+// withoutNewLimits removes the backend servers with a limit that are not on the stream's
+// path. Moving the stream to such a server would be a call that needs a permit.
 func (r *run) withoutNewLimits(cs []pipeline.Candidate, kept map[string]site.Range) []pipeline.Candidate {
 	if r.f.limits.Size() == 0 {
 		return cs
--- a/forward/refuse.go
+++ b/forward/refuse.go
@@ -9,27 +9,27 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// Handling of requests without a path, because heads are full or layers are not held by
-// any backend server. A request is held only until a known time at which that may change;
-// a refused caller is told that time.
+// A request has no path if heads are full or if no backend server holds some layers. It is
+// held only until a known time at which that may change. The refusal of a request states
+// when the caller should retry.
 
 // Times of refusals.
 const (
-	// maxRecoveryHold is the maximum hold of a stream that has begun. Callers give up
-	// after a gap of two seconds or slightly more.
+	// maxRecoveryHold is the maximum time for which a begun stream is held. Callers give
+	// up after a gap of two seconds or slightly more.
 	maxRecoveryHold = 3 * time.Second
-	// defaultRetryAfter is the retry time of a refusal while it is unknown when there
-	// will be a path; some request is likely to end within it.
+	// defaultRetryAfter is the retry time of a refusal if it is unknown when there will
+	// be a path. Some request is likely to end within this time.
 	defaultRetryAfter = 150 * time.Millisecond
-	// retryAfterSpread is the range of the random delay added to retry times, so that
-	// callers refused together do not return together. It is less than the time for which
-	// a refusal counts.
+	// retryAfterSpread is the range of the random delay that is added to retry times, so
+	// that callers refused together do not return together. It is shorter than the
+	// cooldown of a backend server after a refusal.
 	retryAfterSpread = 100 * time.Millisecond
 )
 
 // holdUntil returns the time until which a request without a path is held: a begun stream
-// up to maxRecoveryHold, another request until a backend server that refused work is
-// available again. The zero time means not at all.
+// for maxRecoveryHold, another request until a backend server that refused work is
+// available again. It returns the zero time if the request is not held.
 func (r *run) holdUntil(began, now time.Time) time.Time {
 	if r.headSent.Load() {
 		return began.Add(maxRecoveryHold)
@@ -46,8 +46,8 @@
 	return refusal.WithRetryAfter(r.f.retryAfter(r.req.Service, now))
 }
 
-// linksFull refuses a request whose prompt cannot cross the links of a path. If they are
-// stuck, the retry time is the latest at which they are free.
+// linksFull returns the refusal of a request that may not use the cross-domain links of a
+// path. If a link is stuck, the retry time is when all are expected to be free.
 func (r *run) linksFull(path site.Path, now time.Time) error {
 	err := apierror.New(apierror.Overloaded, "the pipes between failure domains are full")
 	if free := r.f.linksFreeIn(path, now); free > 0 {
@@ -65,8 +65,8 @@
 	return availableAt.Sub(now) + rand.N(retryAfterSpread)
 }
 
-// nextAvailable returns when the first backend server of a service that refused work is
-// available again, the zero time if there is none.
+// nextAvailable returns the earliest time at which a backend server of a service that
+// refused work is available again, the zero time if there is none.
 func (f *Forwarder) nextAvailable(service string, now time.Time) time.Time {
 	var first time.Time
 	for _, s := range f.inv.View().OfService(service) {
--- a/forward/refuse_test.go
+++ b/forward/refuse_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// If no server holds some layers, no change is expected within the time of a request, and
-// it is refused at once regardless of its objective.
+// If no server holds some layers, a change is not expected soon. The request is refused at
+// once regardless of its objective.
 func TestRequestThatCannotBeServedIsRefusedAtOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
@@ -56,19 +56,18 @@
 	})
 }
 
-// If all heads have refused, the request waits until the first one is available again.
+// If all heads have refused work, a request waits until the first head is available again.
 func TestRequestWaitsForCooldownOfHead(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
 		l.eachHead(func(id string) { l.forward[0].health.Refuse(id, time.Now()) })
 		l.run(2, time.Second)
 		require.Zero(t, l.refused)
-		require.NotZero(t, l.whole)
+		require.NotZero(t, l.completed)
 	})
 }
 
-// A refused caller gets as retry time when the first head that refused is available
-// again.
+// The retry time of a refusal is when the first head that refused work is available again.
 func TestRefusalHasRetryTime(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
@@ -82,7 +81,7 @@
 	})
 }
 
-// A dead head does not determine when there will be a path again.
+// A request does not wait for a dead head, whose return is not expected.
 func TestDeadHeadIsNotWaitedFor(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
@@ -92,7 +91,8 @@
 	})
 }
 
-// A daemon with few requests detects a dead hop by one refusal: later requests avoid it.
+// A daemon with few requests detects a dead hop by one refusal. Later requests avoid the
+// hop.
 func TestRefusedHopIsProbed(t *testing.T) {
 	for name, silent := range map[string]bool{"killed": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -12,13 +12,13 @@
 )
 
 // Shares of the fleet's retry budget. Daemons do not coordinate: each uses a fraction of
-// what its own requests earn and an even share of the slack.
+// the retries that its own requests earn, and an even share of the slack.
 const (
-	// budgetShare is the fraction of the budget that all daemons together use; the rest
-	// allows for daemons that join and leave within a window.
+	// budgetShare is the fraction of the budget that all daemons together use. The rest
+	// is for daemons that join or leave within a window.
 	budgetShare = 0.8
-	// freshShare is the fraction of a daemon's share available to requests without an
-	// event. The rest is reserved for streams that have begun.
+	// freshShare is the fraction of a daemon's share that is available to requests
+	// without an event. The rest is reserved for begun streams.
 	freshShare = 0.6
 )
 
@@ -26,10 +26,10 @@
 // number is unknown. It exceeds any expected number.
 const assumedDaemons = 100
 
-// retryPart returns this daemon's part of the fleet's budget for a request. begun says
-// that it is a stream of which the caller has events. running is the uptime of this
-// process and window that of the budget. Retries of a previous process within the window
-// are unknown, so the slack grows from zero with the cube of the uptime.
+// retryPart returns the part of the fleet's budget that a daemon may use for a request.
+// begun is set for a stream whose caller has received events. running is the uptime of the
+// process, and window the window of the budget. Retries of a previous process within the
+// window are unknown, so the slack grows from zero with the cube of the uptime.
 func retryPart(daemons int, begun bool, running, window time.Duration) admission.Part {
 	if daemons <= 0 {
 		daemons = assumedDaemons
@@ -46,7 +46,7 @@
 	return retryPart(r.f.fleet.Daemons(), r.headSent.Load(), now.Sub(r.f.started), r.f.opts.RetryWindow)
 }
 
-// spendRetry takes a retry from the budget and returns the time of that, the zero time if
+// spendRetry takes a retry from the budget and returns when it was taken, the zero time if
 // none is left.
 func (r *run) spendRetry() time.Time {
 	now := time.Now()
@@ -56,8 +56,9 @@
 	return now
 }
 
-// reserveRetry takes a retry before a send is ended that may still be making progress.
-// Many streams may stall together, and one that is ended without a retry left is cut off.
+// reserveRetry takes a retry before a send is ended that may still make progress. Many
+// streams may stall at once, and a stream whose send is ended while no retry is left is cut
+// off.
 func (r *run) reserveRetry() bool {
 	if r.reserved.Load() != nil {
 		return true
@@ -70,9 +71,9 @@
 	return true
 }
 
-// takeRetry uses the reserved retry, or takes one now. None is needed until a send has
-// reached a backend server: the budget bounds what reaches them beyond the first send of
-// each request.
+// takeRetry uses the reserved retry, or takes one now. No retry is needed until a send has
+// reached a backend server: the budget bounds the sends that reach backend servers beyond
+// the first one of each request.
 func (r *run) takeRetry() bool {
 	r.retryTakenAt = time.Time{}
 	if reserved := r.reserved.Swap(nil); reserved != nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// awaitRetry takes a retry. A stream that has begun polls for one, since the budget grows
-// with each request; other requests get false at once.
+// awaitRetry takes a retry and reports whether it got one. A begun stream polls for a
+// retry, since the budget grows with each request; for other requests it returns at once.
 func (r *run) awaitRetry(ctx context.Context) bool {
 	if r.takeRetry() {
 		return true
@@ -111,13 +112,13 @@
 	return false
 }
 
-// pauseBegun waits before the next send of a begun stream whose last send did not run:
-// longer after a refusal, since full backend servers need time. It returns false once the
-// stream has been interrupted for maxRecoveryHold.
+// pauseBegun waits before the next send of a begun stream whose last send did not run. The
+// pause is longer after a refusal, until backend servers have capacity again. pauseBegun
+// returns false once the stream has been interrupted for maxRecoveryHold.
 func (r *run) pauseBegun(ctx context.Context) bool {
 	r.refusals++
 	pause := pollInterval
-	if r.life.State() == execution.Refused {
+	if r.tracker.State() == execution.Refused {
 		pause = r.nextPause()
 	}
 	return time.Since(r.lastEventAt) < maxRecoveryHold && wait.For(ctx, pause)
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -35,7 +35,7 @@
 	require.Equal(t, 32, begun)
 }
 
-// Daemons that use only their parts stay within the fleet's budget.
+// Daemons that use their parts of the budget stay within the fleet's budget.
 func TestDaemonsShareTheBudget(t *testing.T) {
 	const daemons = 8
 	now := time.Unix(1000, 0)
@@ -53,8 +53,9 @@
 	require.Greater(t, spent, 200)
 }
 
-// Daemons that are restarted one after the other and spend all they may stay within the
-// budget in every window, also if the number of daemons is unknown after the start.
+// Daemons that are restarted one after the other and use all retries that they may stay
+// within the fleet's budget in every window, even if the number of daemons is unknown after
+// the start.
 func TestRestartedDaemonsShareTheBudget(t *testing.T) {
 	const daemons, slack = 8, 200
 	for name, known := range map[string]int{"known": daemons, "not known after the start": 0} {
@@ -112,8 +113,8 @@
 	require.Len(t, r.byID, 1)
 }
 
-// A retry is a send that reaches a backend server beyond the first such send of a
-// request. Failed connections need none.
+// Only sends that reach a backend server count as retries, beyond the first one of a
+// request. Failed connections need no retry.
 func TestUnreachedSendNeedsNoRetry(t *testing.T) {
 	for _, repeat := range []site.Repeat{site.Safe, site.Unsafe} {
 		b := &scriptedBackends{script: []behaviour{unreachable, unreachable, serving}}
@@ -127,8 +128,8 @@
 	}
 }
 
-// A retry of a send that reached no server returns to the budget and is available for the
-// next send.
+// A retry for a send that reached no server is returned to the budget and is available for
+// the next send.
 func TestRetryOfUnreachedSendIsReturned(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		b := &scriptedBackends{script: []behaviour{refusing, unreachable, unreachable, serving}}
@@ -140,8 +141,8 @@
 	})
 }
 
-// For any behaviour of backend servers, arrivals beyond the first of each request stay
-// within the budget.
+// For any behaviour of backend servers, sends that arrive beyond the first one of each
+// request stay within the budget.
 func TestArrivalsStayWithinTheBudget(t *testing.T) {
 	for seed := range uint64(300) {
 		virtual.Test(t, func(t *testing.T) {
@@ -175,15 +176,15 @@
 	require.NoError(t, f.Do(t.Context(), req, &recordingSink{}))
 }
 
-// Requests that meet a dead server go elsewhere without a retry: only those that were
-// running on it may be refused when daemons have just started and have hardly any
-// retries.
+// Requests that cannot connect to a dead server are sent elsewhere without a retry. Daemons
+// that have just started have few retries, so only requests that were running on the server
+// may be refused.
 func TestDeadHeadCostsNoRetries(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newFleetLab(1, 300)
 		time.AfterFunc(4*time.Second, func() { l.kill(0, false) })
 		l.run(30, 10*time.Second)
-		t.Logf("whole %d, refused %d, cut %d", l.whole, l.refused, l.cut)
+		t.Logf("completed %d, refused %d, cut %d", l.completed, l.refused, l.cut)
 		require.LessOrEqual(t, l.refused, 3, "of some 300")
 	})
 }
@@ -192,10 +193,10 @@
 // follows a refusal.
 func TestBegunStreamSkipsDeadHeadAtOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := &run{f: plainForwarder(2, &scriptedBackends{}), req: &Request{Route: &site.Route{Repeat: site.Stream}}, lastEventAt: time.Now(), life: execution.New(true)}
+		r := &run{f: plainForwarder(2, &scriptedBackends{}), req: &Request{Route: &site.Route{Repeat: site.Stream}}, lastEventAt: time.Now(), tracker: execution.New(true)}
 		r.headSent.Store(true)
-		require.NoError(t, r.life.Move(execution.Sent))
-		require.NoError(t, r.life.Move(execution.NotSent))
+		require.NoError(t, r.tracker.Move(execution.Sent))
+		require.NoError(t, r.tracker.Move(execution.NotSent))
 		began := time.Now()
 		require.True(t, r.Retry(t.Context(), execution.NotRunHere))
 		require.LessOrEqual(t, time.Since(began), pollInterval)
@@ -211,7 +212,7 @@
 	}
 }
 
-// A head without a record may still serve, so it counts as an attempt. One that has
+// A head without a record may still serve, so it counts as an attempt. A head that has
 // terminated never counts again.
 func TestHeadWhoseRecordIsGoneCountsAsAnAttempt(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
@@ -232,9 +233,9 @@
 	})
 }
 
-// A head that only looks dead counts as an attempt, even if it refuses connections, since
-// a partitioned network may do so on behalf of a head that serves others. It has
-// terminated if its record is gone as well.
+// A head that only looks dead counts as an attempt, even if connections are refused, since a
+// partitioned network may refuse them on behalf of a head that serves others. If its record
+// is gone as well, the head has terminated.
 func TestHeadThatOnlyLooksDeadCountsAsAnAttempt(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		f := plainForwarder(3, &scriptedBackends{})
--- a/forward/run.go
+++ b/forward/run.go
@@ -30,10 +30,10 @@
 	maxConns        int        // connections that a backend server of the service accepts, 0 for unlimited
 	tried           triedHeads // first hops of all sends
 	sends           int
-	refusals        int       // sends that did not run, after the stream had begun
+	refusals        int       // sends that did not run after the stream had begun
 	reached         bool      // a send may have reached a backend server
-	retryTakenAt    time.Time // when the last send took a retry, zero if it took none
-	life            execution.Tracker
+	retryTakenAt    time.Time // when a retry was taken for the last send, zero if none was
+	tracker         execution.Tracker
 	headSent        atomic.Bool               // the head of the answer was written to the caller
 	reserved        atomic.Pointer[time.Time] // when a retry was taken for the next send, nil if none
 	lastEvent       string                    // ID of the last event written to the caller
@@ -59,7 +59,7 @@
 	maxRefusalDelay = 1200 * time.Millisecond
 	// refusalJitter is the random fraction of that backoff.
 	refusalJitter = 0.2
-	// minTimeLeft is the remaining time below which a request is not sent.
+	// minTimeLeft is the time until the deadline below which a request is not sent.
 	minTimeLeft = 20 * time.Millisecond
 )
 
@@ -68,19 +68,19 @@
 	path   site.Path // a single hop without layers for a plain service
 	choice pipeline.Choice
 	tokens float64
-	// permitted says that a permit was taken for the call to the first hop.
+	// permitted is set if a permit was taken for the call to the first hop.
 	permitted bool
 }
 
 func (t *target) head() *site.BackendServer { return t.path[0].Server }
 
-// serve sends the request until it is answered. A request that is known not to have run
-// gets BackendRefused with a retry time, whether it was refused or could not be sent.
+// serve sends the request until it is answered. It returns BackendRefused with a retry time
+// for a request that did not run because it was refused or could not be sent.
 func (r *run) serve(ctx context.Context) error {
 	if s := r.f.inv.View().Config.Services[r.req.Service]; s != nil {
 		r.engine, r.maxConns = s.Engine, s.MaxConns
 	}
-	err := r.life.Run(ctx, r)
+	err := r.tracker.Run(ctx, r)
 	if apierror.Is(err, apierror.BackendUnreachable) || apierror.Is(err, apierror.BackendRefused) {
 		return apierror.Wrap(apierror.BackendRefused, errors.Unwrap(err)).WithRetryAfter(r.f.retryAfter(r.req.Service, time.Now()))
 	}
@@ -94,19 +94,19 @@
 		r.returnRetry()
 		return execution.Answered, err
 	}
-	v, err := r.send(ctx, t)
-	if v != execution.Answered {
-		r.f.log.Add("unanswered", "request", r.req.ID, "attempt", r.sends, "by", t.head().ID, "state", r.life.State(), "ran", r.life.HasRun(), "err", err)
+	result, err := r.send(ctx, t)
+	if result != execution.Answered {
+		r.f.log.Add("unanswered", "request", r.req.ID, "attempt", r.sends, "by", t.head().ID, "state", r.tracker.State(), "ran", r.tracker.HasRun(), "err", err)
 	}
-	return v, err
+	return result, err
 }
 
 // Retry implements execution.Sender.
-func (r *run) Retry(ctx context.Context, v execution.Result) bool {
-	if v == execution.NotRunHere && r.headSent.Load() {
+func (r *run) Retry(ctx context.Context, result execution.Result) bool {
+	if result == execution.NotRunHere && r.headSent.Load() {
 		return r.pauseBegun(ctx) && r.awaitRetry(ctx)
 	}
-	if v == execution.MayHaveRun && r.isQuarantined() {
+	if result == execution.MayHaveRun && r.isQuarantined() {
 		return false
 	}
 	return r.sends-r.refusals < maxSends && r.awaitRetry(ctx)
@@ -115,55 +115,55 @@
 // Progress implements execution.Sender.
 func (r *run) Progress() string { return fmt.Sprintf("after %d sends", r.sends) }
 
-// endError returns the error for a caller that is gone or a deadline that has passed or
-// is about to.
-func (r *run) endError(ctx context.Context) error { return r.life.Ended(ctx, r.Progress()) }
+// endError returns the error for a caller that is gone or a deadline that has passed or is
+// near.
+func (r *run) endError(ctx context.Context) error { return r.tracker.Ended(ctx, r.Progress()) }
 
-// send makes one send and forwards the answer. The request counts as sent before the
-// first byte can leave, and until its outcome is known.
+// send makes one send and forwards the answer. The state is execution.Sent from before the
+// first byte is sent until the outcome is known.
 func (r *run) send(ctx context.Context, t *target) (execution.Result, error) {
 	left := boottime.Until(r.deadline)
 	if left < minTimeLeft {
 		return execution.Answered, r.endError(ctx)
 	}
 	r.sends++
-	again := r.tried.has(t.head().ID)
+	triedBefore := r.tried.has(t.head().ID)
 	r.tried.add(t.head().ID)
 	r.logRoute(t, left)
-	if err := r.life.Move(execution.Sent); err != nil {
+	if err := r.tracker.Move(execution.Sent); err != nil {
 		return execution.Answered, err
 	}
 	r.progress = progress{}
-	v, err := r.carry(ctx, t, left)
-	if v == execution.MayHaveRun || err == nil {
+	result, err := r.carry(ctx, t, left)
+	if result == execution.MayHaveRun || err == nil {
 		r.recordOutcome(ctx, t.head(), err)
 	}
-	if lerr := r.life.Move(stateAfter(v, err)); lerr != nil {
+	if lerr := r.tracker.Move(stateAfter(result, err)); lerr != nil {
 		return execution.Answered, lerr
 	}
-	if r.life.State() != execution.NotSent {
+	if r.tracker.State() != execution.NotSent {
 		r.reached = true
-		return v, err
+		return result, err
 	}
 	r.returnRetry()
-	if !again {
+	if !triedBefore {
 		r.tried.drop(t.head().ID)
 	}
-	return v, err
+	return result, err
 }
 
 // stateAfter returns the execution state after a send.
-func stateAfter(v execution.Result, err error) execution.State {
+func stateAfter(result execution.Result, err error) execution.State {
 	switch {
-	case v == execution.Answered && err == nil:
+	case result == execution.Answered && err == nil:
 		return execution.Delivered
-	case v == execution.NotRunHere:
+	case result == execution.NotRunHere:
 		return execution.StateAfter(err)
 	}
 	return execution.Unknown
 }
 
-// carry sends a request to its first hop and its answer to the caller.
+// carry sends the request to its first hop and forwards the answer to the caller.
 func (r *run) carry(ctx context.Context, t *target, left time.Duration) (execution.Result, error) {
 	if r.isStream() {
 		return r.sendStream(ctx, t, left)
@@ -171,8 +171,8 @@
 	leave := r.f.loads.Enter(t.path, t.tokens)
 	defer leave()
 	a, err := r.f.backends.Send(ctx, r.outgoing(t, left))
-	if v, rerr := r.refused(t, a, err); v != execution.Answered {
-		return v, rerr
+	if result, rerr := r.refused(t, a, err); result != execution.Answered {
+		return result, rerr
 	}
 	defer a.Body.Close()
 	return r.relayComplete(ctx, t, a)
@@ -197,8 +197,8 @@
 	return o
 }
 
-// priority returns the priority of the request, 0 for the most urgent. That of the
-// workspace precedes that of the route.
+// priority returns the priority of the request, 0 for the most urgent. The workspace's
+// priority takes precedence over the route's.
 func (r *run) priority() int {
 	if w := r.req.Workspace; w != nil && w.HasPriority {
 		return w.Priority
@@ -206,9 +206,9 @@
 	return r.req.Route.Priority
 }
 
-// refused evaluates the outcome of a send; execution.Answered means that the answer may
-// be forwarded. If the head refuses because of another hop, that hop may be full or dead
-// and is probed, so that later requests do not retry a dead one until its record is gone.
+// refused evaluates the result of a send; execution.Answered means that the answer may be
+// forwarded. If the head refuses because of another hop, that hop may be full or dead. It is
+// probed, so that later requests avoid a dead hop before its record is gone.
 func (r *run) refused(t *target, a *Answer, err error) (execution.Result, error) {
 	now := time.Now()
 	head := t.head()
@@ -221,7 +221,7 @@
 		return execution.MayHaveRun, err
 	}
 	if !a.NotRun {
-		r.life.MarkRan()
+		r.tracker.MarkRan()
 		r.progress.headAt = now
 		return execution.Answered, nil
 	}
@@ -241,8 +241,8 @@
 // maxAnswerBytes bounds an answer that is buffered before it is written to the caller.
 const maxAnswerBytes = 32 << 20
 
-// relayComplete buffers an answer and writes it to the caller. A server error is written
-// as it is if the request cannot be repeated.
+// relayComplete buffers an answer and writes it to the caller. It writes a server error
+// only if the request cannot be repeated.
 func (r *run) relayComplete(ctx context.Context, t *target, a *Answer) (execution.Result, error) {
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxAnswerBytes+1))
 	if err == nil && len(body) > maxAnswerBytes {
@@ -258,10 +258,10 @@
 		r.f.markServed(t.path)
 	}
 	if !a.Signed {
-		return execution.MayHaveRun, errUnsealed
+		return execution.MayHaveRun, errUnsigned
 	}
 	if r.headSent.Load() {
-		// The caller already receives a stream, which no other answer may end.
+		// The caller is receiving a stream, so no other answer can be written.
 		return execution.MayHaveRun, errFailed
 	}
 	failed := a.Status >= http.StatusInternalServerError || impliesNotRun(a.Status)
@@ -269,7 +269,7 @@
 		return execution.MayHaveRun, errFailed
 	}
 	if impliesNotRun(a.Status) {
-		// The status would tell the caller that the request did not run.
+		// The status would imply to the caller that the request did not run.
 		return execution.Answered, apierror.New(apierror.OutcomeUnknown, "backend server answered %d without saying that it did not run", a.Status)
 	}
 	if err := r.sink.Whole(a.Status, a.Header, body); err != nil {
@@ -279,19 +279,19 @@
 }
 
 var (
-	errUnsealed = errors.New("forward: answer without a signature")
+	errUnsigned = errors.New("forward: answer without a signature")
 	errFailed   = errors.New("forward: backend server failed the request")
 	errTooLong  = errors.New("forward: answer is too long to be collected")
 )
 
-// mayRepeat reports whether a failed request may be sent to another backend server. It
-// takes no retry from the budget.
+// mayRepeat reports whether a failed request may be sent to another backend server. It does
+// not take a retry.
 func (r *run) mayRepeat() bool {
 	view := r.f.inv.View()
 	return r.req.Route.Repeatable() && !r.attemptsExhausted() && len(view.OfService(r.req.Service)) > r.tried.count()
 }
 
-// impliesNotRun reports whether a status tells the caller that the request did not run.
+// impliesNotRun reports whether a status implies to the caller that the request did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
@@ -300,8 +300,8 @@
 	return false
 }
 
-// markFailed records that a backend server looks dead because of err, and rechecks the
-// streams that pass it. sign names the kind of evidence.
+// markFailed records that a backend server looks dead because of err, and triggers a check
+// of the streams that pass through it. sign is the kind of evidence.
 func (f *Forwarder) markFailed(s *site.BackendServer, sign string, err error, now time.Time) {
 	if hasEnded(err) {
 		f.health.End(s.ID)
--- a/forward/silence.go
+++ b/forward/silence.go
@@ -15,23 +15,23 @@
 	// events, while the head has no history.
 	defaultFirstProbe = 250 * time.Millisecond
 	defaultNextProbe  = 200 * time.Millisecond
-	// minProbeSilence is the shortest silence that triggers a probe: each probe of a path
-	// opens as many connections as it has hops.
+	// minProbeSilence is the shortest silence that triggers a probe. A probe of a path
+	// opens a connection to each hop.
 	minProbeSilence = 60 * time.Millisecond
-	// maxProbeSilence bounds the learned value, so that a slow head does not hide a dead
-	// hop.
+	// maxProbeSilence bounds the learned value, so that dead hops are also detected on
+	// paths of a slow head.
 	maxProbeSilence = 900 * time.Millisecond
 )
 
 // silences learns for each head how long its streams are typically silent before the
-// first event and between events. A fixed threshold would be too short for events of many
-// tokens and too long for events of few. It is safe for concurrent use.
+// first event and between events. A fixed threshold would be too short if events have many
+// tokens and too long if they have few. It is safe for concurrent use.
 type silences struct {
 	mu    sync.Mutex
 	heads map[string]*silence
 }
 
-// silence holds the pauses learned for one head.
+// silence holds the estimates for one head, before the first event and between events.
 type silence struct{ first, next health.Gap }
 
 func newSilences() *silences { return &silences{heads: map[string]*silence{}} }
@@ -45,8 +45,8 @@
 	return h
 }
 
-// observe records a pause that ended with an event; first says that it was the first
-// event of the stream.
+// observe records a pause that ended with an event; first is set for the first event of the
+// stream.
 func (s *silences) observe(head string, first bool, d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,8 @@
 	h.next.Observe(d)
 }
 
-// probeAfter returns the silence after which a stream's hops are probed.
+// probeAfter returns the silence after which the hops of a stream are probed; first is set
+// before its first event.
 func (s *silences) probeAfter(head string, first bool) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/forward/silence_test.go
+++ b/forward/silence_test.go
@@ -9,8 +9,8 @@
 	"github.com/snowspoke/snowspoke/internal/virtual"
 )
 
-// slowEvents makes events of the lab take about 120 ms, which exceeds a fixed silence
-// suited to events of 30 ms.
+// slowEvents makes events of the lab take about 120 ms, longer than a fixed threshold that
+// suits events of 30 ms.
 const slowEvents = 6
 
 // Slow events do not cause a probe of the hops at each event.
@@ -20,12 +20,11 @@
 		l.slow = slowEvents
 		l.run(labRate/8, 10*time.Second)
 		require.Greater(t, percentile(l.gaps, 0.5), 110*time.Millisecond, "the lab's events are slow")
-		require.Less(t, l.probes, l.whole, "fewer connections by probes than streams")
+		require.Less(t, l.probes, l.completed, "fewer connections by probes than streams")
 	})
 }
 
-// Learned pauses keep detection fast: a dead server is found before the caller leaves,
-// with slow events as with fast ones.
+// With slow events, a dead server is detected before callers give up.
 func TestDeadServerIsDetectedWithSlowEvents(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		l := newLab(1)
@@ -57,8 +56,8 @@
 	require.Equal(t, defaultNextProbe, s.probeAfter("a", false))
 }
 
-// With fast events, the check of a hop that another stream has had events from recently
-// is repeated, so that recovery is not delayed.
+// With fast events, a hop is probed again if the first probe skipped it because another
+// stream had recent events from it. Guards against a slow recovery.
 func TestDeadServerIsDetectedWithFastEvents(t *testing.T) {
 	for seed := range uint64(labSeeds) {
 		virtual.Test(t, func(t *testing.T) {
--- a/forward/split.go
+++ b/forward/split.go
@@ -10,27 +10,28 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// splits holds the split of each service's requests over paths. It is safe for concurrent
+// splits holds the split of each service. See pipeline.Split. It is safe for concurrent
 // use.
 type splits struct {
 	mu        sync.Mutex
 	byService map[string]*split
 }
 
+// split is the split of one service and the state for which it was computed.
 type split struct {
-	spread   pipeline.Rotation
+	rotation pipeline.Rotation
 	view     *inventory.View
-	usable   int  // number of usable backend servers
-	slow     int  // version of the known slowdowns
-	needed   bool // requests follow the split
-	requests float64
-	at       time.Time
+	usable   int       // number of usable backend servers
+	slow     int       // version of the slowdowns, see conditions.slowVersion
+	needed   bool      // requests follow the split
+	requests float64   // in flight
+	at       time.Time // when the split was computed
 }
 
 // Intervals of a split.
 const (
-	// splitInterval is the time after which a split is recomputed if the load has changed
-	// by more than the fraction splitLoadThreshold.
+	// splitInterval is the time after which a split is recomputed if the number of
+	// requests has changed by more than the fraction splitLoadThreshold.
 	splitInterval      = 2 * time.Second
 	splitLoadThreshold = 0.15
 	// minSplitInterval is the minimum time between two computations for any reason.
@@ -52,18 +53,18 @@
 	if !s.needed {
 		return pipeline.Choice{}, false
 	}
-	return s.spread.Next(q, cs, f.loads.othersLoadAge(now))
+	return s.rotation.Next(q, cs, f.loads.othersLoadAge(now))
 }
 
 // needed reports whether the requests of a service follow a split.
 func (s *splits) needed(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	of := s.byService[service]
-	return of != nil && of.needed
+	sp := s.byService[service]
+	return sp != nil && sp.needed
 }
 
-// renewSplit recomputes a split if that is due.
+// renewSplit recomputes a split if it is outdated.
 func (f *Forwarder) renewSplit(s *split, e *site.Engine, service string, view *inventory.View, now time.Time) {
 	since := now.Sub(s.at)
 	if since < minSplitInterval {
@@ -82,20 +83,20 @@
 		return
 	}
 	shares := pipeline.Split(e, all, pipeline.Demand{Requests: requests, Domains: f.fleet.Shares()}, f.opts.FailureDomain)
-	s.spread.Take(shares, newRand())
+	s.rotation.Take(shares, newRand())
 	f.logSplit(service, s, shares)
 }
 
-// requestsInFlight returns the number of requests of all daemons that the backend servers
-// run, 0 while the other daemons' loads are unknown.
-func (f *Forwarder) requestsInFlight(of []pipeline.Candidate, now time.Time) float64 {
+// requestsInFlight returns the number of requests in flight of all daemons at some backend
+// servers, 0 while the other daemons' loads are unknown.
+func (f *Forwarder) requestsInFlight(cs []pipeline.Candidate, now time.Time) float64 {
 	if f.loads.othersLoadAge(now) == 0 {
 		return 0
 	}
 	daemons := float64(max(1, f.fleet.Daemons()))
 	sum := 0.0
-	for i := range of {
-		sum += f.loads.Of(of[i].Server.ID, daemons, now).Heads
+	for i := range cs {
+		sum += f.loads.Of(cs[i].Server.ID, daemons, now).Heads
 	}
 	return sum
 }
@@ -112,8 +113,7 @@
 	return out
 }
 
-// logSplit logs a summary of a split. The paths are logged with the requests that take
-// them.
+// logSplit logs a summary of a split. Each path is logged with the requests that take it.
 func (f *Forwarder) logSplit(service string, s *split, shares []pipeline.Share) {
 	heads := map[string]bool{}
 	widest := pipeline.Share{}
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -23,20 +23,20 @@
 	minFirstSilence = 350 * time.Millisecond
 	// minNextSilence is the same between two events.
 	minNextSilence = 220 * time.Millisecond
-	// recentEventWindow is the age of an event of another stream up to which its hops
-	// count as alive without a probe.
+	// recentEventWindow is the maximum age of an event of another stream for which the
+	// hops of that stream count as alive without a probe.
 	recentEventWindow = 70 * time.Millisecond
-	// silenceFactor is the multiple of the predicted time that replaces a minimum if it
-	// is longer, as on a busy path.
+	// silenceFactor is the multiple of the predicted time that applies instead of a
+	// minimum if it is longer, as on a busy path.
 	silenceFactor = 3
-	// askRetryInterval is the pause before a head that has reported no stall is asked
+	// askRetryInterval is the pause before a head that did not report a stall is asked
 	// again.
 	askRetryInterval = 120 * time.Millisecond
-	// maxSilence is the silence that ends a send whose head has no requests waiting.
+	// maxSilence is the silence that ends a send whose head has no waiting requests.
 	// Callers give up after two seconds, and another path may take half a second. A head
-	// with requests waiting is merely busy.
+	// with waiting requests is merely busy.
 	maxSilence = 1100 * time.Millisecond
-	// maxRepathAttempts bounds the paths tried for one interruption.
+	// maxRepathAttempts is the maximum number of paths that one call of move tries.
 	maxRepathAttempts = 4
 )
 
@@ -61,17 +61,19 @@
 	leave       func() // removes the stream from the loads
 	tokens      float64
 	askAfter    time.Duration // silence after which the head is asked for a report
-	silentSince time.Time     // time of the last event, or of the send
+	silentSince time.Time     // time of the last event, or of the send before the first event
 	progress    progress
 	checking    bool
 	begun       bool    // this send has received an event
-	stepMS      float64 // predicted step of the path, 0 after a move
-	lateEvents  int     // consecutive pauses that were late
+	stepMS      float64 // predicted token step of the path, 0 after a move
+	lateEvents  int     // number of consecutive late pauses
 	probed      bool    // all hops were probed since the last event
 	moved       bool    // the path changed since the last event
 	ended       bool
 }
 
+// sendStream sends a streamed request to its first hop and forwards the answer to the
+// caller.
 func (r *run) sendStream(ctx context.Context, t *target, left time.Duration) (execution.Result, error) {
 	sctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -85,8 +87,8 @@
 	if err != nil {
 		err = withCause(ctx, sctx, err)
 	}
-	if v, rerr := r.refused(t, a, err); v != execution.Answered {
-		return v, rerr
+	if result, rerr := r.refused(t, a, err); result != execution.Answered {
+		return result, rerr
 	}
 	defer a.Body.Close()
 	if a.Status != http.StatusOK || !a.Signed {
@@ -101,6 +103,7 @@
 	return s.r.f.silences.probeAfter(s.currentPath()[0].Server.ID, first)
 }
 
+// end stops the checks of the stream and removes it from the loads.
 func (s *stream) end() {
 	s.timer.Stop()
 	s.mu.Lock()
@@ -129,8 +132,8 @@
 // readSize is the buffer size of one read of a stream.
 const readSize = 8 << 10
 
-// withCause adds to the error of a send the reason for which this daemon ended it, if it
-// did. sctx is the context of the send, ctx that of the request.
+// withCause adds the cause to the error of a send that this daemon ended. ctx is the
+// context of the request, and sctx that of the send.
 func withCause(ctx, sctx context.Context, err error) error {
 	if cause := context.Cause(sctx); cause != nil && ctx.Err() == nil {
 		return fmt.Errorf("%w: %w", cause, err)
@@ -138,7 +141,7 @@
 	return err
 }
 
-// relay writes complete events to the caller until the stream ends.
+// relay forwards complete events to the caller until the stream ends.
 func (s *stream) relay(ctx, sctx context.Context, a *Answer) (execution.Result, error) {
 	var pending []byte
 	buf := make([]byte, readSize)
@@ -164,8 +167,8 @@
 	}
 }
 
-// forwardEvents writes the complete events of a buffer that the caller does not have yet,
-// and returns the rest. With last set it writes the rest too.
+// forwardEvents writes the complete events of a buffer that the caller has not received yet,
+// and returns the rest. With last set it also writes the rest.
 func (s *stream) forwardEvents(a *Answer, pending []byte, last bool) (rest []byte, sinkErr error) {
 	r := s.r
 	var out []byte
@@ -204,7 +207,7 @@
 	return append(pending[:0], rest...), r.sink.Events(out)
 }
 
-// eventsReceived updates the state of the stream after events were received.
+// eventsReceived updates the state of the stream when events are received.
 func (s *stream) eventsReceived() {
 	now := time.Now()
 	s.mu.Lock()
@@ -229,20 +232,20 @@
 	if first || moved {
 		return
 	}
-	known := s.r.f.loads.conditions
-	if !known.late(gap, s.stepMS) {
+	c := s.r.f.loads.conditions
+	if !c.late(gap, s.stepMS) {
 		s.lateEvents = 0
 		return
 	}
 	s.lateEvents++
 	if s.lateEvents >= lateThreshold {
 		s.lateEvents = 0
-		known.suspect(s.path, now)
+		c.suspect(s.path, now)
 	}
 }
 
-// noteInterruption records the start and the cause of an interruption, unless one is
-// recorded already.
+// noteInterruption records the start and the cause of an interruption, unless one is already
+// recorded.
 func (r *run) noteInterruption(why error) {
 	if r.interruptedAt.IsZero() {
 		r.interruptedAt = time.Now()
@@ -284,8 +287,8 @@
 	r.recordRecovery(r.cause, gap)
 }
 
-// recordRecovery counts and logs the end of an interruption. gap starts at the last event
-// before it.
+// recordRecovery counts and logs the end of an interruption. gap is the time between the
+// events before and after it.
 func (r *run) recordRecovery(cause string, gap time.Duration) {
 	r.f.observer.Recovered(cause, gap)
 	r.f.log.Add("recovered", "request", r.req.ID, "cause", cause, "gap", gap.Round(time.Millisecond), "after_event", r.lastEvent)
