--- a/forward/crash.go
+++ b/forward/crash.go
@@ -105,7 +105,7 @@
 func (r *run) admit(now time.Time) error {
 	d := r.f.quarantine.Admit(r.fingerprint, now)
 	switch {
-	case d.Held:
+	case d.Quarantined:
 		r.logQuarantine("held back", d)
 		r.f.observer.Quarantined()
 		wait := d.Until.Sub(now) + rand.N(quarantineSpread)
@@ -156,20 +156,20 @@
 	}
 	d := r.f.quarantine.Ended(r.fingerprint, quarantineServer(s), stage.weight(r.isStream()), time.Now())
 	r.f.log.Add("ended", "server", s.ID, "address", s.Address, "request", r.req.ID, "fingerprint", r.fingerprint, "stage", string(stage),
-		"ends", d.Ends, "score", d.Score, "held", d.Held)
+		"ends", d.Ends, "score", d.Score, "held", d.Quarantined)
 	r.f.observer.ServerEnded()
-	return d.Held
+	return d.Quarantined
 }
 
 // isQuarantined reports whether a request that may have run must not be sent again, and
 // logs and counts it if so.
 func (r *run) isQuarantined() bool {
 	d := r.f.quarantine.Look(r.fingerprint, time.Now())
-	if d.Held {
+	if d.Quarantined {
 		r.logQuarantine("not sent again", d)
 		r.f.observer.Quarantined()
 	}
-	return d.Held
+	return d.Quarantined
 }
 
 func (r *run) logQuarantine(outcome string, d quarantine.Decision) {
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -23,8 +23,8 @@
 	require.True(t, SameHeld(held, entries))
 	restored := NewRegistry(DefaultPolicy)
 	restored.Join(entries, now)
-	require.True(t, restored.Look(7, now).Held)
-	require.False(t, restored.Look(7, now.Add(DefaultPolicy.Keep)).Held, "the entry expires")
+	require.True(t, restored.Look(7, now).Quarantined)
+	require.False(t, restored.Look(7, now.Add(DefaultPolicy.Keep)).Quarantined, "the entry expires")
 	restored.Ended(7, 1, Likely, now.Add(-3*time.Second))
 	require.Equal(t, 2, restored.Look(7, now).Ends, "an end that is in the record counts once")
 }
@@ -39,8 +39,8 @@
 	require.NoError(t, err)
 	r := NewRegistry(DefaultPolicy)
 	r.Join(entries, now)
-	require.True(t, r.Look(7, now).Held)
-	require.False(t, r.Look(7, now.Add(DefaultPolicy.Keep)).Held)
+	require.True(t, r.Look(7, now).Quarantined)
+	require.False(t, r.Look(7, now.Add(DefaultPolicy.Keep)).Quarantined)
 }
 
 func TestInvalidRecordsAreRejected(t *testing.T) {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -105,7 +105,7 @@
 
 // Decision states whether a request may be sent.
 type Decision struct {
-	Held  bool      // the request is quarantined
+	Quarantined  bool      // the request is quarantined
 	Until time.Time // when the next trial is due, or the entry expires if there are no trials
 	Trial bool      // the request may be sent as a trial
 	Score int
@@ -189,8 +189,8 @@
 	default:
 		d.Until = boottime.Later(last, e.TriedAt).Add(r.policy.TrialAfter)
 	}
-	d.Held = now.Before(d.Until)
-	d.Trial = !d.Held
+	d.Quarantined = now.Before(d.Until)
+	d.Trial = !d.Quarantined
 	return d
 }
 
@@ -351,7 +351,7 @@
 	defer r.mu.Unlock()
 	var out []Entry
 	for fp, el := range r.entries {
-		if d := r.evaluate(fp, now); d.Held || d.Trial {
+		if d := r.evaluate(fp, now); d.Quarantined || d.Trial {
 			e := el.Value.(*registryEntry).Entry
 			e.Ends = slices.Clone(e.Ends)
 			out = append(out, e)
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -18,24 +18,24 @@
 func TestRequestIsQuarantinedAfterTwoEnds(t *testing.T) {
 	r := NewRegistry(DefaultPolicy)
 	require.Equal(t, Decision{}, r.Admit(1, start))
-	require.False(t, r.Ended(1, 10, Likely, start).Held, "another request may be the cause")
-	require.False(t, r.Ended(1, 10, Likely, after(time.Second)).Held, "each backend server counts once")
+	require.False(t, r.Ended(1, 10, Likely, start).Quarantined, "another request may be the cause")
+	require.False(t, r.Ended(1, 10, Likely, after(time.Second)).Quarantined, "each backend server counts once")
 	require.False(t, r.Admit(1, after(time.Second)).Trial)
 
 	d := r.Ended(1, 11, Likely, after(time.Second))
-	require.True(t, d.Held)
+	require.True(t, d.Quarantined)
 	require.Equal(t, after(time.Second).Add(DefaultPolicy.TrialAfter), d.Until)
-	require.False(t, r.Admit(2, after(time.Second)).Held, "other requests are not quarantined")
+	require.False(t, r.Admit(2, after(time.Second)).Quarantined, "other requests are not quarantined")
 
 	trial := r.Admit(1, d.Until)
 	require.True(t, trial.Trial)
-	require.True(t, r.Admit(1, d.Until.Add(time.Second)).Held, "one trial at a time")
+	require.True(t, r.Admit(1, d.Until.Add(time.Second)).Quarantined, "one trial at a time")
 	require.True(t, r.Look(1, d.Until.Add(DefaultPolicy.TrialAfter)).Trial, "the trial had no result")
 
 	d = r.Ended(1, 12, Likely, d.Until)
-	require.True(t, d.Held)
+	require.True(t, d.Quarantined)
 	require.Equal(t, 3, d.Ends)
-	require.True(t, r.Admit(1, d.Until.Add(-time.Second)).Held)
+	require.True(t, r.Admit(1, d.Until.Add(-time.Second)).Quarantined)
 	require.Equal(t, Decision{Score: 6, Ends: 3}, r.Admit(1, d.Until), "the entry has expired")
 }
 
@@ -43,9 +43,9 @@
 func TestPossibleEndsHaveHalfWeight(t *testing.T) {
 	r := NewRegistry(DefaultPolicy)
 	for s := range Server(3) {
-		require.False(t, r.Ended(1, s, Possible, start).Held)
+		require.False(t, r.Ended(1, s, Possible, start).Quarantined)
 	}
-	require.True(t, r.Ended(1, 3, Possible, start).Held)
+	require.True(t, r.Ended(1, 3, Possible, start).Quarantined)
 }
 
 // Serving a request clears its earlier ends, even if an older report of them arrives again,
@@ -57,15 +57,15 @@
 	r.Ended(1, 11, Likely, start)
 	old, _ := r.Since(0, 9)
 	require.True(t, r.Served(1, after(10*time.Second)))
-	require.False(t, r.Admit(1, after(10*time.Second)).Held)
+	require.False(t, r.Admit(1, after(10*time.Second)).Quarantined)
 	r.Join(old, after(11*time.Second))
-	require.False(t, r.Admit(1, after(11*time.Second)).Held)
+	require.False(t, r.Admit(1, after(11*time.Second)).Quarantined)
 	other.Join(old, after(11*time.Second))
 	entries, _ := r.Since(0, 9)
 	other.Join(entries, after(11*time.Second))
-	require.False(t, other.Admit(1, after(11*time.Second)).Held)
+	require.False(t, other.Admit(1, after(11*time.Second)).Quarantined)
 	r.Ended(1, 12, Likely, after(12*time.Second))
-	require.True(t, r.Ended(1, 13, Likely, after(12*time.Second)).Held)
+	require.True(t, r.Ended(1, 13, Likely, after(12*time.Second)).Quarantined)
 }
 
 // A caller of Since receives each changed entry once, and eventually all of them.
@@ -99,7 +99,7 @@
 		r.Ended(100+n, 1, Likely, start)
 		require.LessOrEqual(t, r.Size(), p.Most)
 	}
-	require.True(t, r.Look(1, start).Held)
+	require.True(t, r.Look(1, start).Quarantined)
 	require.Len(t, r.Quarantined(start), 1)
 	r.Forget(after(p.Keep))
 	require.Zero(t, r.Size())
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -51,7 +51,7 @@
 func (f *crashFleet) quarantinedBy(print quarantine.Fingerprint) int {
 	n := 0
 	for _, registry := range f.registries {
-		if registry.Look(print, time.Now()).Held {
+		if registry.Look(print, time.Now()).Quarantined {
 			n++
 		}
 	}
