--- a/forward/crash.go
+++ b/forward/crash.go
@@ -164,7 +164,7 @@
 // isQuarantined reports whether a request that may have run must not be sent again, and
 // logs and counts it if so.
 func (r *run) isQuarantined() bool {
-	d := r.f.quarantine.Look(r.fingerprint, time.Now())
+	d := r.f.quarantine.Check(r.fingerprint, time.Now())
 	if d.Quarantined {
 		r.logQuarantine("not sent again", d)
 		r.f.observer.Quarantined()
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -272,7 +272,7 @@
 		time.Sleep(err.RetryAfter)
 		require.NoError(t, f.Do(context.Background(), req(), &recordingSink{}))
 		require.Equal(t, 1, b.ran)
-		require.Zero(t, f.quarantine.Look(fingerprint, time.Now()).Ends)
+		require.Zero(t, f.quarantine.Check(fingerprint, time.Now()).Ends)
 	})
 }
 
--- a/gateway/admin.go
+++ b/gateway/admin.go
@@ -39,7 +39,7 @@
 	now := time.Now()
 	out := []QuarantinedRequest{}
 	for _, e := range g.quarantine.Quarantined(now) {
-		v := g.quarantine.Look(e.Fingerprint, now)
+		v := g.quarantine.Check(e.Fingerprint, now)
 		last := e.Ends[len(e.Ends)-1].At
 		out = append(out, QuarantinedRequest{Fingerprint: e.Fingerprint.String(), Ends: v.Ends, Score: v.Score, LastEnd: last.UTC(), Until: v.Until.UTC()})
 	}
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -23,10 +23,10 @@
 	require.True(t, SameHeld(held, entries))
 	restored := NewRegistry(DefaultPolicy)
 	restored.Join(entries, now)
-	require.True(t, restored.Look(7, now).Quarantined)
-	require.False(t, restored.Look(7, now.Add(DefaultPolicy.Keep)).Quarantined, "the entry expires")
+	require.True(t, restored.Check(7, now).Quarantined)
+	require.False(t, restored.Check(7, now.Add(DefaultPolicy.Keep)).Quarantined, "the entry expires")
 	restored.Ended(7, 1, Likely, now.Add(-3*time.Second))
-	require.Equal(t, 2, restored.Look(7, now).Ends, "an end that is in the record counts once")
+	require.Equal(t, 2, restored.Check(7, now).Ends, "an end that is in the record counts once")
 }
 
 // Entries expire even if the clock of the daemon that wrote the record was an hour ahead.
@@ -39,8 +39,8 @@
 	require.NoError(t, err)
 	r := NewRegistry(DefaultPolicy)
 	r.Join(entries, now)
-	require.True(t, r.Look(7, now).Quarantined)
-	require.False(t, r.Look(7, now.Add(DefaultPolicy.Keep)).Quarantined)
+	require.True(t, r.Check(7, now).Quarantined)
+	require.False(t, r.Check(7, now.Add(DefaultPolicy.Keep)).Quarantined)
 }
 
 func TestInvalidRecordsAreRejected(t *testing.T) {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -155,8 +155,8 @@
 	return r.merge(Entry{Fingerprint: fp, ServedAt: now}, now)
 }
 
-// Look returns whether a request may be sent. Unlike Admit it records nothing.
-func (r *Registry) Look(fp Fingerprint, now time.Time) Decision {
+// Check returns whether a request may be sent. Unlike Admit it records nothing.
+func (r *Registry) Check(fp Fingerprint, now time.Time) Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.evaluate(fp, now)
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -30,7 +30,7 @@
 	trial := r.Admit(1, d.Until)
 	require.True(t, trial.Trial)
 	require.True(t, r.Admit(1, d.Until.Add(time.Second)).Quarantined, "one trial at a time")
-	require.True(t, r.Look(1, d.Until.Add(DefaultPolicy.TrialAfter)).Trial, "the trial had no result")
+	require.True(t, r.Check(1, d.Until.Add(DefaultPolicy.TrialAfter)).Trial, "the trial had no result")
 
 	d = r.Ended(1, 12, Likely, d.Until)
 	require.True(t, d.Quarantined)
@@ -99,7 +99,7 @@
 		r.Ended(100+n, 1, Likely, start)
 		require.LessOrEqual(t, r.Size(), p.Most)
 	}
-	require.True(t, r.Look(1, start).Quarantined)
+	require.True(t, r.Check(1, start).Quarantined)
 	require.Len(t, r.Quarantined(start), 1)
 	r.Forget(after(p.Keep))
 	require.Zero(t, r.Size())
@@ -137,9 +137,9 @@
 			}
 		}
 		for fp := range Fingerprint(4) {
-			want := registries[0].Look(fp, now)
-			require.Equal(t, want, registries[1].Look(fp, now))
-			require.Equal(t, want, registries[2].Look(fp, now))
+			want := registries[0].Check(fp, now)
+			require.Equal(t, want, registries[1].Check(fp, now))
+			require.Equal(t, want, registries[2].Check(fp, now))
 		}
 		require.False(t, slices.ContainsFunc(registries, func(r *Registry) bool { return r.Size() > 3 }))
 	})
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -51,7 +51,7 @@
 func (f *crashFleet) quarantinedBy(print quarantine.Fingerprint) int {
 	n := 0
 	for _, registry := range f.registries {
-		if registry.Look(print, time.Now()).Quarantined {
+		if registry.Check(print, time.Now()).Quarantined {
 			n++
 		}
 	}
@@ -106,7 +106,7 @@
 		at := time.Now()
 		other.Join(unpackCrashes(f.Crashes, at), at)
 		for print := range quarantine.Fingerprint(4) {
-			require.Equal(t, registry.Look(print, now).Score, other.Look(print, now).Score)
+			require.Equal(t, registry.Check(print, now).Score, other.Check(print, now).Score)
 		}
 	})
 }
