--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -23,8 +23,8 @@
 	// KeepServed is how long the time at which a request was served is kept, so that an
 	// older report of another daemon does not quarantine the request again.
 	KeepServed time.Duration
-	// Most is the maximum number of entries.
-	Most int
+	// MaxEntries is the maximum number of entries.
+	MaxEntries int
 }
 
 // DefaultPolicy quarantines a request after the ends of two backend servers that very likely
@@ -33,7 +33,7 @@
 // end affects many other requests.
 var DefaultPolicy = Policy{
 	HoldFrom: 2 * int(Likely), HoldAll: 3 * int(Likely), TrialAfter: time.Minute,
-	Keep: 10 * time.Minute, KeepServed: 30 * time.Second, Most: 4096,
+	Keep: 10 * time.Minute, KeepServed: 30 * time.Second, MaxEntries: 4096,
 }
 
 // Weight is the strength of the evidence that a request ended a backend server.
@@ -284,7 +284,7 @@
 }
 
 func (r *Registry) add(fp Fingerprint, now time.Time) *registryEntry {
-	if len(r.entries) >= r.policy.Most {
+	if len(r.entries) >= r.policy.MaxEntries {
 		r.evict(now)
 	}
 	k := &registryEntry{Entry: Entry{Fingerprint: fp}}
@@ -309,13 +309,13 @@
 // evict removes expired entries. If that frees too few, it removes the least recently changed
 // entries, first those below the quarantine score, then any.
 func (r *Registry) evict(now time.Time) {
-	target := max(1, r.policy.Most/evictFraction)
-	r.remove(r.policy.Most, func(k *registryEntry) bool { return r.expired(k, now) })
+	target := max(1, r.policy.MaxEntries/evictFraction)
+	r.remove(r.policy.MaxEntries, func(k *registryEntry) bool { return r.expired(k, now) })
 	r.remove(target-r.free(), func(k *registryEntry) bool { return k.Score() < r.policy.HoldFrom })
 	r.remove(target-r.free(), func(*registryEntry) bool { return true })
 }
 
-func (r *Registry) free() int { return r.policy.Most - len(r.entries) }
+func (r *Registry) free() int { return r.policy.MaxEntries - len(r.entries) }
 
 // remove removes up to n matching entries, the least recently changed first.
 func (r *Registry) remove(n int, match func(*registryEntry) bool) {
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -91,13 +91,13 @@
 // A full registry evicts other requests before quarantined ones, and stays within its bound.
 func TestFullRegistryKeepsQuarantinedRequests(t *testing.T) {
 	p := DefaultPolicy
-	p.Most = 64
+	p.MaxEntries = 64
 	r := NewRegistry(p)
 	r.Ended(1, 1, Likely, start)
 	r.Ended(1, 2, Likely, start)
 	for n := range Fingerprint(10_000) {
 		r.Ended(100+n, 1, Likely, start)
-		require.LessOrEqual(t, r.Size(), p.Most)
+		require.LessOrEqual(t, r.Size(), p.MaxEntries)
 	}
 	require.True(t, r.Check(1, start).Quarantined)
 	require.Len(t, r.Quarantined(start), 1)
