--- a/gateway/quarantine_sync.go
+++ b/gateway/quarantine_sync.go
@@ -196,7 +196,7 @@
 	if !q.loaded || q.version != 0 && q.version.Era() != q.store.Era() {
 		return len(quarantined) == 0
 	}
-	return quarantine.SameHeld(quarantined, q.stored)
+	return quarantine.SameQuarantined(quarantined, q.stored)
 }
 
 // quarantined returns the entries to store, quarantine.RecordMost at most.
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -91,9 +91,9 @@
 	return at
 }
 
-// SameHeld reports whether two lists of entries have the same requests with the same scores.
+// SameQuarantined reports whether two lists of entries have the same requests with the same scores.
 // Times are not compared.
-func SameHeld(a, b []Entry) bool {
+func SameQuarantined(a, b []Entry) bool {
 	return slices.Equal(entryKeys(a), entryKeys(b))
 }
 
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -20,7 +20,7 @@
 	require.NoError(t, err)
 	entries, err := DecodeRecord(data, now)
 	require.NoError(t, err)
-	require.True(t, SameHeld(held, entries))
+	require.True(t, SameQuarantined(held, entries))
 	restored := NewRegistry(DefaultPolicy)
 	restored.Join(entries, now)
 	require.True(t, restored.Check(7, now).Quarantined)
