--- a/health/cooldown.go
+++ b/health/cooldown.go
@@ -10,7 +10,7 @@
 type CooldownConfig struct {
 	Refused    time.Duration // after a refusal for lack of capacity
 	Failed     time.Duration // after a failure, multiplied by the number of consecutive failures
-	FailedMost time.Duration // maximum time after consecutive failures
+	MaxFailed time.Duration // maximum time after consecutive failures
 }
 
 // Cooldowns holds the backend servers that refused work or failed recently, by name. It is
@@ -52,7 +52,7 @@
 	s := c.servers[name]
 	isNew := !now.Before(s.until)
 	s.failures++
-	s.until = now.Add(min(c.cfg.FailedMost, c.cfg.Failed*time.Duration(s.failures)))
+	s.until = now.Add(min(c.cfg.MaxFailed, c.cfg.Failed*time.Duration(s.failures)))
 	c.servers[name] = s
 	return isNew
 }
--- a/health/cooldown_test.go
+++ b/health/cooldown_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testCooldowns = CooldownConfig{Refused: time.Second, Failed: 4 * time.Second, FailedMost: 8 * time.Second}
+var testCooldowns = CooldownConfig{Refused: time.Second, Failed: 4 * time.Second, MaxFailed: 8 * time.Second}
 
 func TestRefusalsAndFailuresCoolDown(t *testing.T) {
 	c := NewCooldowns(testCooldowns)
