--- a/health/detector.go
+++ b/health/detector.go
@@ -71,14 +71,14 @@
 	MaxEjectFor     time.Duration // maximum duration of an ejection
 	ProbeEvery      time.Duration // interval of probes of a suspect or ejected backend server
 	RampFor         time.Duration // duration of the ramp from LeastWeight to full weight
-	LeastWeight     float64       // weight at the start of the ramp
+	MinWeight     float64       // weight at the start of the ramp
 }
 
 // DefaultConfig returns thresholds for engines that answer within milliseconds.
 func DefaultConfig() Config {
 	return Config{
 		FailuresToEject: 3, EjectFor: 2 * time.Second, MaxEjectFor: time.Minute,
-		ProbeEvery: 250 * time.Millisecond, RampFor: 3 * time.Second, LeastWeight: 0.2,
+		ProbeEvery: 250 * time.Millisecond, RampFor: 3 * time.Second, MinWeight: 0.2,
 	}
 }
 
@@ -151,7 +151,7 @@
 		return 1
 	}
 	done := float64(now.Sub(r.since)) / float64(d.cfg.RampFor)
-	return min(1, d.cfg.LeastWeight+(1-d.cfg.LeastWeight)*done)
+	return min(1, d.cfg.MinWeight+(1-d.cfg.MinWeight)*done)
 }
 
 // Observe processes a signal and returns the transition that it causes, if any.
