--- a/forward/conditions_test.go
+++ b/forward/conditions_test.go
@@ -50,12 +50,12 @@
 	before := l.conditions.slowVersion()
 	l.SetConditions(map[string]relay.Condition{"s": {MemoryUsed: 0.96, Waiting: 3}})
 	got := l.Of("s", 10, time.Now())
-	require.InDelta(t, 0.96, got.Full, 0)
+	require.InDelta(t, 0.96, got.MemoryUsed, 0)
 	require.Equal(t, 3, got.Waiting)
 	require.Equal(t, before, l.conditions.slowVersion())
 	l.SetConditions(map[string]relay.Condition{"s": {Slowdown: 3}})
 	require.Greater(t, l.conditions.slowVersion(), before)
-	require.Zero(t, l.Of("s", 10, time.Now()).Full)
+	require.Zero(t, l.Of("s", 10, time.Now()).MemoryUsed)
 }
 
 // Reported memory usage counts only after a start or if requests follow a split; otherwise
@@ -77,14 +77,14 @@
 			}
 			return pipeline.Load{}
 		}
-		require.InDelta(t, 0.96, seen().Full, 0, "the other daemons' loads are unknown")
+		require.InDelta(t, 0.96, seen().MemoryUsed, 0, "the other daemons' loads are unknown")
 		time.Sleep(startupGrace)
 		f.loads.SetOthers(relay.Loads{Daemons: 5})
 		time.Sleep(time.Millisecond)
-		require.Zero(t, seen().Full)
+		require.Zero(t, seen().MemoryUsed)
 		require.Equal(t, 3, seen().Waiting)
 		f.splits.byService[labService] = &split{needed: true}
-		require.InDelta(t, 0.96, seen().Full, 0, "requests follow a split")
+		require.InDelta(t, 0.96, seen().MemoryUsed, 0, "requests follow a split")
 	})
 }
 
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -256,7 +256,7 @@
 		}
 		load := f.loads.Of(s.ID, daemons, now)
 		if !useReportedMemory {
-			load.Full = 0
+			load.MemoryUsed = 0
 		}
 		load.WaitMS = max(0, float64(waits[s.ID]-queueWaitThreshold)/float64(time.Millisecond))
 		out = append(out, pipeline.Candidate{Server: s, Load: load})
--- a/forward/loads.go
+++ b/forward/loads.go
@@ -81,7 +81,7 @@
 func (l *Loads) Of(id string, daemons float64, now time.Time) pipeline.Load {
 	load := l.total(id, daemons, now)
 	reported := l.conditions.of(id)
-	load.Slowdown, load.Full, load.Waiting = reported.Slowdown, reported.MemoryUsed, reported.Waiting
+	load.Slowdown, load.MemoryUsed, load.Waiting = reported.Slowdown, reported.MemoryUsed, reported.Waiting
 	return load
 }
 
--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -32,9 +32,9 @@
 	// Slowdown is the ratio of its times to those predicted for its kind. Values
 	// below 1 count as 1.
 	Slowdown float64
-	// Full is the fraction of its memory that it reports as used, 0 unless it is
+	// MemoryUsed is the fraction of its memory that it reports as used, 0 unless it is
 	// known to be saturated.
-	Full float64
+	MemoryUsed float64
 	// Waiting is the number of requests that it reports as waiting.
 	Waiting int
 }
@@ -190,7 +190,7 @@
 	if capacity <= 0 {
 		return math.Inf(1)
 	}
-	used := max(c.Load.KVUsed/capacity, c.Load.Full)
+	used := max(c.Load.KVUsed/capacity, c.Load.MemoryUsed)
 	if c.Load.Waiting > 0 {
 		used = max(used, 1)
 	}
--- a/pipeline/choose_test.go
+++ b/pipeline/choose_test.go
@@ -131,8 +131,8 @@
 	capacity := e.KVCapacity("fast", n)
 	one := full(Load{})
 	require.InDelta(t, 0.5+one, full(Load{KVUsed: capacity / 2}), 1e-9)
-	require.InDelta(t, 0.8+one, full(Load{KVUsed: capacity / 2, Full: 0.8}), 1e-9)
-	require.InDelta(t, 0.9+one, full(Load{KVUsed: 0.9 * capacity, Full: 0.8}), 1e-9)
+	require.InDelta(t, 0.8+one, full(Load{KVUsed: capacity / 2, MemoryUsed: 0.8}), 1e-9)
+	require.InDelta(t, 0.9+one, full(Load{KVUsed: 0.9 * capacity, MemoryUsed: 0.8}), 1e-9)
 	require.Greater(t, full(Load{Waiting: 1}), 1.0)
 
 	cs := twoPipelines(e)
@@ -140,7 +140,7 @@
 	c, err := Choose(q, cs, nil)
 	require.NoError(t, err)
 	require.Equal(t, cs[2].Server.ID, c.Path[0].Server.ID)
-	cs[2].Load.Full = 1
+	cs[2].Load.MemoryUsed = 1
 	_, err = Choose(q, cs, nil)
 	require.ErrorIs(t, err, ErrFull, "requests without capacity are refused at once")
 }
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -290,7 +290,7 @@
 		}
 		out[i].Load.OwnKV = own.KVUsed * float64(sim.daemons)
 		if len(sim.serverReports) > 0 {
-			out[i].Load.Full, out[i].Load.Waiting = sim.serverReports[0][i].Full, sim.serverReports[0][i].Waiting
+			out[i].Load.MemoryUsed, out[i].Load.Waiting = sim.serverReports[0][i].MemoryUsed, sim.serverReports[0][i].Waiting
 		}
 	}
 	return out
@@ -345,9 +345,9 @@
 	out := make([]Load, len(sim.actual))
 	for i, l := range sim.actual {
 		s := sim.cs[i].Server
-		out[i].Full = l.KVUsed / sim.engine.KVCapacity(s.Kind, s.Held.Len())
-		if out[i].Full > 1 {
-			out[i] = Load{Full: 1, Waiting: 1}
+		out[i].MemoryUsed = l.KVUsed / sim.engine.KVCapacity(s.Kind, s.Held.Len())
+		if out[i].MemoryUsed > 1 {
+			out[i] = Load{MemoryUsed: 1, Waiting: 1}
 		}
 	}
 	return out
