--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -357,7 +357,7 @@
 		if had[h.Server.ID] == h.Layers {
 			continue
 		}
-		prefill := pipeline.HopReadMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(labPrompt+s.next*labTokens))
+		prefill := pipeline.HopPrefillMS(l.engine, h.Server.Kind, h.Layers.Len(), float64(labPrompt+s.next*labTokens))
 		at = later(at, server.readFree).Add(milliseconds(prefill))
 		server.readFree = at
 	}
--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -155,7 +155,7 @@
 		s := c.Server
 		n := s.Held.Len()
 		step := HopStepMS(q.Engine, s.Kind, n, c.Load.Running+1, q.Tokens.Mean())
-		prefill := HopReadMS(q.Engine, s.Kind, n, q.Tokens.Prompt)
+		prefill := HopPrefillMS(q.Engine, s.Kind, n, q.Tokens.Prompt)
 		out[i].perLayer = c.Load.slowed(step*stepsWeight+prefill) / float64(max(1, n))
 		full := fullness(q, c, n)
 		out[i].perLayer *= 1 + spreadWeight*min(maxSpreadRatio, c.Load.OwnKV/max(1, q.Engine.KVCapacity(s.Kind, n)))
@@ -212,7 +212,7 @@
 		if i > 0 && c.Path[i-1].Server.FailureDomain != h.Server.FailureDomain {
 			c.FirstMS += CrossDomainPrefillMS(q.Engine, q.Tokens.Prompt)
 		}
-		c.FirstMS += ms + link + s.cand.Load.slowed(HopReadMS(q.Engine, h.Server.Kind, h.Layers.Len(), q.Tokens.Prompt))
+		c.FirstMS += ms + link + s.cand.Load.slowed(HopPrefillMS(q.Engine, h.Server.Kind, h.Layers.Len(), q.Tokens.Prompt))
 		if _, kept := q.Keep[h.Server.ID]; !kept {
 			c.Fullest = max(c.Fullest, fullness(q, s.cand, h.Layers.Len()))
 		}
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -19,9 +19,9 @@
 	return e.Kinds[kind].Pace * layerShare(e, layers) * (e.StepMS + n*perRequest)
 }
 
-// HopReadMS predicts how long a backend server takes to process a prompt in a number of
+// HopPrefillMS predicts how long a backend server takes to process a prompt in a number of
 // layers, in milliseconds. prompt is its length in tokens.
-func HopReadMS(e *site.Engine, kind string, layers int, prompt float64) float64 {
+func HopPrefillMS(e *site.Engine, kind string, layers int, prompt float64) float64 {
 	if e.PrefillPerSecond <= 0 {
 		return 0
 	}
