--- a/forward/limits.go
+++ b/forward/limits.go
@@ -14,13 +14,13 @@
 	if !report.Named && !(report.Call == CallRequest && report.Ran) {
 		return
 	}
-	update := quota.LimitReport{Server: report.Server, Named: report.Named, Rate: report.Rate, SentAt: report.SentAt, At: boottime.Now()}
+	update := quota.LimitReport{Server: report.Server, Stated: report.Named, Rate: report.Rate, SentAt: report.SentAt, At: boottime.Now()}
 	f.applyLimit(update, "by", report.Call, "request", report.RequestID)
 }
 
 // ApplyLimitFrom updates a backend server's limit by a report of another daemon.
 func (f *Forwarder) ApplyLimitFrom(report quota.LimitReport, daemon string) {
-	if f.applyLimit(report, "told_by", daemon) == quota.Unchanged && !report.Named {
+	if f.applyLimit(report, "told_by", daemon) == quota.Unchanged && !report.Stated {
 		f.limits.Retell(report.Server)
 	}
 }
--- a/permit/fleet_test.go
+++ b/permit/fleet_test.go
@@ -125,7 +125,7 @@
 				time.Sleep(2*preferredCheckInterval + time.Second) // all daemons have linked to the first one
 				start := time.Now()
 				now := boottime.Now()
-				f.limits[c.daemons/2].Apply(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now, At: now})
+				f.limits[c.daemons/2].Apply(quota.LimitReport{Server: "s", Stated: true, Rate: rate, SentAt: now, At: now})
 				for f.countKnown() < c.daemons && time.Since(start) < time.Second {
 					time.Sleep(time.Millisecond)
 				}
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -89,7 +89,7 @@
 // stateLimit reports a limit to one daemon.
 func (f *realFleet) stateLimit(daemon int, rate float64) {
 	now := boottime.Now()
-	f.limits[daemon].Apply(quota.LimitReport{Server: "s", Named: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
+	f.limits[daemon].Apply(quota.LimitReport{Server: "s", Stated: true, Rate: rate, SentAt: now.Add(-time.Millisecond), At: now})
 }
 
 // take requests permits at some daemons repeatedly for a time, and returns how many were
@@ -165,7 +165,7 @@
 		sent := time.Duration(rapid.IntRange(0, 5000).Draw(t, "sent")) * time.Millisecond
 		received := time.Duration(rapid.IntRange(0, int(sent.Milliseconds())).Draw(t, "came")) * time.Millisecond
 		report := quota.LimitReport{
-			Server: rapid.String().Draw(t, "server"), Named: rapid.Bool().Draw(t, "named"),
+			Server: rapid.String().Draw(t, "server"), Stated: rapid.Bool().Draw(t, "named"),
 			Rate: rapid.Float64Range(0, 1e6).Draw(t, "rate"), SentAt: now.Add(-sent), At: now.Add(-received),
 		}
 		data, err := cbor.Marshal(&frame{Reports: packReports([]quota.LimitReport{report}, now)})
@@ -174,7 +174,7 @@
 		require.NoError(t, cbor.Unmarshal(data, &f))
 		require.True(t, f.Reports[0].valid())
 		got := f.Reports[0].unpack(now)
-		if !report.Named {
+		if !report.Stated {
 			got.SentAt = got.SentAt.Add(reportSlack)
 		}
 		require.Equal(t, report, got)
--- a/permit/wire.go
+++ b/permit/wire.go
@@ -27,14 +27,14 @@
 	out := make([]packedReport, len(reports))
 	for i, r := range reports {
 		age := max(0, now.Sub(r.At))
-		out[i] = packedReport{Server: r.Server, Stated: r.Named, Rate: r.Rate, SentAge: max(age, now.Sub(r.SentAt)), Age: age}
+		out[i] = packedReport{Server: r.Server, Stated: r.Stated, Rate: r.Rate, SentAge: max(age, now.Sub(r.SentAt)), Age: age}
 	}
 	return out
 }
 
 func (p *packedReport) unpack(now time.Time) quota.LimitReport {
-	r := quota.LimitReport{Server: p.Server, Named: p.Stated, Rate: p.Rate, SentAt: now.Add(-p.SentAge), At: now.Add(-p.Age)}
-	if !r.Named {
+	r := quota.LimitReport{Server: p.Server, Stated: p.Stated, Rate: p.Rate, SentAt: now.Add(-p.SentAge), At: now.Add(-p.Age)}
+	if !r.Stated {
 		r.SentAt = r.SentAt.Add(-reportSlack)
 	}
 	return r
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -12,7 +12,7 @@
 	for _, c := range []struct{ daemons, workspaces int }{{8, 10}, {300, 24}, {300, 64}} {
 		b.Run(fmt.Sprintf("daemons=%d/workspaces=%d", c.daemons, c.workspaces), func(b *testing.B) {
 			limits := NewLimits()
-			limits.Apply(LimitReport{Server: "s", Named: true, Rate: 10, SentAt: t0, At: t0})
+			limits.Apply(LimitReport{Server: "s", Stated: true, Rate: 10, SentAt: t0, At: t0})
 			p := NewPool("d000", limits, NewSends())
 			var names []string
 			for i := range c.daemons {
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -126,7 +126,7 @@
 			continue
 		}
 		if !d.limitAt.IsZero() && !f.now.Before(d.limitAt) {
-			d.limits.Apply(LimitReport{Server: limitedServer, Named: true, Rate: f.limit, SentAt: f.now, At: f.now})
+			d.limits.Apply(LimitReport{Server: limitedServer, Stated: true, Rate: f.limit, SentAt: f.now, At: f.now})
 			if d.limitKnownAt.IsZero() {
 				d.limitKnownAt = f.now
 			}
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -12,7 +12,7 @@
 // The limit applies to all daemons together. Times are of the clock of package boottime.
 type LimitReport struct {
 	Server string    // incarnation
-	Named  bool      // the answer states a limit
+	Stated  bool      // the answer states a limit
 	Rate   float64   // the limit in requests a second, if stated
 	SentAt time.Time // when the request of the answer was sent
 	At     time.Time // when the answer was received
@@ -79,14 +79,14 @@
 	defer l.mu.Unlock()
 	s := l.states[r.Server]
 	if s == nil {
-		if !r.Named {
+		if !r.Stated {
 			return Unchanged, Limit{}, Limit{}
 		}
 		s = &limitState{}
 		l.states[r.Server] = s
 	}
 	before = s.limit
-	if r.Named {
+	if r.Stated {
 		c = s.setLimit(r)
 	} else {
 		c = s.endLimit(r)
@@ -252,7 +252,7 @@
 	slices.SortFunc(changed, func(x, y *limitState) int { return cmp.Compare(x.version, y.version) })
 	for _, s := range changed {
 		if s.stated {
-			reports = append(reports, LimitReport{Server: s.limit.Server, Named: true, Rate: s.limit.Rate, SentAt: s.sentAt, At: s.limit.At})
+			reports = append(reports, LimitReport{Server: s.limit.Server, Stated: true, Rate: s.limit.Rate, SentAt: s.sentAt, At: s.limit.At})
 		} else {
 			reports = append(reports, s.endedBy)
 		}
--- a/quota/limits_test.go
+++ b/quota/limits_test.go
@@ -11,7 +11,7 @@
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 	limits := NewLimits()
 	observe := func(stated bool, rate float64, sent, received int) Change {
-		c, _, _ := limits.Apply(LimitReport{Server: "s", Named: stated, Rate: rate, SentAt: at(sent), At: at(received)})
+		c, _, _ := limits.Apply(LimitReport{Server: "s", Stated: stated, Rate: rate, SentAt: at(sent), At: at(received)})
 		return c
 	}
 	require.Equal(t, Unchanged, observe(false, 0, 0, 10), "no limit was stated")
