--- a/forward/limits.go
+++ b/forward/limits.go
@@ -21,7 +21,7 @@
 // ApplyLimitFrom updates a backend server's limit by a report of another daemon.
 func (f *Forwarder) ApplyLimitFrom(report quota.LimitReport, daemon string) {
 	if f.applyLimit(report, "told_by", daemon) == quota.Unchanged && !report.Stated {
-		f.limits.Retell(report.Server)
+		f.limits.Republish(report.Server)
 	}
 }
 
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -158,9 +158,9 @@
 	return append(out, Declared{Server: server, Change: c, Rate: rate})
 }
 
-// Retell publishes a limit in force again, for a daemon that considers it ended because
+// Republish publishes a limit in force again, for a daemon that considers it ended because
 // it has missed a later report.
-func (l *Limits) Retell(server string) {
+func (l *Limits) Republish(server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.states[server]; s != nil && s.stated {
