--- a/peer/quota.go
+++ b/peer/quota.go
@@ -41,7 +41,7 @@
 
 // ReportQuotas reports demands to the owners until ctx ends.
 func (n *Node) ReportQuotas(ctx context.Context) {
-	t := time.NewTicker(quota.ReportEvery)
+	t := time.NewTicker(quota.ReportInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -19,7 +19,7 @@
 
 // Periods of demands and grants.
 const (
-	ReportEvery = 5 * time.Second
+	ReportInterval = 5 * time.Second
 	GrantFor    = 15 * time.Second // time to live of a demand or a grant
 )
 
