--- a/quota/quota.go
+++ b/quota/quota.go
@@ -20,7 +20,7 @@
 // Periods of demands and grants.
 const (
 	ReportInterval = 5 * time.Second
-	GrantFor    = 15 * time.Second // time to live of a demand or a grant
+	GrantTTL    = 15 * time.Second // time to live of a demand or a grant
 )
 
 // evenShare is the fraction of a limit that is split evenly.
@@ -81,7 +81,7 @@
 // sums returns the demand of all daemons and the shares granted to the others by demand.
 func (o *Owner) sums(entries map[string]*demandEntry, daemon string, now time.Time) (total, others float64) {
 	for name, e := range entries {
-		if now.Sub(e.at) > GrantFor {
+		if now.Sub(e.at) > GrantTTL {
 			delete(entries, name)
 			continue
 		}
@@ -144,5 +144,5 @@
 
 // Take applies a grant.
 func (t *Tracker) Take(g Grant, now time.Time) {
-	t.grants[g.Workspace] = grantEntry{share: g.Share, until: now.Add(GrantFor)}
+	t.grants[g.Workspace] = grantEntry{share: g.Share, until: now.Add(GrantTTL)}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -23,7 +23,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond)
 			d := fmt.Sprint("d", rapid.IntRange(0, n-1).Draw(t, "daemon"))
 			share[d] = o.Grant(d, Demand{Workspace: "w", Rate: rapid.Float64Range(0, 100).Draw(t, "rate")}, n, now).Share
-			until[d] = now.Add(GrantFor)
+			until[d] = now.Add(GrantTTL)
 			sum := 0.0
 			for d, s := range share {
 				if now.Before(until[d]) {
