--- a/dispatch/calllimits.go
+++ b/dispatch/calllimits.go
@@ -56,7 +56,7 @@
 		d := l.permits.Permit(ctx, quota.PermitRequest{Servers: limited, Class: c})
 		if !d.Granted {
 			l.denials.Add(c, d, now)
-			return l.newLimitReached(d.Server, d.Back)
+			return l.newLimitReached(d.Server, d.RetryAfter)
 		}
 	}
 	for _, s := range servers {
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -60,7 +60,7 @@
 				if denied > 0 && s.Held.Has(0) {
 					denied--
 					f.ApplyLimit(LimitReport{Server: id, Call: CallReport, Named: true, Rate: 1, SentAt: boottime.Now()})
-					f.denials.Add(r.class(), quota.Decision{Server: id, After: time.Hour, Back: time.Hour}, boottime.Now())
+					f.denials.Add(r.class(), quota.Decision{Server: id, After: time.Hour, RetryAfter: time.Hour}, boottime.Now())
 				}
 			}
 			b.ReportAllocs()
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -93,7 +93,7 @@
 	if len(s.script) > 0 {
 		granted, s.script = s.script[0], s.script[1:]
 	}
-	return quota.Decision{Granted: granted, Server: r.Servers[0], After: time.Minute, Back: time.Minute}
+	return quota.Decision{Granted: granted, Server: r.Servers[0], After: time.Minute, RetryAfter: time.Minute}
 }
 
 // fixed is an inventory and a fleet of one daemon that do not change.
--- a/forward/permit.go
+++ b/forward/permit.go
@@ -67,7 +67,7 @@
 	r.f.denials.Add(class, d, boottime.Now())
 	limit, _ := r.f.limits.Of(d.Server)
 	r.f.log.Add("limit_reached", "request", r.req.ID, "server", d.Server, "rate", limit.Rate, "known_for", limitAge(limit, boottime.Now()),
-		"priority", class.Priority, "workspace", class.Workspace, "after", d.After.Round(time.Millisecond), "back", d.Back.Round(time.Millisecond))
+		"priority", class.Priority, "workspace", class.Workspace, "after", d.After.Round(time.Millisecond), "back", d.RetryAfter.Round(time.Millisecond))
 	return false
 }
 
--- a/permit/allocator.go
+++ b/permit/allocator.go
@@ -115,5 +115,5 @@
 func (l *contributor) decide(ctx context.Context, in *permitRequest) error {
 	request := quota.PermitRequest{Servers: in.Servers, Class: quota.Class{Priority: in.Priority, Workspace: in.Workspace}}
 	d := l.node.opts.Pool.Decide(l.name, request, boottime.Now())
-	return writeFrame(ctx, l.conn, &frame{Decision: &decision{Number: in.Number, Granted: d.Granted, Server: d.Server, After: d.After, RetryAfter: d.Back}})
+	return writeFrame(ctx, l.conn, &frame{Decision: &decision{Number: in.Number, Granted: d.Granted, Server: d.Server, After: d.After, RetryAfter: d.RetryAfter}})
 }
--- a/permit/follow.go
+++ b/permit/follow.go
@@ -275,7 +275,7 @@
 	a.mu.Lock()
 	delete(a.pending, number) // a later decision is ignored
 	a.mu.Unlock()
-	return quota.Decision{Server: r.Servers[0], After: decisionTimeout, Back: decisionTimeout}
+	return quota.Decision{Server: r.Servers[0], After: decisionTimeout, RetryAfter: decisionTimeout}
 }
 
 // decided handles a decision. Granted calls count as sent at once, so that the answer to
@@ -294,5 +294,5 @@
 			a.node.opts.Sends.Add(server, now)
 		}
 	}
-	q.decided <- quota.Decision{Granted: d.Granted, Server: d.Server, After: d.After, Back: d.RetryAfter}
+	q.decided <- quota.Decision{Granted: d.Granted, Server: d.Server, After: d.After, RetryAfter: d.RetryAfter}
 }
--- a/quota/denials.go
+++ b/quota/denials.go
@@ -36,7 +36,7 @@
 	if len(d.all) >= maxDenials {
 		maps.DeleteFunc(d.all, func(_ denialKey, v denial) bool { return !now.Before(v.until) })
 	}
-	d.all[denialKey{denied.Server, c}] = denial{until: now.Add(denied.After), retryAt: now.Add(denied.Back)}
+	d.all[denialKey{denied.Server, c}] = denial{until: now.Add(denied.After), retryAt: now.Add(denied.RetryAfter)}
 }
 
 // Of reports whether a backend server is known to have no capacity for a class. If so,
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -55,7 +55,7 @@
 	Granted bool
 	Server  string        // the backend server whose limit denies the request
 	After   time.Duration // time until a permit may be requested again
-	Back    time.Duration // time until a refused caller may retry
+	RetryAfter    time.Duration // time until a refused caller may retry
 }
 
 // Pool grants permits from the parts contributed to it. It is safe for concurrent use.
@@ -166,7 +166,7 @@
 	defer p.mu.Unlock()
 	share := p.share(now)
 	if daemon != p.self && p.parts[daemon] == nil {
-		return Decision{Server: r.Servers[0], After: minWait, Back: minWait} // its part has expired or is about to
+		return Decision{Server: r.Servers[0], After: minWait, RetryAfter: minWait} // its part has expired or is about to
 	}
 	var limited []*bucket
 	var servers []string
@@ -192,15 +192,15 @@
 func (p *Pool) decide(b *bucket, server string, limit, share float64, c Class, now time.Time) Decision {
 	if share == 0 {
 		after := max(minWait, p.lentUntil.Sub(now))
-		return Decision{Server: server, After: after, Back: after}
+		return Decision{Server: server, After: after, RetryAfter: after}
 	}
 	if sent := p.sent(server, now); float64(sent+1) > max(1, share*windowOf(limit)) {
 		b.deny(c, now)
-		return Decision{Server: server, After: windowRetryInterval, Back: max(windowRetryInterval, b.retryAfter(c, now))}
+		return Decision{Server: server, After: windowRetryInterval, RetryAfter: max(windowRetryInterval, b.retryAfter(c, now))}
 	}
 	if !b.allows(c, now) {
 		b.deny(c, now)
-		return Decision{Server: server, After: b.due(c, now), Back: b.retryAfter(c, now)}
+		return Decision{Server: server, After: b.due(c, now), RetryAfter: b.retryAfter(c, now)}
 	}
 	return Decision{Granted: true}
 }
