--- a/peer/link.go
+++ b/peer/link.go
@@ -138,7 +138,7 @@
 // Configuration is sent on request, after heartbeats have been compared.
 func (n *Node) sendState(l *link) {
 	n.mu.Lock()
-	f := &Frame{Members: n.members.All(), Beat: &Heartbeat{Mark: n.catalog.Mark()}}
+	f := &Frame{Members: n.members.All(), Heartbeat: &Heartbeat{Mark: n.catalog.Mark()}}
 	if vms := n.vms; vms.ReadAt > 0 {
 		f.VMs = &vms
 	}
@@ -215,8 +215,8 @@
 	if len(f.Snapshot) > 0 {
 		n.applySnapshot(l, f.Snapshot)
 	}
-	if f.Beat != nil {
-		n.compareMarks(l, f.Beat, now)
+	if f.Heartbeat != nil {
+		n.compareMarks(l, f.Heartbeat, now)
 	}
 }
 
--- a/peer/node.go
+++ b/peer/node.go
@@ -114,7 +114,7 @@
 // tick sends heartbeats, closes silent links and opens missing ones.
 func (n *Node) tick(ctx context.Context) {
 	now := time.Now()
-	n.broadcast(&Frame{Beat: &Heartbeat{Mark: n.catalog.Mark()}}, "")
+	n.broadcast(&Frame{Heartbeat: &Heartbeat{Mark: n.catalog.Mark()}}, "")
 	n.mu.Lock()
 	for _, m := range n.members.Tick(now) {
 		_ = level.Info(n.logger).Log("msg", "peer dead", "peer", m.Name)
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -17,7 +17,7 @@
 // Frame is a message on a link. Fields that are not set are not sent.
 type Frame struct {
 	Hello    *Hello           `cbor:"1,keyasint,omitempty"`
-	Beat     *Heartbeat       `cbor:"2,keyasint,omitempty"`
+	Heartbeat     *Heartbeat       `cbor:"2,keyasint,omitempty"`
 	Members  []Member         `cbor:"3,keyasint,omitempty"`
 	Objects  []store.Object   `cbor:"4,keyasint,omitempty"`
 	Statuses []backend.Status `cbor:"5,keyasint,omitempty"`
