--- a/peer/link.go
+++ b/peer/link.go
@@ -209,8 +209,8 @@
 	if f.VMs != nil {
 		n.applyVMs(*f.VMs, l.peer.Name)
 	}
-	if f.Want != nil {
-		n.sendMissing(l, f.Want)
+	if f.ConfigRequest != nil {
+		n.sendMissing(l, f.ConfigRequest)
 	}
 	if len(f.Snapshot) > 0 {
 		n.applySnapshot(l, f.Snapshot)
@@ -307,7 +307,7 @@
 		return
 	}
 	n.configRequestedAt = now
-	data, err := encode(&Frame{Want: &ConfigRequest{Mark: own}})
+	data, err := encode(&Frame{ConfigRequest: &ConfigRequest{Mark: own}})
 	if err == nil {
 		l.send(data)
 	}
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -21,7 +21,7 @@
 	Members  []Member         `cbor:"3,keyasint,omitempty"`
 	Objects  []store.Object   `cbor:"4,keyasint,omitempty"`
 	Statuses []backend.Status `cbor:"5,keyasint,omitempty"`
-	Want     *ConfigRequest   `cbor:"6,keyasint,omitempty"`
+	ConfigRequest     *ConfigRequest   `cbor:"6,keyasint,omitempty"`
 	Snapshot []byte           `cbor:"7,keyasint,omitempty"` // gzip of CBOR of objects
 	VMs      *VMList          `cbor:"8,keyasint,omitempty"`
 }
