--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -158,7 +158,7 @@
 	}
 	for _, name := range names {
 		p := &testPeers{self: name, registries: registries, names: names, down: down, failureRate: failureRate}
-		registries[name] = NewRegistry(Options{Self: name, Shards: 4, Window: window, KeepBytes: 1 << 20}, store, p, time.Now)
+		registries[name] = NewRegistry(Options{Self: name, Shards: 4, Window: window, MaxStoredBytes: 1 << 20}, store, p, time.Now)
 	}
 	return registries, down
 }
--- a/claims/registry.go
+++ b/claims/registry.go
@@ -42,7 +42,7 @@
 	Self      string
 	Shards    int
 	Window    Window
-	KeepBytes int64 // memory limit for stored answers
+	MaxStoredBytes int64 // memory limit for stored answers
 }
 
 // Registry runs the request of the first use of a key and returns its answer to later
@@ -260,7 +260,7 @@
 // evict removes the oldest finished entries beyond the memory limit. The caller
 // holds reg.mu.
 func (reg *Registry) evict() {
-	for reg.storedBytes > reg.opts.KeepBytes && len(reg.finished) > 0 {
+	for reg.storedBytes > reg.opts.MaxStoredBytes && len(reg.finished) > 0 {
 		k := reg.finished[0]
 		reg.finished = reg.finished[1:]
 		if e := reg.entries[k]; e != nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -145,7 +145,7 @@
 	store := httpstore.New(d.cfg.Platform.URL, d.client(platformConns))
 	d.store = store
 	d.claimRegistry = claims.NewRegistry(claims.Options{
-		Self: d.cfg.Daemon.Name, Shards: d.cfg.Claims.Shards, KeepBytes: d.cfg.Claims.KeepBytes,
+		Self: d.cfg.Daemon.Name, Shards: d.cfg.Claims.Shards, MaxStoredBytes: d.cfg.Claims.KeepBytes,
 		Window: claims.Window{Retention: d.cfg.Claims.Retention, Skew: d.cfg.Claims.Skew},
 	}, store, peerAdapter{d}, time.Now)
 	scheme := "http"
