--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -176,7 +176,7 @@
 	return dispatch.New(dispatch.Options{
 		FailureDomain: d.cfg.Daemon.FailureDomain, FirstToken: d.cfg.Health.FirstToken, GapCeiling: d.cfg.Health.GapCeiling,
 		MaxAttempts: maxAttempts, RecoverWait: recoverTimeout, MoveAfter: moveThreshold,
-	}, dispatch.Parts{
+	}, dispatch.Dependencies{
 		Engine: engine, Catalog: d.catalog, Table: d.table, Planner: d.planner, Gate: d.gate,
 		Health: d.monitor, Alive: d.monitor, Warm: d.prefixes, Sealer: d.sealer, Log: d.decisions,
 		Observer: d.metrics, Clock: time.Now, Limits: d.limits.calls,
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -102,7 +102,7 @@
 	require.NoError(b, err)
 	limit := admission.DefaultLimitConfig()
 	limit.Initial = limit.Max
-	d := New(Options{FirstToken: time.Minute, GapCeiling: time.Minute, MaxAttempts: 4}, Parts{
+	d := New(Options{FirstToken: time.Minute, GapCeiling: time.Minute, MaxAttempts: 4}, Dependencies{
 		Engine: e, Catalog: staticCatalog{snap}, Table: table, Planner: routing.NewPlanner(table, time.Now),
 		Gate:   NewGate(GateOptions{MaxStreams: 1 << 20, QueueLimit: 10, Limit: limit}, table, time.Now),
 		Health: noop{}, Alive: noop{}, Warm: routing.NewPrefixes(), Sealer: sealer,
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -76,8 +76,8 @@
 	limits  *CallLimits
 }
 
-// Parts are the dependencies of a dispatcher.
-type Parts struct {
+// Dependencies are the dependencies of a dispatcher.
+type Dependencies struct {
 	Engine   backend.Engine
 	Catalog  Catalog
 	Table    *fleet.Table
@@ -98,7 +98,7 @@
 type Policy func(p *routing.Plan, l routing.Loads, o routing.Options, r *rand.Rand) (routing.Choice, error)
 
 // New returns a dispatcher.
-func New(o Options, p Parts) *Dispatcher {
+func New(o Options, p Dependencies) *Dispatcher {
 	if p.Choose == nil {
 		p.Choose = routing.Choose
 	}
--- a/dispatch/service_test.go
+++ b/dispatch/service_test.go
@@ -40,7 +40,7 @@
 			{Name: "a", Address: "a:1"}, {Name: "b", Address: "b:1"},
 		}}
 		table := fleet.NewTable()
-		d := New(Options{}, Parts{
+		d := New(Options{}, Dependencies{
 			Catalog: staticCatalog{snap}, Table: table, Observer: noop{}, Clock: time.Now,
 			Gate: NewGate(GateOptions{MaxStreams: 10, RetryRatio: 0.1}, table, time.Now), Log: decision.New(log.NewNopLogger(), 16),
 		})
