--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -178,7 +178,7 @@
 		MaxAttempts: maxAttempts, RecoverWait: recoverTimeout, MoveAfter: moveThreshold,
 	}, dispatch.Dependencies{
 		Engine: engine, Catalog: d.catalog, Table: d.table, Planner: d.planner, Gate: d.gate,
-		Health: d.monitor, Alive: d.monitor, Warm: d.prefixes, Sealer: d.sealer, Log: d.decisions,
+		Health: d.monitor, Prober: d.monitor, Warm: d.prefixes, Sealer: d.sealer, Log: d.decisions,
 		Observer: d.metrics, Clock: time.Now, Limits: d.limits.calls,
 	})
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -105,7 +105,7 @@
 	d := New(Options{FirstToken: time.Minute, GapCeiling: time.Minute, MaxAttempts: 4}, Dependencies{
 		Engine: e, Catalog: staticCatalog{snap}, Table: table, Planner: routing.NewPlanner(table, time.Now),
 		Gate:   NewGate(GateOptions{MaxStreams: 1 << 20, QueueLimit: 10, Limit: limit}, table, time.Now),
-		Health: noop{}, Alive: noop{}, Warm: routing.NewPrefixes(), Sealer: sealer,
+		Health: noop{}, Prober: noop{}, Warm: routing.NewPrefixes(), Sealer: sealer,
 		Log: decision.New(log.NewLogfmtLogger(io.Discard), 4096), Observer: noop{}, Clock: time.Now,
 	})
 	return d, &topology.Workspace{Name: "w"}
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -84,7 +84,7 @@
 	Planner  *routing.Planner
 	Gate     *Gate
 	Health   HealthSink
-	Alive    Prober
+	Prober    Prober
 	Warm     Warm
 	Sealer   *Sealer
 	Log      *decision.Log
@@ -104,7 +104,7 @@
 	}
 	return &Dispatcher{
 		opts: o, engine: p.Engine, catalog: p.Catalog, table: p.Table, planner: p.Planner, gate: p.Gate,
-		health: p.Health, prober: p.Alive, warm: p.Warm, sealer: p.Sealer, log: p.Log, observe: p.Observer,
+		health: p.Health, prober: p.Prober, warm: p.Warm, sealer: p.Sealer, log: p.Log, observe: p.Observer,
 		clock: p.Clock, policy: p.Choose, limits: p.Limits,
 	}
 }
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -184,7 +184,7 @@
 		FailureDomain: fmt.Sprint("d", i%3), FirstToken: 10 * time.Second, GapCeiling: 2 * time.Second, MaxAttempts: 8, RecoverWait: 10 * time.Second, MoveAfter: time.Minute,
 	}, dispatch.Dependencies{
 		Engine: l, Catalog: simCatalog{l.snap}, Table: table, Planner: routing.NewPlanner(table, time.Now), Gate: gate,
-		Health: m, Alive: m, Warm: routing.NewPrefixes(), Sealer: sealer, Log: decisions, Observer: simObserver{l}, Clock: time.Now, Choose: policy,
+		Health: m, Prober: m, Warm: routing.NewPrefixes(), Sealer: sealer, Log: decisions, Observer: simObserver{l}, Clock: time.Now, Choose: policy,
 	}))
 }
 
