--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -53,7 +53,7 @@
 	FirstToken    time.Duration // longest time to the first token of an attempt
 	GapCeiling    time.Duration // longest time between two tokens
 	MaxAttempts   int           // attempts per request, the first included
-	RecoverWait   time.Duration // longest wait for another route after an attempt failed
+	RecoverTimeout   time.Duration // longest wait for another route after an attempt failed
 	MoveAfter     time.Duration // expected remaining time above which a stream moves off a leaving backend server
 }
 
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -61,7 +61,7 @@
 // reroute finds another route for the request, waiting up to RecoverWait for one,
 // and prepares the next attempt.
 func (r *run) reroute(ctx context.Context, res result, why string) error {
-	deadline := r.d.clock().Add(r.d.opts.RecoverWait)
+	deadline := r.d.clock().Add(r.d.opts.RecoverTimeout)
 	for {
 		changed := r.d.table.Changed()
 		c, err := r.repair()
