--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -175,7 +175,7 @@
 func (d *Daemon) dispatcher(engine backend.Engine) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Options{
 		FailureDomain: d.cfg.Daemon.FailureDomain, FirstToken: d.cfg.Health.FirstToken, GapCeiling: d.cfg.Health.GapCeiling,
-		MaxAttempts: maxAttempts, RecoverTimeout: recoverTimeout, MoveAfter: moveThreshold,
+		MaxAttempts: maxAttempts, RecoverTimeout: recoverTimeout, MoveThreshold: moveThreshold,
 	}, dispatch.Dependencies{
 		Engine: engine, Catalog: d.catalog, Table: d.table, Planner: d.planner, Gate: d.gate,
 		Health: d.monitor, Prober: d.monitor, Warm: d.prefixes, Sealer: d.sealer, Log: d.decisions,
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -54,7 +54,7 @@
 	GapCeiling    time.Duration // longest time between two tokens
 	MaxAttempts   int           // attempts per request, the first included
 	RecoverTimeout   time.Duration // longest wait for another route after an attempt failed
-	MoveAfter     time.Duration // expected remaining time above which a stream moves off a leaving backend server
+	MoveThreshold     time.Duration // expected remaining time above which a stream moves off a leaving backend server
 }
 
 // Dispatcher runs requests for models. It is safe for concurrent use.
--- a/dispatch/moving.go
+++ b/dispatch/moving.go
@@ -54,7 +54,7 @@
 // remaining time above which the stream should move off it.
 func (r *run) hopToLeave() (hop string, minRest time.Duration) {
 	if name := r.leavingHop(); name != "" {
-		return name, r.d.opts.MoveAfter
+		return name, r.d.opts.MoveThreshold
 	}
 	view := r.d.table.View()
 	for i := 1; i < len(r.route); i++ {
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -181,7 +181,7 @@
 	}
 	l.tables = append(l.tables, table)
 	l.daemons = append(l.daemons, dispatch.New(dispatch.Options{
-		FailureDomain: fmt.Sprint("d", i%3), FirstToken: 10 * time.Second, GapCeiling: 2 * time.Second, MaxAttempts: 8, RecoverTimeout: 10 * time.Second, MoveAfter: time.Minute,
+		FailureDomain: fmt.Sprint("d", i%3), FirstToken: 10 * time.Second, GapCeiling: 2 * time.Second, MaxAttempts: 8, RecoverTimeout: 10 * time.Second, MoveThreshold: time.Minute,
 	}, dispatch.Dependencies{
 		Engine: l, Catalog: simCatalog{l.snap}, Table: table, Planner: routing.NewPlanner(table, time.Now), Gate: gate,
 		Health: m, Prober: m, Warm: routing.NewPrefixes(), Sealer: sealer, Log: decisions, Observer: simObserver{l}, Clock: time.Now, Choose: policy,
