--- a/dispatch/gate.go
+++ b/dispatch/gate.go
@@ -44,11 +44,11 @@
 	Share(workspace string) float64
 }
 
-// WholeShare gives the daemon the full limit of every workspace.
-type WholeShare struct{}
+// FullShare gives the daemon the full limit of every workspace.
+type FullShare struct{}
 
 // Share implements Shares.
-func (WholeShare) Share(string) float64 { return 1 }
+func (FullShare) Share(string) float64 { return 1 }
 
 // budgetKey identifies a retry budget; subject is a model or a plain service.
 type budgetKey struct{ workspace, subject string }
@@ -77,7 +77,7 @@
 // NewGate returns an open gate.
 func NewGate(o GateOptions, table *fleet.Table, clock Clock) *Gate {
 	if o.Shares == nil {
-		o.Shares = WholeShare{}
+		o.Shares = FullShare{}
 	}
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
