--- a/admission/budget.go
+++ b/admission/budget.go
@@ -33,8 +33,8 @@
 	Slack float64 // fraction of the slack
 }
 
-// Whole is the entire budget.
-var Whole = Part{Ratio: 1, Slack: 1}
+// EntireBudget is the entire budget.
+var EntireBudget = Part{Ratio: 1, Slack: 1}
 
 // NewBudget returns a budget that allows, per window, ratio retries for each
 // request plus slack.
--- a/admission/budget_test.go
+++ b/admission/budget_test.go
@@ -48,10 +48,10 @@
 func TestBudgetRecoversAfterWindow(t *testing.T) {
 	b := NewBudget(0, 10, 10*time.Second)
 	now := time.Unix(1000, 0)
-	for b.Spend(now, Whole) {
+	for b.Spend(now, EntireBudget) {
 	}
-	require.False(t, b.Allows(now.Add(8*time.Second), Whole))
-	require.True(t, b.Allows(now.Add(11*time.Second), Whole))
+	require.False(t, b.Allows(now.Add(8*time.Second), EntireBudget))
+	require.True(t, b.Allows(now.Add(11*time.Second), EntireBudget))
 }
 
 // Each window must allow the earned retries in addition to the slack.
@@ -61,7 +61,7 @@
 	spent := 0
 	for range 1000 {
 		b.Earn(now)
-		for b.Spend(now, Whole) {
+		for b.Spend(now, EntireBudget) {
 			spent++
 		}
 	}
--- a/dispatch/limits.go
+++ b/dispatch/limits.go
@@ -67,7 +67,7 @@
 func (g *Gate) SpendRetry(workspace, subject string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.budget(workspace, subject).Spend(g.clock(), admission.Whole)
+	return g.budget(workspace, subject).Spend(g.clock(), admission.EntireBudget)
 }
 
 // EarnRetry counts a successful request towards the budget.
