--- a/api/operators.go
+++ b/api/operators.go
@@ -79,9 +79,9 @@
 	Ready() error
 	// Explain returns the retained decisions about a request or subject.
 	Explain(id string) []decision.Record
-	// Verdict returns the result of evaluating a configuration object; ok is false
+	// ObjectResult returns the result of evaluating a configuration object; ok is false
 	// if the object is unknown.
-	Verdict(kind, name string) (catalog.Result, bool)
+	ObjectResult(kind, name string) (catalog.Result, bool)
 }
 
 // Operators serves the operators' interface.
@@ -145,7 +145,7 @@
 }
 
 func (h *Operators) objectResult(w http.ResponseWriter, r *http.Request) {
-	result, ok := h.inspect.Verdict(r.PathValue("kind"), r.PathValue("name"))
+	result, ok := h.inspect.ObjectResult(r.PathValue("kind"), r.PathValue("name"))
 	if !ok {
 		writeError(w, apierror.New(apierror.UnknownRequest, "no such object is known here"))
 		return
--- a/daemon/inspect.go
+++ b/daemon/inspect.go
@@ -92,7 +92,7 @@
 	return d.decisions.Find(func(r *decision.Record) bool { return r.RequestID == id || r.Subject == id })
 }
 
-// Verdict implements api.Inspector.
-func (d *Daemon) Verdict(kind, name string) (catalog.Result, bool) {
+// ObjectResult implements api.Inspector.
+func (d *Daemon) ObjectResult(kind, name string) (catalog.Result, bool) {
 	return d.catalog.Result(kind, name)
 }
--- a/trial/input_test.go
+++ b/trial/input_test.go
@@ -111,7 +111,7 @@
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		v := w.Platform.Set(string(topology.KindModel), Model, &topology.Model{Layers: -1})
 		time.Sleep(time.Second)
-		state, ok := w.Daemons[0].daemon.Verdict(string(topology.KindModel), Model)
+		state, ok := w.Daemons[0].daemon.ObjectResult(string(topology.KindModel), Model)
 		require.True(t, ok)
 		require.Equal(t, v, state.Seen)
 		require.Less(t, state.InForce, v)
--- a/trial/outage_test.go
+++ b/trial/outage_test.go
@@ -63,7 +63,7 @@
 		r := <-edited
 		time.Sleep(15 * time.Second)
 		for _, p := range w.Daemons {
-			v, ok := p.daemon.Verdict(string(topology.KindBackendServer), "engine-1")
+			v, ok := p.daemon.ObjectResult(string(topology.KindBackendServer), "engine-1")
 			require.True(t, ok)
 			require.Equal(t, r.Version, v.InForce, p.Name)
 		}
