--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -130,7 +130,7 @@
 	repaired, err := Repair(p, idleLoads{}, Options{Avoid: map[string]bool{dead: true}}, c.Route)
 	require.NoError(t, err)
 	require.False(t, repaired.Route.Uses(dead))
-	require.Equal(t, 6, repaired.Route.Shared(c.Route))
+	require.Equal(t, 6, repaired.Route.SharedLayers(c.Route))
 }
 
 func TestWarmHead(t *testing.T) {
--- a/topology/layers.go
+++ b/topology/layers.go
@@ -76,8 +76,8 @@
 	return -1
 }
 
-// Shared returns how many layers both routes run on the same backend server.
-func (r Route) Shared(o Route) int {
+// SharedLayers returns how many layers both routes run on the same backend server.
+func (r Route) SharedLayers(o Route) int {
 	n := 0
 	for _, h := range r {
 		i := o.Index(h.BackendServer)
