--- a/claims/registry.go
+++ b/claims/registry.go
@@ -39,9 +39,9 @@
 
 // Options are the settings of a Registry.
 type Options struct {
-	Self      string
-	Shards    int
-	Window    Window
+	Self           string
+	Shards         int
+	Window         Window
 	MaxStoredBytes int64 // memory limit for stored answers
 }
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -49,12 +49,12 @@
 
 // Options are the settings of a dispatcher.
 type Options struct {
-	FailureDomain string
-	FirstToken    time.Duration // longest time to the first token of an attempt
-	GapCeiling    time.Duration // longest time between two tokens
-	MaxAttempts   int           // attempts per request, the first included
-	RecoverTimeout   time.Duration // longest wait for another route after an attempt failed
-	MoveThreshold     time.Duration // expected remaining time above which a stream moves off a leaving backend server
+	FailureDomain  string
+	FirstToken     time.Duration // longest time to the first token of an attempt
+	GapCeiling     time.Duration // longest time between two tokens
+	MaxAttempts    int           // attempts per request, the first included
+	RecoverTimeout time.Duration // longest wait for another route after an attempt failed
+	MoveThreshold  time.Duration // expected remaining time above which a stream moves off a leaving backend server
 }
 
 // Dispatcher runs requests for models. It is safe for concurrent use.
@@ -84,7 +84,7 @@
 	Planner  *routing.Planner
 	Gate     *Gate
 	Health   HealthSink
-	Prober    Prober
+	Prober   Prober
 	Warm     Warm
 	Sealer   *Sealer
 	Log      *decision.Log
--- a/health/cooldown.go
+++ b/health/cooldown.go
@@ -8,8 +8,8 @@
 
 // CooldownConfig sets how long a backend server gets no work after a refusal or a failure.
 type CooldownConfig struct {
-	Refused    time.Duration // after a refusal for lack of capacity
-	Failed     time.Duration // after a failure, multiplied by the number of consecutive failures
+	Refused   time.Duration // after a refusal for lack of capacity
+	Failed    time.Duration // after a failure, multiplied by the number of consecutive failures
 	MaxFailed time.Duration // maximum time after consecutive failures
 }
 
--- a/health/detector.go
+++ b/health/detector.go
@@ -71,7 +71,7 @@
 	MaxEjectFor     time.Duration // maximum duration of an ejection
 	ProbeEvery      time.Duration // interval of probes of a suspect or ejected backend server
 	RampFor         time.Duration // duration of the ramp from LeastWeight to full weight
-	MinWeight     float64       // weight at the start of the ramp
+	MinWeight       float64       // weight at the start of the ramp
 }
 
 // DefaultConfig returns thresholds for engines that answer within milliseconds.
--- a/peer/wire.go
+++ b/peer/wire.go
@@ -16,14 +16,14 @@
 
 // Frame is a message on a link. Fields that are not set are not sent.
 type Frame struct {
-	Hello    *Hello           `cbor:"1,keyasint,omitempty"`
+	Hello         *Hello           `cbor:"1,keyasint,omitempty"`
 	Heartbeat     *Heartbeat       `cbor:"2,keyasint,omitempty"`
-	Members  []Member         `cbor:"3,keyasint,omitempty"`
-	Objects  []store.Object   `cbor:"4,keyasint,omitempty"`
-	Statuses []backend.Status `cbor:"5,keyasint,omitempty"`
-	ConfigRequest     *ConfigRequest   `cbor:"6,keyasint,omitempty"`
-	Snapshot []byte           `cbor:"7,keyasint,omitempty"` // gzip of CBOR of objects
-	VMs      *VMList          `cbor:"8,keyasint,omitempty"`
+	Members       []Member         `cbor:"3,keyasint,omitempty"`
+	Objects       []store.Object   `cbor:"4,keyasint,omitempty"`
+	Statuses      []backend.Status `cbor:"5,keyasint,omitempty"`
+	ConfigRequest *ConfigRequest   `cbor:"6,keyasint,omitempty"`
+	Snapshot      []byte           `cbor:"7,keyasint,omitempty"` // gzip of CBOR of objects
+	VMs           *VMList          `cbor:"8,keyasint,omitempty"`
 }
 
 // VMList is a VM list that a watcher read from the platform.
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -105,11 +105,11 @@
 
 // Decision states whether a request may be sent.
 type Decision struct {
-	Quarantined  bool      // the request is quarantined
-	Until time.Time // when the next trial is due, or the entry expires if there are no trials
-	Trial bool      // the request may be sent as a trial
-	Score int
-	Ends  int // number of ends in the entry
+	Quarantined bool      // the request is quarantined
+	Until       time.Time // when the next trial is due, or the entry expires if there are no trials
+	Trial       bool      // the request may be sent as a trial
+	Score       int
+	Ends        int // number of ends in the entry
 }
 
 // Registry holds the evidence against requests to which the ends of backend servers may be
--- a/quota/limits.go
+++ b/quota/limits.go
@@ -12,7 +12,7 @@
 // The limit applies to all daemons together. Times are of the clock of package boottime.
 type LimitReport struct {
 	Server string    // incarnation
-	Stated  bool      // the answer states a limit
+	Stated bool      // the answer states a limit
 	Rate   float64   // the limit in requests a second, if stated
 	SentAt time.Time // when the request of the answer was sent
 	At     time.Time // when the answer was received
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -52,10 +52,10 @@
 
 // Decision answers a permit request.
 type Decision struct {
-	Granted bool
-	Server  string        // the backend server whose limit denies the request
-	After   time.Duration // time until a permit may be requested again
-	RetryAfter    time.Duration // time until a refused caller may retry
+	Granted    bool
+	Server     string        // the backend server whose limit denies the request
+	After      time.Duration // time until a permit may be requested again
+	RetryAfter time.Duration // time until a refused caller may retry
 }
 
 // Pool grants permits from the parts contributed to it. It is safe for concurrent use.
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -20,7 +20,7 @@
 // Periods of demands and grants.
 const (
 	ReportInterval = 5 * time.Second
-	GrantTTL    = 15 * time.Second // time to live of a demand or a grant
+	GrantTTL       = 15 * time.Second // time to live of a demand or a grant
 )
 
 // evenShare is the fraction of a limit that is split evenly.
