--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -77,7 +77,7 @@
 	return routing.Choose(p, noLinks{l}, o, r)
 }
 
-// noLinks reports no load for all links.
+// noLinks reports a load of zero for all links.
 type noLinks struct{ routing.Loads }
 
 // LinkLoad implements routing.Loads.
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -28,7 +28,7 @@
 // adapters lists, for packages that only translate a wire format, the packages of this
 // module that they may import and those that may import them. An adapter imports no
 // package that makes routing or placement decisions. Clocks and stall detection are
-// allowed, as time-outs are set where calls are made.
+// allowed, as timeouts are set where calls are made.
 var adapters = map[string]struct{ imports, importedBy []string }{
 	"platform": {
 		imports:    []string{"apierror", "boottime", "execution", "forward", "inventory", "site", "stall", "store"},
--- a/internal/memstore/http.go
+++ b/internal/memstore/http.go
@@ -86,16 +86,16 @@
 
 func (p *Platform) write(w http.ResponseWriter, r *http.Request) {
 	spec, err := io.ReadAll(io.LimitReader(r.Body, store.MaxValueBytes+1))
-	want, perr := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
+	ifMatch, perr := strconv.ParseUint(r.Header.Get("If-Match"), 10, 64)
 	if err != nil || perr != nil || len(spec) > store.MaxValueBytes {
 		http.Error(w, "bad write", http.StatusBadRequest)
 		return
 	}
 	o := store.Object{Kind: r.PathValue("kind"), Name: r.PathValue("name")}
 	if r.Method == http.MethodDelete {
-		o.Version, err = p.Store.Delete(r.Context(), o.Kind, o.Name, store.Position(want))
+		o.Version, err = p.Store.Delete(r.Context(), o.Kind, o.Name, store.Position(ifMatch))
 	} else {
-		o.Version, err = p.Store.Put(r.Context(), o.Kind, o.Name, spec, store.Position(want))
+		o.Version, err = p.Store.Put(r.Context(), o.Kind, o.Name, spec, store.Position(ifMatch))
 	}
 	answer(w, o, err)
 }
--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -141,7 +141,8 @@
 	return v, err
 }
 
-// apply writes o if its current revision is that of ifVersion.
+// apply writes o if the stored object has the revision of ifVersion. Otherwise it returns
+// store.ErrConflict.
 func (s *Store) apply(o store.Object, ifVersion store.Position) (store.Position, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,27 +161,27 @@
 	return written, nil
 }
 
-// Snapshot is a snapshot of a store.
+// Snapshot is the state of a store at one time.
 type Snapshot struct {
 	version uint64
 	objects map[store.ID]store.Object
 }
 
-// Snapshot returns a snapshot of the store.
+// Snapshot returns the current state.
 func (s *Store) Snapshot() *Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &Snapshot{version: s.version, objects: maps.Clone(s.objects)}
 }
 
-// Restore replaces the state by that of a copy. Later writes are lost, and their
+// Restore replaces the state with that of a snapshot. Later writes are lost, and their
 // revisions are assigned again in a new era.
-func (s *Store) Restore(c *Snapshot) {
+func (s *Store) Restore(snap *Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.era = max(s.era, 1) + 1 // a store that was never restored has era 0 here
-	s.version, s.objects = c.version, map[store.ID]store.Object{}
-	for id, o := range c.objects {
+	s.version, s.objects = snap.version, map[store.ID]store.Object{}
+	for id, o := range snap.objects {
 		o.Version = store.At(s.era, o.Version.Revision())
 		s.objects[id] = o
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Engine is a stand-in for a model engine, with a service time for each token.
+// Engine is a stand-in for a model engine that serves tokens one after the other.
 type Engine struct {
 	memnet.Server
 	Name string
@@ -86,7 +86,8 @@
 	arrivals []time.Time
 }
 
-// Add starts an engine with the given holdings.
+// Add starts an engine with the given holdings. rate is in tokens per second; delay is
+// added to the time of each token.
 func (f *Fleet) Add(n network.Network, name string, rate float64, delay time.Duration, holdings ...backend.Holding) (*Engine, error) {
 	e := &Engine{
 		Server: memnet.Server{Net: n}, Name: name, fleet: f, rate: rate, delay: delay, streams: map[string]*stream{},
@@ -176,8 +177,8 @@
 	return e.nextFree.Add(e.delay), true
 }
 
-// prefill fills the KV cache up to a number of tokens, and records the missing ones as
-// recomputed.
+// prefill fills the KV cache of a request up to a number of tokens, and records the tokens
+// that were missing as recomputed.
 func (e *Engine) prefill(request string, tokens int, layers topology.LayerRange) {
 	e.state.Lock()
 	missing := tokens - e.kv[request]
@@ -199,7 +200,8 @@
 	return false
 }
 
-// stream is an attempt at its head engine. Its events are kept for resuming.
+// stream is an attempt of a request at its head engine. It keeps its events, so that it can
+// be resumed.
 type stream struct {
 	mu        sync.Mutex
 	attempt   int
--- a/internal/standin/enginehttp.go
+++ b/internal/standin/enginehttp.go
@@ -78,8 +78,8 @@
 	return -1
 }
 
-// refusal returns the reason to refuse a request, or "", and the hop that is the cause
-// if it is another engine.
+// refusal returns the reason to refuse a request, or "", and the name of the hop that
+// causes it, if any.
 func (e *Engine) refusal(g *httpbackend.GenerateBody) (reason, hop string) {
 	if e.RefuseAll.Load() {
 		return "busy", ""
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// Run runs fn of a benchmark in virtual time. It wraps fn in a test, as testing/synctest
+// Run runs fn, a part of a benchmark, in virtual time. It wraps fn in a test, as testing/synctest
 // needs a *testing.T.
 func Run(b *testing.B, fn func()) {
 	b.Helper()
