--- a/client/client.go
+++ b/client/client.go
@@ -46,7 +46,7 @@
 	EventID    string          // of the last token
 	FirstToken time.Duration   // time to the first token
 	Gaps       []time.Duration // between tokens
-	Took       time.Duration
+	Took       time.Duration   // time to the end of the response
 }
 
 // Client sends requests to one base URL. It is safe for concurrent use.
@@ -240,7 +240,8 @@
 	}
 }
 
-// Call calls a plain service. key is an idempotency key; empty for none.
+// Call calls a plain service. key is an idempotency key; empty for none. It returns an error
+// if the connection fails before the response ends.
 func (c *Client) Call(ctx context.Context, method, service, path string, payload []byte, key string) (Reply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+"/services/"+service+path, bytes.NewReader(payload))
 	if err != nil {
--- a/cmd/snowspoke/fleet.go
+++ b/cmd/snowspoke/fleet.go
@@ -73,7 +73,9 @@
 	return httpstore.New(c.Platform, hc), nil
 }
 
-// getJSON decodes a JSON response of the operators' interface of one daemon.
+// getJSON decodes a JSON response of the operators' interface of one daemon. It returns
+// errNotFound for status 404, and errUnavailable if the daemon does not answer or answers
+// with another error status.
 func (c *cli) getJSON(address, path string, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/cmd/snowspoke/inspect.go
+++ b/cmd/snowspoke/inspect.go
@@ -35,8 +35,8 @@
 		}
 		writeServers(w, s)
 		writeModels(w, s.Models)
-		for _, v := range s.Rejected {
-			fmt.Fprintf(w, "\nrejected: %s %s version %d, %d stays in force: %s\n", v.Kind, v.Name, v.Seen, v.InForce, v.Rejected)
+		for _, r := range s.Rejected {
+			fmt.Fprintf(w, "\nrejected: %s %s version %d, %d stays in force: %s\n", r.Kind, r.Name, r.Seen, r.InForce, r.Rejected)
 		}
 	})
 }
--- a/cmd/snowspoke/load.go
+++ b/cmd/snowspoke/load.go
@@ -24,7 +24,7 @@
 	Plot        string        `help:"PNG file for a plot of the timeline." type:"path"`
 }
 
-// loadDrainTimeout bounds how long requests run on after the last was sent.
+// loadDrainTimeout is how long requests may still run after the end of the load.
 const loadDrainTimeout = 30 * time.Second
 
 // loadIdleConns is the maximum number of idle connections to each daemon.
--- a/cmd/snowspoke/objects.go
+++ b/cmd/snowspoke/objects.go
@@ -192,15 +192,15 @@
 	}
 	var out []string
 	for daemon, address := range addresses {
-		var v catalog.Result
-		err := c.getJSON(address, "/v1/verdict/"+escape(string(kind))+"/"+escape(name), &v)
+		var r catalog.Result
+		err := c.getJSON(address, "/v1/verdict/"+escape(string(kind))+"/"+escape(name), &r)
 		switch {
 		case err != nil:
 			out = append(out, daemon+": "+err.Error())
-		case v.Seen >= version && !v.Accepted():
-			return nil, fmt.Errorf("%w: %s rejects version %d: %s", errInvalid, daemon, v.Seen, v.Rejected)
-		case v.InForce < version:
-			out = append(out, fmt.Sprintf("%s has version %d", daemon, v.InForce))
+		case r.Seen >= version && !r.Accepted():
+			return nil, fmt.Errorf("%w: %s rejects version %d: %s", errInvalid, daemon, r.Seen, r.Rejected)
+		case r.InForce < version:
+			out = append(out, fmt.Sprintf("%s has version %d", daemon, r.InForce))
 		}
 	}
 	sort.Strings(out)
--- a/cmd/snowspoke/quarantine.go
+++ b/cmd/snowspoke/quarantine.go
@@ -36,8 +36,8 @@
 	}
 	return c.print(quarantined, func(w io.Writer) {
 		fmt.Fprintln(w, "FINGERPRINT\tENDS\tSCORE\tLAST END\tUNTIL")
-		for _, h := range quarantined {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", h.Fingerprint, h.Ends, h.Score, h.LastEnd.Format(time.RFC3339), h.Until.Format(time.RFC3339))
+		for _, q := range quarantined {
+			fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", q.Fingerprint, q.Ends, q.Score, q.LastEnd.Format(time.RFC3339), q.Until.Format(time.RFC3339))
 		}
 	})
 }
--- a/cmd/snowspoked/main.go
+++ b/cmd/snowspoked/main.go
@@ -58,8 +58,8 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, err)
-	var bad settingsError
-	if errors.As(err, &bad) {
+	var invalid settingsError
+	if errors.As(err, &invalid) {
 		return exitSettings
 	}
 	return exitFailed
--- a/load/load.go
+++ b/load/load.go
@@ -100,35 +100,35 @@
 	r.result.add(&reply, err, time.Since(r.start))
 }
 
-// add records a response that ended at a time since the start of the load.
-func (t *Result) add(reply *client.Reply, err error, at time.Duration) {
-	t.Sent++
-	for len(t.Timeline) <= int(at.Seconds()) {
-		t.Timeline = append(t.Timeline, Second{})
+// add records a response that ended at a time after the start of the load.
+func (r *Result) add(reply *client.Reply, err error, at time.Duration) {
+	r.Sent++
+	for len(r.Timeline) <= int(at.Seconds()) {
+		r.Timeline = append(r.Timeline, Second{})
 	}
-	second := &t.Timeline[int(at.Seconds())]
+	second := &r.Timeline[int(at.Seconds())]
 	if reply.FirstToken > 0 {
-		_ = t.FirstToken.RecordValue(reply.FirstToken.Microseconds())
+		_ = r.FirstToken.RecordValue(reply.FirstToken.Microseconds())
 	}
 	for _, g := range reply.Gaps {
-		_ = t.Gap.RecordValue(max(1, g.Microseconds()))
+		_ = r.Gap.RecordValue(max(1, g.Microseconds()))
 	}
 	switch {
 	case err != nil:
-		t.Broken++
+		r.Broken++
 		second.Errors++
 	case reply.Completed:
-		t.Completed++
-		t.Tokens += reply.Tokens
+		r.Completed++
+		r.Tokens += reply.Tokens
 		second.Tokens += reply.Tokens
 	default:
-		t.Errors[reply.Kind]++
+		r.Errors[reply.Kind]++
 		second.Errors++
 		if reply.Ran == apierror.RanNo {
-			_ = t.Refusal.RecordValue(max(1, reply.Took.Microseconds()))
+			_ = r.Refusal.RecordValue(max(1, reply.Took.Microseconds()))
 		}
 	}
 }
 
 // Goodput returns the tokens per second in complete responses.
-func (t *Result) Goodput() float64 { return float64(t.Tokens) / t.Elapsed.Seconds() }
+func (r *Result) Goodput() float64 { return float64(r.Tokens) / r.Elapsed.Seconds() }
--- a/network/network.go
+++ b/network/network.go
@@ -12,7 +12,9 @@
 
 // Network opens listeners and connections.
 type Network interface {
+	// Listen listens on an address given as IP:port.
 	Listen(address string) (net.Listener, error)
+	// DialContext connects to an address. It fails when ctx ends.
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
--- a/prediction/prediction.go
+++ b/prediction/prediction.go
@@ -156,7 +156,7 @@
 	return out
 }
 
-// Write prints a table with one row per period.
+// Write writes a table with one row per period.
 func Write(w io.Writer, periods []Period) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "from\trequests\tsends\tmeasured/predicted p10\tp50\tp90\twell\tfirst p50 ms\tp90\tpause p50 ms\tp90\t")
--- a/tlsconf/tlsconf.go
+++ b/tlsconf/tlsconf.go
@@ -33,7 +33,8 @@
 	checked     time.Time
 }
 
-// New loads the files; it returns an error if they are invalid.
+// New loads the files and returns an error if they are invalid. now returns the current
+// time.
 func New(f Files, now func() time.Time) (*Reloader, error) {
 	r := &Reloader{files: f, now: now}
 	if err := r.load(); err != nil {
