--- a/trial/declared_test.go
+++ b/trial/declared_test.go
@@ -44,7 +44,7 @@
 	noRetryAfter      int // refusals without a retry time
 }
 
-// callFor sends callRate calls per second, spread over the daemons, for a time.
+// callFor sends callRate calls per second for length, spread over the daemons.
 func callFor(length time.Duration, daemons int, call func(daemon, n int) (client.Reply, error)) outcomes {
 	var mu sync.Mutex
 	var o outcomes
--- a/trial/faults_test.go
+++ b/trial/faults_test.go
@@ -298,7 +298,8 @@
 		maxGap time.Duration
 	}{
 		{"killed", func(e *standin.Engine) { e.Kill() }, 100 * time.Millisecond},
-		// The minimum gap timeout, the query that finds the silent hop, and a hop's time.
+		// Allows for the minimum gap timeout, the query that finds the frozen hop, and the
+		// time of one hop.
 		{"frozen", func(e *standin.Engine) { e.Frozen.Store(true) }, 500 * time.Millisecond},
 	}
 	for _, c := range cases {
--- a/trial/leave_test.go
+++ b/trial/leave_test.go
@@ -22,8 +22,8 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// A graceful stop that interrupts a request after the drain timeout counts an invariant
-// violation; one with a sufficient timeout interrupts nothing.
+// A graceful stop that interrupts a request after the drain timeout counts as an invariant
+// violation. With a sufficient timeout no request is interrupted.
 func TestPlannedStop(t *testing.T) {
 	for _, drain := range []time.Duration{time.Second, time.Minute} {
 		virtual.Test(t, func(t *testing.T) {
@@ -65,8 +65,8 @@
 // leaveTokens makes streams outlast the drain.
 const leaveTokens = 2000
 
-// A backend server that is leaving by VM list, by label or as it reports gets no new
-// requests after 3 s. Running streams are not interrupted.
+// A backend server that is leaving according to the VM list, its label or its own status
+// gets no new requests after 3 s. Running streams are not interrupted.
 func TestLeaving(t *testing.T) {
 	marks := map[string]func(w *World){
 		"vm list": func(w *World) { w.SetLeaving("engine-1") },
--- a/trial/limits_test.go
+++ b/trial/limits_test.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// The limit of a workspace holds for the complete fleet: with all requests at one of three
-// daemons it can use highest of the limit.
+// The limit of a workspace holds for the whole fleet. A workspace that sends all its
+// requests to one of three daemons can still use most of its limit.
 func TestWorkspaceLimit(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
 		const limit = 20
--- a/trial/once.go
+++ b/trial/once.go
@@ -27,7 +27,7 @@
 	Repeated       int           // not repeatable, but ran more than once
 	WrongText      int           // the answer has the wrong text
 	FalselyRefused int           // answered as not run, but ran
-	Broken         int           // the connection broke while faults allow that
+	Broken         int           // the connection broke, in a run that allows it
 	Recovery       time.Duration // 99th percentile of the longest gap of each stream
 	Problems       []string
 }
@@ -46,7 +46,7 @@
 // mix is one run of requests against a world.
 type mix struct {
 	w           *World
-	allowBroken bool // broken connections are not errors: daemons are killed or cut off
+	allowBroken bool // set if daemons are killed or cut off, so that connections may break
 	http        *http.Client
 	mu          sync.Mutex
 	report      Report
@@ -213,8 +213,8 @@
 }
 
 // callWithKey sends a call with an idempotency key twice concurrently and once more
-// afterwards. The call must run at most once, and every complete answer must be that
-// of the one execution.
+// afterwards. The call must run at most once, and every complete answer must come from
+// that execution.
 func (m *mix) callWithKey(ctx context.Context, payload, key string) {
 	before := m.w.Fleet.Ledger.Calls(payload)
 	var wg sync.WaitGroup
--- a/trial/site.go
+++ b/trial/site.go
@@ -31,8 +31,8 @@
 func RunOnSite(ctx context.Context, logs io.Writer, progress func(string)) (summary string, problems []string, err error) {
 	s := sitetrial.New([]string{"a", "b"}, 2, 2, 2)
 	defer s.Close()
-	for _, p := range s.Servers() {
-		p.Events, p.EveryGap = onceEvents, 5*time.Millisecond
+	for _, srv := range s.Servers() {
+		srv.Events, srv.EveryGap = onceEvents, 5*time.Millisecond
 	}
 	daemons, err := startDaemons(s, logs)
 	defer func() {
@@ -96,18 +96,18 @@
 	events := map[int]func(){
 		60: func() {
 			progress("a head of a pipeline is killed")
-			for _, p := range s.Servers() {
-				if p.ID == "a-card-0" {
-					p.Kill()
-					s.Remove(p)
+			for _, srv := range s.Servers() {
+				if srv.ID == "a-card-0" {
+					srv.Kill()
+					s.Remove(srv)
 				}
 			}
 		},
 		100: func() {
 			progress("a backend server breaks answers off")
-			for _, p := range s.Servers() {
-				if p.ID == "b-plain-0" {
-					p.AddFaults(standin.BreakOff, standin.ResetAfter, standin.Surplus)
+			for _, srv := range s.Servers() {
+				if srv.ID == "b-plain-0" {
+					srv.AddFaults(standin.BreakOff, standin.ResetAfter, standin.Surplus)
 				}
 			}
 		},
--- a/trial/soak_test.go
+++ b/trial/soak_test.go
@@ -26,7 +26,7 @@
 	firstSeed = flag.Int("first-seed", 1, "first seed of TestSoak")
 )
 
-// soak is one randomised run; the seed determines the faults and their times.
+// soak is one randomized run. The seed determines the faults and their times.
 type soak struct {
 	w   *World
 	net *memnet.Net
@@ -149,9 +149,8 @@
 	},
 }
 
-// routesSince counts the routes that daemons chose through an engine after a time.
-// Starts at the engine are not counted, as a head that was frozen starts requests
-// late.
+// routesSince counts the routes that daemons chose through an engine after a time. It does
+// not count the starts of requests at the engine: a head that was frozen starts them late.
 func (w *World) routesSince(engine string, since time.Time) int {
 	n := 0
 	for _, p := range w.Daemons {
@@ -229,7 +228,7 @@
 	w.Close()
 	time.Sleep(2 * time.Minute)
 	r := &s.mix.report
-	require.True(t, r.OK(), "seed %d: %s untrue=%d %v\nfaults %v", seed, r, r.FalselyRefused, r.Problems, s.faultNames)
+	require.True(t, r.OK(), "seed %d: %s falsely_refused=%d %v\nfaults %v", seed, r, r.FalselyRefused, r.Problems, s.faultNames)
 	require.Zero(t, s.routesAfterLeave, "seed %d: routes through an engine that is leaving\nfaults %v", seed, s.faultNames)
 	require.Equal(t, before, invariant.Total(), "seed %d: invariants violated", seed)
 	require.Greater(t, r.Completed, r.Requests/3, "seed %d: %s", seed, r)
--- a/trial/world.go
+++ b/trial/world.go
@@ -317,7 +317,7 @@
 	return false
 }
 
-// SetLeaving replaces the platform's VM list by the VM of one backend server, marked
+// SetLeaving replaces the platform's VM list with the VM of one backend server, marked
 // as leaving.
 func (w *World) SetLeaving(name string) {
 	w.Platform.SetVMs([]store.VM{{Name: name, State: store.VMLeaving, Role: "backend"}})
