--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -16,8 +16,8 @@
 // Bounds on the calls that a backend server with a limit may get. From limitDelay after
 // it first reported a limit, the calls within any limitWindow must not exceed limitFactor
 // times the limit plus limitSlack. A limit has reached all daemons limitPropagation after the
-// report. A daemon that was started, frozen, thawed or cut off within tolerancePeriod may send
-// toleratedCalls more, as it may not know the limit yet.
+// report. A daemon that was started, frozen, resumed or cut off within tolerancePeriod may
+// send toleratedCalls more, as it may not know the limit yet.
 const (
 	limitWindow      = 4 * time.Second
 	limitDelay       = 3 * time.Second
@@ -37,8 +37,8 @@
 	for wait.For(ctx, time.Duration(r.Int64N(int64(maxLimitInterval)))) {
 		all := f.site.Servers()
 		for range 1 + r.IntN(3) {
-			p, first, then := all[r.IntN(len(all))], r.IntN(len(limitRates)), r.IntN(len(limitRates))
-			f.reporters.Go(func() { reportLimit(ctx, p, first, then) })
+			srv, first, then := all[r.IntN(len(all))], r.IntN(len(limitRates)), r.IntN(len(limitRates))
+			f.reporters.Go(func() { reportLimit(ctx, srv, first, then) })
 		}
 	}
 }
@@ -48,23 +48,23 @@
 
 // reportLimit makes a backend server report two limits in turn, each for a second longer
 // than limitDelay, and then none.
-func reportLimit(ctx context.Context, p *sitetrial.Server, first, then int) {
+func reportLimit(ctx context.Context, srv *sitetrial.Server, first, then int) {
 	for _, rate := range []int{first, then} {
-		p.SetLimit(limitRates[rate])
+		srv.SetLimit(limitRates[rate])
 		wait.For(ctx, limitDelay+time.Second)
 	}
-	p.SetLimit("")
+	srv.SetLimit("")
 }
 
 // clearLimits waits for running reports and removes the limits of all backend servers.
 func (f *faults) clearLimits() {
 	f.reporters.Wait()
-	for _, p := range f.site.Servers() {
-		p.SetLimit("")
+	for _, srv := range f.site.Servers() {
+		srv.SetLimit("")
 	}
 }
 
-// noteDisturbance records the time at which a daemon was started, frozen, thawed or cut off.
+// noteDisturbance records that a daemon was started, frozen, resumed or cut off now.
 func (f *faults) noteDisturbance() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,8 +87,8 @@
 // bound, no later calls are allowed in the window. If the limit changed within the window,
 // the highest value applies.
 func (f *faults) checkLimits(seed uint64) {
-	for _, p := range f.site.Servers() {
-		arrivals := p.Arrivals()
+	for _, srv := range f.site.Servers() {
+		arrivals := srv.Arrivals()
 		for i, last := range arrivals {
 			if last.Limit == "" || last.At.Sub(last.Since) < limitDelay {
 				continue
@@ -96,7 +96,7 @@
 			before, after, rate := countCalls(arrivals[:i+1], last)
 			tolerated := float64(f.tolerated(last.At.Add(-limitWindow), last.At))
 			remaining := max(0, limitFactor*rate*limitWindow.Seconds()+limitSlack-float64(before))
-			if !assert.LessOrEqual(f.t, float64(after), remaining+tolerated, "seed %d: %s with a limit of %g, %d calls before", seed, p.ID, rate, before) {
+			if !assert.LessOrEqual(f.t, float64(after), remaining+tolerated, "seed %d: %s with a limit of %g, %d calls before", seed, srv.ID, rate, before) {
 				f.saveLogs(seed)
 				return
 			}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -249,8 +249,8 @@
 	r := rand.New(rand.NewPCG(seed, 1))
 	site := sitetrial.New([]string{"a", "b"}, 2, 2, 2)
 	t.Cleanup(site.Close)
-	for _, p := range site.Servers() {
-		p.Events, p.EveryGap = streamEvents, streamGap
+	for _, srv := range site.Servers() {
+		srv.Events, srv.EveryGap = streamEvents, streamGap
 	}
 	var all []*process
 	for i := range *daemons {
@@ -306,7 +306,7 @@
 	}
 }
 
-// faults injects faults one after the other. Faults may overlap.
+// faults starts faults one after the other. They may overlap.
 type faults struct {
 	t      *testing.T
 	site   *sitetrial.Site
@@ -318,7 +318,7 @@
 	reporters sync.WaitGroup // running calls of reportLimit
 
 	mu          sync.Mutex
-	disturbedAt []time.Time // times at which a daemon was started, frozen, thawed or cut off
+	disturbedAt []time.Time // times at which a daemon was started, frozen, resumed or cut off
 }
 
 func (f *faults) inject() {
@@ -364,20 +364,21 @@
 	})
 }
 
-// disturbStore gives the store a trouble for a random time.
-func (f *faults) disturbStore(t standin.StoreMode) {
-	f.during(func() { f.site.Store.SetMode(t) }, func() { f.site.Store.SetMode(standin.Healthy) })
+// disturbStore sets a fault mode of the store for a random time.
+func (f *faults) disturbStore(mode standin.StoreMode) {
+	f.during(func() { f.site.Store.SetMode(mode) }, func() { f.site.Store.SetMode(standin.Healthy) })
 }
 
 // maxRewriteDelay is the maximum time until the operator and the backend servers write
 // again what a restored store has lost.
 const maxRewriteDelay = time.Second
 
-// restoreStore copies the store and restores it from the copy after a random time.
+// restoreStore takes a snapshot of the store and restores the store from it after a random
+// time.
 func (f *faults) restoreStore() {
-	copied, pause := f.site.Store.Copy(), time.Duration(f.r.Int64N(int64(maxRewriteDelay)))
+	snapshot, pause := f.site.Store.Copy(), time.Duration(f.r.Int64N(int64(maxRewriteDelay)))
 	f.during(func() {}, func() {
-		f.site.Store.Restore(copied)
+		f.site.Store.Restore(snapshot)
 		time.Sleep(pause)
 		f.site.WriteAgain()
 	})
@@ -400,23 +401,23 @@
 // failAnswers makes the next answers of a backend server fail with random faults.
 func (f *faults) failAnswers() {
 	all := f.site.Servers()
-	p := all[f.r.IntN(len(all))]
+	srv := all[f.r.IntN(len(all))]
 	for range 1 + f.r.IntN(4) {
-		p.AddFaults(standin.Fault(1 + f.r.IntN(int(standin.RefuseAmbiguous))))
+		srv.AddFaults(standin.Fault(1 + f.r.IntN(int(standin.RefuseAmbiguous))))
 	}
 }
 
 // replaceServer replaces a backend server by a new one of the same kind.
 func (f *faults) replaceServer() {
 	all := f.site.Servers()
-	p := all[f.r.IntN(len(all))]
-	n := standin.NewServer(fmt.Sprintf("%s-%d", p.ID, len(all)))
-	n.Events, n.EveryGap = streamEvents, streamGap
-	if from, to := p.Held(); to > 0 {
-		n.Hold(from, to)
+	old := all[f.r.IntN(len(all))]
+	srv := standin.NewServer(fmt.Sprintf("%s-%d", old.ID, len(all)))
+	srv.Events, srv.EveryGap = streamEvents, streamGap
+	if from, to := old.Held(); to > 0 {
+		srv.Hold(from, to)
 	}
-	f.site.Add(n, p.Service, p.Kind, p.Domain)
-	f.site.Remove(p)
+	f.site.Add(srv, old.Service, old.Kind, old.Domain)
+	f.site.Remove(old)
 }
 
 // restartServer kills a backend server and restarts it with the same ID.
@@ -438,11 +439,11 @@
 	f.site.Store.SetForeign("servers", entries[f.r.IntN(len(entries))])
 }
 
-// crashTimeout is the time-out of the caller of a request that crashes backend servers.
+// crashTimeout is the caller's timeout of a request that crashes backend servers.
 const crashTimeout = 500 * time.Millisecond
 
-// sendCrashRequest sends all daemons a request that crashes the backend servers that run
-// it, and restarts those.
+// sendCrashRequest sends all daemons a request that crashes every backend server that runs
+// it, and then restarts these backend servers.
 func (f *faults) sendCrashRequest() {
 	body := fmt.Sprint("crash ", f.r.Uint64())
 	for _, s := range f.site.Servers() {
@@ -460,7 +461,7 @@
 	})
 }
 
-// heal waits for faults that end and clears the others.
+// heal waits for the faults that end by themselves and clears the others.
 func (f *faults) heal() {
 	f.active.Wait()
 	f.site.Store.SetMode(standin.Healthy)
@@ -470,8 +471,8 @@
 	}
 }
 
-// checkServing checks that every daemon serves by the newest configuration soon after the
-// last fault.
+// checkServing checks that every daemon serves with the newest configuration soon after
+// the last fault.
 func (f *faults) checkServing(c *sitetrial.Callers) {
 	prefix, _ := f.site.AddRoute()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -22,8 +22,8 @@
 
 // A daemon that is stalled repeatedly, here by SIGSTOP, must not attribute its stalls to
 // others: no backend server is marked as failed, no stream is retried, and all streams
-// are complete. The events of the streams are so far apart that their hops are checked
-// all the time.
+// are complete. The events of the streams are so far apart that the daemon checks their
+// hops all the time.
 func TestStalledDaemonReportsNoFailures(t *testing.T) {
 	site := sitetrial.New([]string{"a"}, 4, 4, 2)
 	t.Cleanup(site.Close)
@@ -114,9 +114,9 @@
 
 // headRuns returns the number of streams that a backend server ran as their head, or
 // -1 if it holds no first layers.
-func headRuns(p *sitetrial.Server) int {
-	if from, to := p.Held(); from > 0 || to == 0 {
+func headRuns(srv *sitetrial.Server) int {
+	if from, to := srv.Held(); from > 0 || to == 0 {
 		return -1
 	}
-	return len(p.Runs())
+	return len(srv.Runs())
 }
