--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -19,7 +19,7 @@
 	memnet.Server
 	Ledger    *Ledger
 	RefuseAll atomic.Bool  // refuses all calls as not run
-	CutNext   atomic.Int64 // number of next calls that run but whose connection is closed without an answer
+	CutNext   atomic.Int64 // number of calls to run and then cut off without an answer
 	Delay     atomic.Int64 // duration of a call in nanoseconds
 
 	mu       sync.Mutex
