--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Target is the size that the cost is calculated for.
+// Target is the size of the system for which the cost is calculated.
 type Target struct {
 	Daemons        float64
 	BackendServers float64
@@ -34,7 +34,7 @@
 	Value     float64
 	Unit      string
 	From      string // command that measured it
-	Commit    string // at which it was measured
+	Commit    string // commit that was measured
 	Estimated bool
 }
 
@@ -142,8 +142,9 @@
 	}
 }
 
-// Control returns the total cost of the control roles, all but the first row,
-// for a daemon that has all of them.
+// Control returns the total cost of a daemon that has every control role, which
+// are all rows but the first: processor time as a fraction of a core, and memory
+// in MB.
 func Control(rows []Role) (cpu, memoryMB float64) {
 	for _, r := range rows[1:] {
 		cpu += r.CPU
--- a/capacity/platform.go
+++ b/capacity/platform.go
@@ -17,8 +17,8 @@
 	BackAfterKill       float64 // seconds until calls are served after all processes were killed
 }
 
-// Sweep holds the figures of the last sweep, from the deployment with the
-// highest load on the busiest daemon.
+// Sweep holds the figures of the last sweep, for the deployment whose busiest
+// daemon has the highest load.
 var Sweep = []SweepPoint{
 	{30, 298, 2.2, 5.0, 12.0, 15.4, 16.7, 61.7, 0.993, 0.5},
 	{99, 999, 2.1, 7.3, 15.7, 31.1, 11.4, 139, 0.993, 6.5},
@@ -64,18 +64,18 @@
 	pingsPerSecond        = 1 / 0.4
 	loadPeriodPerServer   = 0.010         // length of the period of loads, in seconds per backend server
 	ownLoadsShare         = 0.1           // fraction of the backend servers on which one daemon has requests
-	reportedShare         = 0.05          // fraction of the sums that change enough in a period to be sent (relay.TestOnlyChangedLoadsAreTold)
-	ownReportedShare      = 0.3           // the same of a daemon's own loads, which are a few requests each (estimated)
+	reportedShare         = 0.05          // fraction of the sums of loads that change enough in a period to be sent (relay.TestOnlyChangedLoadsAreTold)
+	ownReportedShare      = 0.3           // the same for a daemon's own loads, which are a few requests each (estimated)
 	fanOut                = 7.0           // followers of one daemon
 	storeCallsPerSource   = 1/0.9 + 1/9.0 // per second, by a source whose watches return no change
 	leaseCalls            = 3.0           // per second: renewals and reads of the lease
 	recordPeriodPerDaemon = 0.2           // length of the period of a daemon's record, in seconds per daemon (package gateway)
-	listPeriodPerDaemon   = 0.1           // the same for lists that may be out of date, which cost a tenth
+	listPeriodPerDaemon   = 0.1           // the same for lists that may be seconds old, which cost a tenth of fresh ones
 )
 
-// FollowerBytes returns the traffic of a link between a source and a follower,
-// in bytes per second in both directions, while no object changes: for typical
-// changes of loads, and if every load changes in each period.
+// FollowerBytes returns the traffic of a link between a source and a follower in
+// bytes per second, both directions together, while no object changes. typical is
+// for typical changes of loads, highest for loads that all change in each period.
 func FollowerBytes() (typical, highest float64) {
 	pings := pingBytes * pingsPerSecond
 	loads := loadBytes / loadPeriodPerServer
