--- a/soak/limits_test.go
+++ b/soak/limits_test.go
@@ -46,8 +46,8 @@
 // limitRates are the limits that backend servers report, in calls per second.
 var limitRates = []string{"0", "0.5", "2", "6"}
 
-// reportLimit makes a backend server report two limits in turn, each for a second longer
-// than limitDelay, and then none.
+// reportLimit makes a backend server report one limit and then another, each for a second
+// longer than limitDelay, and then none.
 func reportLimit(ctx context.Context, srv *sitetrial.Server, first, then int) {
 	for _, rate := range []int{first, then} {
 		srv.SetLimit(limitRates[rate])
@@ -84,8 +84,8 @@
 
 // checkLimits checks that no backend server got more calls than its limit allows in any
 // window. Calls from before the limit reached the daemons count too: if they exceed the
-// bound, no later calls are allowed in the window. If the limit changed within the window,
-// the highest value applies.
+// bound, only tolerated calls may follow in the window. If the limit changed within the
+// window, the highest value applies.
 func (f *faults) checkLimits(seed uint64) {
 	for _, srv := range f.site.Servers() {
 		arrivals := srv.Arrivals()
@@ -104,8 +104,8 @@
 	}
 }
 
-// countCalls returns the calls in the window that ends with last, before and after the
-// limit reached all daemons, and the highest limit reported in the window.
+// countCalls counts the calls in the window that ends with last: those before and those
+// after the limit reached all daemons. rate is the highest limit reported in the window.
 func countCalls(arrivals []standin.Arrival, last standin.Arrival) (before, after int, rate float64) {
 	for _, a := range arrivals {
 		if last.At.Sub(a.At) >= limitWindow {
--- a/trial/declared_test.go
+++ b/trial/declared_test.go
@@ -101,7 +101,8 @@
 	return n
 }
 
-// maxAllowed returns the highest number of calls within a window that the limit permits.
+// maxAllowed returns the highest number of calls within a quota.Window that a limit of rate
+// requests per second permits.
 func maxAllowed(rate float64) int { return int(1.5*rate*quota.Window.Seconds()) + 5 }
 
 // All daemons together keep within a declared limit and use most of it: requests beyond
--- a/trial/faults_test.go
+++ b/trial/faults_test.go
@@ -124,9 +124,8 @@
 	}
 }
 
-// While all heads refuse, requests are retried within the retry budget. Beyond it
-// they are refused as not run, with a retry time, and the ledger has no execution of
-// them.
+// While all heads refuse, requests are retried within the retry budget. Beyond the budget
+// they are refused as not run, with a retry time, and are not executed.
 func TestAllHeadsRefuse(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		r := client.Request{Model: Model, Prompt: "p", MaxTokens: 80, Stream: true}
--- a/trial/outage_test.go
+++ b/trial/outage_test.go
@@ -19,7 +19,7 @@
 
 // During a ten-minute outage of the store, requests are served, a restarted daemon
 // becomes ready, and calls with a key are refused as not run within their deadline. An
-// operator's edit that is retried until it succeeds is in force on all daemons soon
+// operator retries an edit until it succeeds; the edit is in force on all daemons soon
 // after the outage.
 func TestStoreDownForTenMinutes(t *testing.T) {
 	inWorld(t, 3, func(w *World, hc *http.Client, _ *memnet.Net) {
