--- a/trial/declared_test.go
+++ b/trial/declared_test.go
@@ -44,7 +44,7 @@
 	noRetryAfter      int // refusals without a retry time
 }
 
-// callFor sends callRate calls per second, spread over the daemons, for a time.
+// callFor sends callRate calls per second for length, spread over the daemons.
 func callFor(length time.Duration, daemons int, call func(daemon, n int) (client.Reply, error)) outcomes {
 	var mu sync.Mutex
 	var o outcomes
@@ -101,7 +101,8 @@
 	return n
 }
 
-// maxAllowed returns the highest number of calls within a window that the limit permits.
+// maxAllowed returns the highest number of calls within a quota.Window that a limit of rate
+// requests per second permits.
 func maxAllowed(rate float64) int { return int(1.5*rate*quota.Window.Seconds()) + 5 }
 
 // All daemons together keep within a declared limit and use most of it: requests beyond
--- a/trial/faults_test.go
+++ b/trial/faults_test.go
@@ -124,9 +124,8 @@
 	}
 }
 
-// While all heads refuse, requests are retried within the retry budget. Beyond it
-// they are refused as not run, with a retry time, and the ledger has no execution of
-// them.
+// While all heads refuse, requests are retried within the retry budget. Beyond the budget
+// they are refused as not run, with a retry time, and are not executed.
 func TestAllHeadsRefuse(t *testing.T) {
 	inWorld(t, 1, func(w *World, hc *http.Client, _ *memnet.Net) {
 		r := client.Request{Model: Model, Prompt: "p", MaxTokens: 80, Stream: true}
@@ -298,7 +297,8 @@
 		maxGap time.Duration
 	}{
 		{"killed", func(e *standin.Engine) { e.Kill() }, 100 * time.Millisecond},
-		// The minimum gap timeout, the query that finds the silent hop, and a hop's time.
+		// Allows for the minimum gap timeout, the query that finds the frozen hop, and the
+		// time of one hop.
 		{"frozen", func(e *standin.Engine) { e.Frozen.Store(true) }, 500 * time.Millisecond},
 	}
 	for _, c := range cases {
