--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -109,7 +109,7 @@
 		store: platform.NewStore(set.Store, stalls), backends: platform.NewBackends(stalls),
 	}
 	g.inv = inventory.New(g.store, g.log)
-	g.backends.OnReborn(g.inv.NoteRestart)
+	g.backends.OnRestart(g.inv.NoteRestart)
 	g.store.OnRefused(func(kind string, err error) {
 		m.Refused(kind)
 		_ = level.Error(g.log).Log("msg", "entry refused", "kind", kind, "err", err)
