--- a/gateway/requests_test.go
+++ b/gateway/requests_test.go
@@ -96,7 +96,7 @@
 		"unsafe, answer broken off":                  {"/once/", standin.BreakOff, http.StatusBadGateway, 1, false, false},
 		"unsafe, refused as not run":                 {"/once/", standin.NotRun, http.StatusServiceUnavailable, 0, false, true},
 		"unsafe, refused without saying so":          {"/once/", standin.RefuseAmbiguous, http.StatusBadGateway, 1, false, false},
-		"unsafe, success without a signature":        {"/once/", standin.Unsealed, http.StatusBadGateway, 1, false, false},
+		"unsafe, success without a signature":        {"/once/", standin.Unsigned, http.StatusBadGateway, 1, false, false},
 		"unsafe, its own failure":                    {"/once/", standin.Fail, http.StatusInternalServerError, 1, true, false},
 		"unsafe, answer of another request first":    {"/once/", standin.Foreign, http.StatusOK, 1, true, false},
 		"unsafe, answer of another request follows":  {"/once/", standin.Surplus, http.StatusOK, 1, true, false},
@@ -105,7 +105,7 @@
 		"safe, refused as not run":                   {"/plain/", standin.NotRun, http.StatusOK, 1, true, false},
 		"safe, refused without saying so":            {"/plain/", standin.RefuseAmbiguous, http.StatusOK, 2, true, false},
 		"safe, failed at the first backend server":   {"/plain/", standin.Fail, http.StatusOK, 2, true, false},
-		"safe, success without a signature at first": {"/plain/", standin.Unsealed, http.StatusOK, 2, true, false},
+		"safe, success without a signature at first": {"/plain/", standin.Unsigned, http.StatusOK, 2, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, servers := newPlainEnv(t)
