--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -70,7 +70,7 @@
 	env := newTestEnv(t)
 	env.putConfig()
 	heads, _ := env.pipeline(1, 1)
-	heads[0].Events, heads[0].EveryGap = 1000, 5*time.Millisecond
+	heads[0].Events, heads[0].EventGap = 1000, 5*time.Millisecond
 	d := env.daemon("daemon-1", nil).ready(t, 2)
 	c := d.dial(t)
 	_, err := io.WriteString(c, head("POST", "/stream/", "half", "Content-Length: 0"))
--- a/gateway/planned_test.go
+++ b/gateway/planned_test.go
@@ -95,7 +95,7 @@
 	env := newTestEnv(t)
 	env.putConfig()
 	heads, _ := env.pipeline(1, 1)
-	heads[0].Events, heads[0].EveryGap = 100, 20*time.Millisecond
+	heads[0].Events, heads[0].EventGap = 100, 20*time.Millisecond
 	d := env.daemon("daemon-1", nil).ready(t, 2)
 	streams := make(chan answer, 3)
 	for range 2 {
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -59,7 +59,7 @@
 	env := newTestEnv(t)
 	env.putConfig()
 	heads, _ := env.pipeline(1, 1)
-	heads[0].Events, heads[0].EveryGap = 700, 10*time.Millisecond
+	heads[0].Events, heads[0].EventGap = 700, 10*time.Millisecond
 	first := env.daemon("daemon-1", nil).ready(t, 2)
 	for range 3 {
 		go first.call(t, call{method: "POST", path: "/stream/"})
--- a/gateway/requests_test.go
+++ b/gateway/requests_test.go
@@ -151,7 +151,7 @@
 	env := newTestEnv(t)
 	env.putConfig()
 	heads, _ := env.pipeline(1, 1)
-	heads[0].Events, heads[0].EveryGap = 1000, 5*time.Millisecond
+	heads[0].Events, heads[0].EventGap = 1000, 5*time.Millisecond
 	d := env.daemon("daemon-1", nil).ready(t, 2)
 	ctx, disconnect := context.WithCancel(t.Context())
 	go func() {
@@ -171,7 +171,7 @@
 	env.config["routes"].([]map[string]any)[2]["timeoutMs"] = 300
 	env.putConfig()
 	heads, _ := env.pipeline(1, 1)
-	heads[0].Events, heads[0].EveryGap = 1000, 10*time.Millisecond
+	heads[0].Events, heads[0].EventGap = 1000, 10*time.Millisecond
 	d := env.daemon("daemon-1", nil).ready(t, 2)
 	began := time.Now()
 	a := d.call(t, call{method: "POST", path: "/stream/"})
--- a/gateway/stream_test.go
+++ b/gateway/stream_test.go
@@ -63,7 +63,7 @@
 // it may continue.
 func TestSilentStreamIsKeptWithoutRetries(t *testing.T) {
 	t.Parallel()
-	a := slowStream(t, func(h *standin.Server) { h.Events, h.EveryGap = 3, 1400*time.Millisecond })
+	a := slowStream(t, func(h *standin.Server) { h.Events, h.EventGap = 3, 1400*time.Millisecond })
 	require.NoError(t, a.Err)
 	require.Equal(t, events(1, 3), a.Body)
 }
@@ -136,7 +136,7 @@
 	env.putConfig()
 	heads, _ := env.pipeline(2, 1)
 	for _, h := range heads {
-		h.Events, h.EveryGap = 60, 10*time.Millisecond
+		h.Events, h.EventGap = 60, 10*time.Millisecond
 	}
 	d := env.daemon("daemon-1", nil).ready(t, 3)
 	go func() {
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -42,7 +42,7 @@
 	env := newTestEnv(t)
 	env.putConfig()
 	heads, _ := env.pipeline(1, 1)
-	heads[0].Events, heads[0].EveryGap = 400, 20*time.Millisecond
+	heads[0].Events, heads[0].EventGap = 400, 20*time.Millisecond
 	d := env.daemon("daemon-1", nil).ready(t, 2)
 	require.Eventually(t, func() bool {
 		_, held := d.leases.Held()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -250,7 +250,7 @@
 	site := sitetrial.New([]string{"a", "b"}, 2, 2, 2)
 	t.Cleanup(site.Close)
 	for _, srv := range site.Servers() {
-		srv.Events, srv.EveryGap = streamEvents, streamGap
+		srv.Events, srv.EventGap = streamEvents, streamGap
 	}
 	var all []*process
 	for i := range *daemons {
@@ -412,7 +412,7 @@
 	all := f.site.Servers()
 	old := all[f.r.IntN(len(all))]
 	srv := standin.NewServer(fmt.Sprintf("%s-%d", old.ID, len(all)))
-	srv.Events, srv.EveryGap = streamEvents, streamGap
+	srv.Events, srv.EventGap = streamEvents, streamGap
 	if from, to := old.Held(); to > 0 {
 		srv.Hold(from, to)
 	}
--- a/soak/stall_test.go
+++ b/soak/stall_test.go
@@ -28,7 +28,7 @@
 	site := sitetrial.New([]string{"a"}, 4, 4, 2)
 	t.Cleanup(site.Close)
 	for _, s := range site.Servers() {
-		s.Events, s.EveryGap = 40, 130*time.Millisecond
+		s.Events, s.EventGap = 40, 130*time.Millisecond
 	}
 	first := newProcess(t, "daemon-0", "a", site.Store.Address())
 	second := newProcess(t, "daemon-1", "a", site.Store.Address())
@@ -71,7 +71,7 @@
 	site := sitetrial.New([]string{"a"}, 2, 2, 2)
 	t.Cleanup(site.Close)
 	for _, s := range site.Servers() {
-		s.Events, s.EveryGap = 100, 20*time.Millisecond
+		s.Events, s.EventGap = 100, 20*time.Millisecond
 	}
 	p := newProcess(t, "daemon-0", "a", site.Store.Address())
 	require.Eventually(t, p.isReady, 10*time.Second, 20*time.Millisecond)
--- a/trial/site.go
+++ b/trial/site.go
@@ -32,7 +32,7 @@
 	s := sitetrial.New([]string{"a", "b"}, 2, 2, 2)
 	defer s.Close()
 	for _, srv := range s.Servers() {
-		srv.Events, srv.EveryGap = onceEvents, 5*time.Millisecond
+		srv.Events, srv.EventGap = onceEvents, 5*time.Millisecond
 	}
 	daemons, err := startDaemons(s, logs)
 	defer func() {
