--- a/dispatch/delivery.go
+++ b/dispatch/delivery.go
@@ -105,6 +105,6 @@
 
 // checkComplete asserts that an answer of count tokens is complete.
 func (d *Delivery) checkComplete(count int) error {
-	return invariant.Check(d.IsComplete(count), invariant.WholeOwnAnswer,
+	return invariant.Check(d.IsComplete(count), invariant.CompleteOwnAnswer,
 		"request %s ended as complete with %d of %d tokens", d.requestID, d.next, count)
 }
--- a/dispatch/delivery_test.go
+++ b/dispatch/delivery_test.go
@@ -48,10 +48,10 @@
 }
 
 func TestIncompleteAnswerViolatesInvariant(t *testing.T) {
-	before := invariant.Count(invariant.WholeOwnAnswer)
+	before := invariant.Count(invariant.CompleteOwnAnswer)
 	d := NewDelivery("r", 0)
 	require.Error(t, d.checkComplete(1))
-	require.Equal(t, before+1, invariant.Count(invariant.WholeOwnAnswer))
+	require.Equal(t, before+1, invariant.Count(invariant.CompleteOwnAnswer))
 }
 
 // Sending to a backend server after leavingGrace must violate NoWorkAfterLeave.
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -17,7 +17,7 @@
 // The promises.
 const (
 	LayersOnceInOrder  Promise = "layers_once_in_order"          // a route runs each layer of its model once and in order
-	WholeOwnAnswer     Promise = "whole_own_answer"              // a complete answer has all its tokens
+	CompleteOwnAnswer     Promise = "whole_own_answer"              // a complete answer has all its tokens
 	NotRunIsTrue       Promise = "not_run_is_true"               // a request that is reported as not run did not run
 	AtMostOnce         Promise = "at_most_once"                  // a request that is not repeatable runs at most once
 	NoWorkAfterLeave   Promise = "no_work_after_leave"           // a leaving backend server gets no new requests after a grace period
@@ -27,7 +27,7 @@
 
 // All lists the promises.
 var All = []Promise{
-	LayersOnceInOrder, WholeOwnAnswer, NotRunIsTrue, AtMostOnce,
+	LayersOnceInOrder, CompleteOwnAnswer, NotRunIsTrue, AtMostOnce,
 	NoWorkAfterLeave, PlannedStopCutsOff, ConfigMonotonic,
 }
 
