--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -318,7 +318,7 @@
 	running, waiting := d.gate.InFlight()
 	if err != nil {
 		return errors.Join(fmt.Errorf("drain: %d requests were cut off: %w", running+waiting, err),
-			invariant.Check(false, invariant.PlannedStopCutsOff, "%d requests outlived the drain timeout", running+waiting))
+			invariant.Check(false, invariant.PlannedStopCutsOffNothing, "%d requests outlived the drain timeout", running+waiting))
 	}
 	return nil
 }
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -21,14 +21,14 @@
 	NotRunIsTrue       Promise = "not_run_is_true"               // a request that is reported as not run did not run
 	AtMostOnce         Promise = "at_most_once"                  // a request that is not repeatable runs at most once
 	NoWorkAfterLeave   Promise = "no_work_after_leave"           // a leaving backend server gets no new requests after a grace period
-	PlannedStopCutsOff Promise = "planned_stop_cuts_off_nothing" // a graceful stop interrupts no request
+	PlannedStopCutsOffNothing Promise = "planned_stop_cuts_off_nothing" // a graceful stop interrupts no request
 	ConfigMonotonic    Promise = "configuration_monotonic"       // the version in force of an object never decreases
 )
 
 // All lists the promises.
 var All = []Promise{
 	LayersOnceInOrder, CompleteOwnAnswer, NotRunIsTrue, AtMostOnce,
-	NoWorkAfterLeave, PlannedStopCutsOff, ConfigMonotonic,
+	NoWorkAfterLeave, PlannedStopCutsOffNothing, ConfigMonotonic,
 }
 
 // Reporter is called for every violation. It must be safe for concurrent use.
--- a/trial/leave_test.go
+++ b/trial/leave_test.go
@@ -34,7 +34,7 @@
 			p.cfg.Stop.DrainTimeout = drain
 			require.NoError(t, p.Cycle(false, time.Millisecond))
 			require.NoError(t, w.waitReady())
-			before := invariant.Count(invariant.PlannedStopCutsOff)
+			before := invariant.Count(invariant.PlannedStopCutsOffNothing)
 			hc := network.Client(w.hosts(callersIP), 4)
 			var reply client.Reply
 			var wg sync.WaitGroup
@@ -44,7 +44,7 @@
 			time.Sleep(100 * time.Millisecond)
 			stopped := p.Stop()
 			wg.Wait()
-			violations := invariant.Count(invariant.PlannedStopCutsOff) - before
+			violations := invariant.Count(invariant.PlannedStopCutsOffNothing) - before
 			if drain == time.Second {
 				assert.Error(t, stopped)
 				assert.EqualValues(t, 1, violations)
