--- a/gateway/quarantine_sync_test.go
+++ b/gateway/quarantine_sync_test.go
@@ -71,7 +71,7 @@
 func TestQuarantineIsRewrittenAfterARestore(t *testing.T) {
 	t.Parallel()
 	env, heads, daemons := newCrashEnv(t)
-	before := env.store.Copy()
+	before := env.store.Snapshot()
 	sendCrashing(t, daemons, 6)
 	stored := func() bool { return env.store.Has(kindQuarantine, quarantineObject) }
 	require.Eventually(t, stored, 3*time.Second, 10*time.Millisecond)
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -21,7 +21,7 @@
 	first := env.daemon("vm-1", nil)
 	second := env.daemon("vm-2", func(s *site.Settings) { s.FirstStart = false })
 	daemons := []*testDaemon{first.ready(t, 3), second.ready(t, 3)}
-	copied := env.store.Copy()
+	copied := env.store.Snapshot()
 
 	drains := old[0].Record("plain", "domain-1", "")
 	drains["state"] = "draining"
@@ -84,7 +84,7 @@
 	other := env.daemon("vm-2", inDomain("domain-2", true))
 	first.ready(t, 1)
 	other.ready(t, 1)
-	copied := env.store.Copy()
+	copied := env.store.Snapshot()
 	env.putConfig()
 	inForce := uint64(env.version)
 	require.Eventually(t, func() bool {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -376,7 +376,7 @@
 // restoreStore takes a snapshot of the store and restores the store from it after a random
 // time.
 func (f *faults) restoreStore() {
-	snapshot, pause := f.site.Store.Copy(), time.Duration(f.r.Int64N(int64(maxRewriteDelay)))
+	snapshot, pause := f.site.Store.Snapshot(), time.Duration(f.r.Int64N(int64(maxRewriteDelay)))
 	f.during(func() {}, func() {
 		f.site.Store.Restore(snapshot)
 		time.Sleep(pause)
