--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -16,13 +16,13 @@
 
 // The promises.
 const (
-	LayersOnceInOrder  Promise = "layers_once_in_order"          // a route runs each layer of its model once and in order
-	CompleteOwnAnswer     Promise = "whole_own_answer"              // a complete answer has all its tokens
-	NotRunIsTrue       Promise = "not_run_is_true"               // a request that is reported as not run did not run
-	AtMostOnce         Promise = "at_most_once"                  // a request that is not repeatable runs at most once
-	NoWorkAfterLeave   Promise = "no_work_after_leave"           // a leaving backend server gets no new requests after a grace period
+	LayersOnceInOrder         Promise = "layers_once_in_order"          // a route runs each layer of its model once and in order
+	CompleteOwnAnswer         Promise = "whole_own_answer"              // a complete answer has all its tokens
+	NotRunIsTrue              Promise = "not_run_is_true"               // a request that is reported as not run did not run
+	AtMostOnce                Promise = "at_most_once"                  // a request that is not repeatable runs at most once
+	NoWorkAfterLeave          Promise = "no_work_after_leave"           // a leaving backend server gets no new requests after a grace period
 	PlannedStopCutsOffNothing Promise = "planned_stop_cuts_off_nothing" // a graceful stop interrupts no request
-	ConfigMonotonic    Promise = "configuration_monotonic"       // the version in force of an object never decreases
+	ConfigMonotonic           Promise = "configuration_monotonic"       // the version in force of an object never decreases
 )
 
 // All lists the promises.
