--- a/gateway/planned_test.go
+++ b/gateway/planned_test.go
@@ -78,7 +78,7 @@
 	servers := env.servers("plain", "", "plain-1", "plain-2")
 	d := env.daemon("daemon-1", nil).ready(t, 2)
 	env.store.SetMode(standin.Refusing)
-	require.Eventually(t, func() bool { return d.inv.Heard().IsZero() }, 3*time.Second, time.Millisecond, "the daemon has lost the store")
+	require.Eventually(t, func() bool { return d.inv.LastContact().IsZero() }, 3*time.Second, time.Millisecond, "the daemon has lost the store")
 	env.store.Remove("servers", "plain-1")
 	env.store.Remove("servers", "plain-2")
 	time.Sleep(300 * time.Millisecond)
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -140,9 +140,9 @@
 	return now.Sub(i.fresh)
 }
 
-// Heard returns when the store last answered this daemon, on the clock of package
+// LastContact returns when the store last answered this daemon, on the clock of package
 // boottime. It is zero while the store is lost or not followed.
-func (i *Inventory) Heard() time.Time {
+func (i *Inventory) LastContact() time.Time {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.lastContact
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -128,13 +128,13 @@
 	require.EqualValues(t, 7, i.View().Config.Version)
 }
 
-func TestVouchNeedsTheConfiguration(t *testing.T) {
+func TestConfirmFreshNeedsTheConfiguration(t *testing.T) {
 	i := newTest()
 	now := time.Now()
 	i.Apply(Update{Config: []byte("7")})
-	i.Vouch(8, now) // the source has a newer one that was not received
+	i.ConfirmFresh(8, now) // the source has a newer one that was not received
 	require.Greater(t, i.Age(now), time.Hour)
-	i.Vouch(7, now)
+	i.ConfirmFresh(7, now)
 	require.Zero(t, i.Age(now))
 }
 
@@ -250,6 +250,6 @@
 		require.Greater(t, i.Age(time.Now()), 9*time.Second)
 		cancel()
 		synctest.Wait()
-		require.Zero(t, i.Heard())
+		require.Zero(t, i.LastContact())
 	})
 }
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// Vouch records that no configuration newer than version existed at fresh. It has no
-// effect if the configuration in force is older than version.
-func (i *Inventory) Vouch(version uint64, fresh time.Time) {
+// ConfirmFresh records that no configuration newer than version existed at fresh. It has
+// no effect if the configuration in force is older than version.
+func (i *Inventory) ConfirmFresh(version uint64, fresh time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	c := i.view.Load().Config
--- a/relay/node.go
+++ b/relay/node.go
@@ -135,7 +135,7 @@
 // follows. ok is false if it follows neither.
 func (n *Node) sinceContact(now time.Time) (ago time.Duration, ok bool) {
 	if n.reading.Load() {
-		return now.Sub(n.inv.Heard()), true
+		return now.Sub(n.inv.LastContact()), true
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/relay/session.go
+++ b/relay/session.go
@@ -235,7 +235,7 @@
 		return s.probe
 	}
 	s.followed = true
-	s.node.inv.Vouch(p.Version, sent.Add(-p.Age))
+	s.node.inv.ConfirmFresh(p.Version, sent.Add(-p.Age))
 	now := boottime.Now()
 	if p.Daemons > 0 {
 		s.node.sourceLoads.put(sourceKey, loadReport{at: now, loads: p.report(&s.received, s.node.serverNames())})
--- a/relay/source.go
+++ b/relay/source.go
@@ -18,13 +18,17 @@
 type Inventory interface {
 	// State returns an immutable state; without a change two calls return the same pointer.
 	State() *inventory.State
+	// Changed returns a channel that is closed at the next change.
 	Changed() <-chan struct{}
+	// Age returns the age of the newest proof that no newer configuration exists.
 	Age(now time.Time) time.Duration
-	// Heard returns when the store last answered this daemon itself, the zero time if the
-	// store is lost.
-	Heard() time.Time
+	// LastContact returns when the store last answered this daemon itself, the zero time
+	// if the store is lost.
+	LastContact() time.Time
+	// Apply applies an update received from another daemon.
 	Apply(u inventory.Update)
-	Vouch(version uint64, fresh time.Time)
+	// ConfirmFresh records that no configuration newer than version existed at fresh.
+	ConfirmFresh(version uint64, fresh time.Time)
 	// Follow follows the store until ctx ends. Retry delays after failed calls are between
 	// first and longest.
 	Follow(ctx context.Context, first, longest time.Duration)
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -117,7 +117,7 @@
 	return now.Sub(c.fresh)
 }
 
-func (c *fakeInventory) Heard() time.Time {
+func (c *fakeInventory) LastContact() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lastContact
@@ -135,7 +135,7 @@
 	}
 }
 
-func (c *fakeInventory) Vouch(version uint64, fresh time.Time) {
+func (c *fakeInventory) ConfirmFresh(version uint64, fresh time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state.ConfigVersion >= version && fresh.After(c.fresh) {
