--- a/relay/age_test.go
+++ b/relay/age_test.go
@@ -25,16 +25,16 @@
 
 // modelDaemon is a daemon with the two ends of the link to its parent.
 type modelDaemon struct {
-	node     *Node
-	book     *fakeInventory
-	above    *modelDaemon // nil for a source
-	next     time.Time
-	up       loadReporter // to the parent
-	atParent loadReceiver
-	down     loadReporter // from the parent
-	local    loadReceiver
-	toPeer   map[*modelDaemon]*peerLink
-	bytes    int
+	node           *Node
+	inv            *fakeInventory
+	parent         *modelDaemon // nil for a source
+	next           time.Time    // of the next exchange
+	reporter       loadReporter // at this daemon
+	parentReceiver loadReceiver
+	parentReporter loadReporter
+	receiver       loadReceiver // at this daemon
+	toPeer         map[*modelDaemon]*peerLink
+	bytes          int
 }
 
 // peerLink is one direction of a link between two sources.
@@ -63,17 +63,17 @@
 	for d := range modelDomains {
 		first := len(f.all)
 		for i := range daemons / modelDomains {
-			book := newFakeInventory(&fakeStore{})
-			book.state = state
+			inv := newFakeInventory(&fakeStore{})
+			inv.state = state
 			o := Options{Name: daemonName(len(f.all)), Domain: string(rune('a' + d))}
-			b := &modelDaemon{node: New(o, book, book, memberList{}, log.NewNopLogger()), book: book, toPeer: map[*modelDaemon]*peerLink{}}
-			b.next = f.now.Add(time.Duration(f.rng.Int64N(int64(f.interval))))
+			daemon := &modelDaemon{node: New(o, inv, inv, memberList{}, log.NewNopLogger()), inv: inv, toPeer: map[*modelDaemon]*peerLink{}}
+			daemon.next = f.now.Add(time.Duration(f.rng.Int64N(int64(f.interval))))
 			if i > 0 {
-				b.above = f.all[first+(i-1)/defaultFanOut]
+				daemon.parent = f.all[first+(i-1)/defaultFanOut]
 			} else {
-				b.node.reading.Store(true)
+				daemon.node.followsStore.Store(true)
 			}
-			f.all = append(f.all, b)
+			f.all = append(f.all, daemon)
 		}
 	}
 	return f
@@ -81,60 +81,60 @@
 
 func (f *fleetModel) run(length time.Duration) {
 	for end := f.now.Add(length); f.now.Before(end); f.now = f.now.Add(100 * time.Millisecond) {
-		for _, b := range f.all {
-			if f.now.Before(b.next) {
+		for _, d := range f.all {
+			if f.now.Before(d.next) {
 				continue
 			}
-			f.newLoads(b)
-			if b.above != nil {
-				b.exchange(f.now)
-				b.next = b.next.Add(f.interval)
+			f.newLoads(d)
+			if d.parent != nil {
+				d.exchange(f.now)
+				d.next = d.next.Add(f.interval)
 			} else {
-				f.querySources(b)
-				b.next = b.next.Add(exchangeFactor * f.interval)
+				f.querySources(d)
+				d.next = d.next.Add(exchangeFactor * f.interval)
 			}
-			b.node.updateOthers(f.now)
+			d.node.updateOthers(f.now)
 		}
 	}
 }
 
 // newLoads replaces the daemon's requests, which last about one interval.
-func (f *fleetModel) newLoads(b *modelDaemon) {
-	b.book.own = b.book.own[:0]
+func (f *fleetModel) newLoads(d *modelDaemon) {
+	d.inv.own = d.inv.own[:0]
 	for range modelOwnLoads {
-		b.book.own = append(b.book.own, LoadItem{Server: fmt.Sprintf("i-%010x", f.rng.IntN(modelServers)), Running: 1, KV: 6000})
+		d.inv.own = append(d.inv.own, LoadItem{Server: fmt.Sprintf("i-%010x", f.rng.IntN(modelServers)), Running: 1, KV: 6000})
 	}
 }
 
 // exchange sends the daemon's loads to its parent and receives those of the others.
-func (b *modelDaemon) exchange(now time.Time) {
-	n, source := b.node, b.above.node
+func (d *modelDaemon) exchange(now time.Time) {
+	n, source := d.node, d.parent.node
 	below := n.subtreeLoads(now)
-	p := &ping{Sender: n.opts.Name, Domain: n.opts.Domain, HasLoads: true, Loads: b.up.changes(below.Items), Daemons: below.Daemons, LoadsAge: below.Age}
-	source.followerLoads.put(n.opts.Name, loadReport{at: now, domain: n.opts.Domain, loads: p.report(&b.atParent, source.serverNames())})
+	p := &ping{Sender: n.opts.Name, Domain: n.opts.Domain, HasLoads: true, Loads: d.reporter.changes(below.Items), Daemons: below.Daemons, LoadsAge: below.Age}
+	source.followerLoads.put(n.opts.Name, loadReport{at: now, domain: n.opts.Domain, loads: p.report(&d.parentReceiver, source.serverNames())})
 	others := source.loadsFor(n.opts.Name, true, now)
-	a := &pong{Loads: b.down.changes(others.Items), Daemons: others.Daemons, LoadsAge: others.Age}
-	n.sourceLoads.put(sourceKey, loadReport{at: now, loads: a.report(&b.local, n.serverNames())})
+	a := &pong{Loads: d.parentReporter.changes(others.Items), Daemons: others.Daemons, LoadsAge: others.Age}
+	n.sourceLoads.put(sourceKey, loadReport{at: now, loads: a.report(&d.receiver, n.serverNames())})
 	size := frameSize(&frame{Ping: p}) + frameSize(&frame{Pong: a})
-	b.bytes += size
-	b.above.bytes += size
+	d.bytes += size
+	d.parent.bytes += size
 }
 
 // querySources queries the other sources for the loads of their domains.
-func (f *fleetModel) querySources(b *modelDaemon) {
+func (f *fleetModel) querySources(d *modelDaemon) {
 	for _, o := range f.all {
-		if o.above != nil || o == b {
+		if o.parent != nil || o == d {
 			continue
 		}
-		if o.toPeer[b] == nil {
-			o.toPeer[b] = &peerLink{}
+		if o.toPeer[d] == nil {
+			o.toPeer[d] = &peerLink{}
 		}
-		link := o.toPeer[b]
-		loads := o.node.loadsFor(b.node.opts.Name, false, f.now)
+		link := o.toPeer[d]
+		loads := o.node.loadsFor(d.node.opts.Name, false, f.now)
 		a := &pong{Loads: link.reporter.changes(loads.Items), Daemons: loads.Daemons, LoadsAge: loads.Age}
-		b.node.domainLoads.put(o.node.opts.Domain, loadReport{at: f.now, domain: o.node.opts.Domain, loads: a.report(&link.receiver, b.node.serverNames())})
+		d.node.domainLoads.put(o.node.opts.Domain, loadReport{at: f.now, domain: o.node.opts.Domain, loads: a.report(&link.receiver, d.node.serverNames())})
 		size := frameSize(&frame{Pong: a})
-		b.bytes += size
+		d.bytes += size
 		o.bytes += size
 	}
 }
@@ -159,7 +159,7 @@
 				var ages []time.Duration
 				var bytes []int
 				for _, d := range f.all {
-					ages = append(ages, d.book.age)
+					ages = append(ages, d.inv.age)
 					bytes = append(bytes, d.bytes)
 				}
 				slices.Sort(ages)
@@ -177,12 +177,12 @@
 func TestLoadsOfAFleetReachAll(t *testing.T) {
 	f := newFleetModel(300)
 	f.run(30 * time.Second)
-	for _, b := range f.all {
-		if b.book.daemons != 299 {
-			t.Fatalf("%s: got the loads of %d others, want 299", b.node.opts.Name, b.book.daemons)
+	for _, d := range f.all {
+		if d.inv.daemons != 299 {
+			t.Fatalf("%s: got the loads of %d others, want 299", d.node.opts.Name, d.inv.daemons)
 		}
-		if b.book.age <= 0 || b.book.age > 20*time.Second {
-			t.Fatalf("%s: age of loads is %s, want between 0 and 20s", b.node.opts.Name, b.book.age)
+		if d.inv.age <= 0 || d.inv.age > 20*time.Second {
+			t.Fatalf("%s: age of loads is %s, want between 0 and 20s", d.node.opts.Name, d.inv.age)
 		}
 	}
 }
--- a/relay/candidates.go
+++ b/relay/candidates.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Member is another daemon.
+// Member is a daemon of the fleet.
 type Member struct {
 	Name    string
 	Domain  string
@@ -17,9 +17,11 @@
 
 // candidates returns the daemons that this one may follow, best first: its parent in the
 // tree of its domain, then the first daemons of the domain, then the first daemon of each
-// other domain. The first two daemons of a domain get none from other domains. Within a
-// domain a daemon follows only daemons whose names sort before its own, and a daemon of
-// another domain only while that one follows the store, so there are no cycles.
+// other domain. The first two daemons of a domain get none from other domains.
+//
+// There are no cycles: within a domain a daemon follows only daemons whose names sort
+// before its own, and it follows one of another domain only while that one follows the
+// store itself.
 func (n *Node) candidates() []Member {
 	all := n.members.All()
 	var before []Member
@@ -32,10 +34,10 @@
 	if len(before) < sourcesPerDomain {
 		return before
 	}
-	above := (len(before) - 1) / n.opts.FanOut
-	out := []Member{before[above]}
+	parent := (len(before) - 1) / n.opts.FanOut
+	out := []Member{before[parent]}
 	for i, m := range before[:sourcesPerDomain] {
-		if i != above {
+		if i != parent {
 			out = append(out, m)
 		}
 	}
@@ -48,7 +50,7 @@
 }
 
 // successors returns the daemons of this domain that follow the store while this one is
-// away.
+// down.
 func (n *Node) successors() []Member {
 	var next []Member
 	for _, m := range n.members.All() {
@@ -62,7 +64,8 @@
 
 func byName(a, b Member) int { return strings.Compare(a.Name, b.Name) }
 
-// otherSources returns the first daemon of each other domain, which is usually its source.
+// otherSources returns the first daemon of each other domain, usually the source of that
+// domain.
 func (n *Node) otherSources() map[string]Member {
 	out := map[string]Member{}
 	for _, m := range n.members.All() {
--- a/relay/condition.go
+++ b/relay/condition.go
@@ -18,8 +18,8 @@
 	Condition(ctx context.Context, server string) (Condition, error)
 	// DomainOf returns the failure domain of a backend server, "" if unknown.
 	DomainOf(server string) string
-	// MaybeSaturated returns the backend servers of the own failure domain that may be
-	// saturated according to the known loads.
+	// MaybeSaturated returns the backend servers of this daemon's failure domain that may
+	// be saturated according to the known loads.
 	MaybeSaturated() []string
 }
 
--- a/relay/conditions.go
+++ b/relay/conditions.go
@@ -15,16 +15,16 @@
 
 // Distribution of slow and saturated backend servers, as they report themselves. A daemon
 // sends suspected servers up the tree with its pings. In each failure domain the daemon
-// that follows the store queries these, the servers of its domain that may be saturated by
-// the known loads, and those already known to be slow or saturated. It sends the results
-// down the tree and to the other domains. Each server is so queried by one daemon.
+// that follows the store queries these, the servers of its domain that may be saturated
+// according to the known loads, and those already known to be slow or saturated. It sends
+// the results down the tree and to the other domains. So only one daemon queries a server.
 
 // Intervals and bounds of polling backend servers.
 const (
 	// pollInterval is the time between two polls. A saturated server is queried at each
 	// poll, since traffic avoids it until it reports capacity again. Others are queried at
-	// most once per queryInterval, which bounds the cost of the calls. A report lags by
-	// some hundred milliseconds, so an early query can miss a slow server.
+	// most once per queryInterval, which bounds the cost of the calls. A report lags by a
+	// few hundred milliseconds, so an early query can miss a slow server.
 	pollInterval  = 250 * time.Millisecond
 	queryInterval = time.Second
 	// slowThreshold is the slowdown at which a server is reported as slow. Lower values are
@@ -34,8 +34,8 @@
 	maxSlowdown = 1000
 	// reportThreshold is the memory share at which a condition is reported,
 	// saturationThreshold the one at which a server counts as saturated. usageStep is the
-	// resolution of reported shares: requests in flight change the share by some
-	// hundredths.
+	// resolution of reported shares: requests in flight change the share by a
+	// few hundredths.
 	reportThreshold     = 0.7
 	saturationThreshold = 0.9
 	usageStep           = 0.02
@@ -68,8 +68,8 @@
 // localKey is the key of this daemon's own findings in conditionRegistry.reported.
 const localKey = ""
 
-// suspect adds suspects, up to maxSuspects.
-func (r *conditionRegistry) suspect(servers []uint32) {
+// addSuspects adds suspects, up to maxSuspects.
+func (r *conditionRegistry) addSuspects(servers []uint32) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range servers {
@@ -91,8 +91,8 @@
 	return out
 }
 
-// replace sets all conditions reported by one peer, nil for none. It returns whether they
-// changed. Invalid ones are dropped.
+// replace sets all conditions reported by one peer, nil for none, and drops invalid ones.
+// It reports whether they changed.
 func (r *conditionRegistry) replace(from string, reported []packedCondition) bool {
 	now := make(map[uint32]packedCondition, len(reported))
 	for _, s := range reported {
@@ -135,16 +135,16 @@
 
 // collectSuspects adds the suspects of this daemon to those of its followers.
 func (n *Node) collectSuspects() {
-	ids := n.book.TakeSuspects()
+	ids := n.loads.TakeSuspects()
 	hashes := make([]uint32, len(ids))
 	for i, id := range ids {
 		hashes[i] = serverHash(id)
 	}
-	n.conditions.suspect(hashes)
+	n.conditions.addSuspects(hashes)
 }
 
-// applyConditions sets the conditions reported by one peer, and updates the load book if
-// they changed.
+// applyConditions sets the conditions reported by one peer. If they changed, it passes the
+// merged conditions of all peers to the LoadExchange.
 func (n *Node) applyConditions(from string, reported []packedCondition) {
 	if !n.conditions.replace(from, reported) {
 		return
@@ -157,7 +157,7 @@
 			out[id] = c.unpack()
 		}
 	}
-	n.book.SetConditions(out)
+	n.loads.SetConditions(out)
 }
 
 // changes returns a channel that is closed at the next change of the reported conditions.
@@ -171,8 +171,8 @@
 const minConditionsInterval = 100 * time.Millisecond
 
 // pushConditions sends a follower the slow and saturated backend servers whenever they
-// change, until the link ends. They are pushed rather than added to pongs, since a
-// saturated first hop is to be avoided at once.
+// change, until the link ends. They are pushed rather than added to pongs, so that all
+// daemons avoid a saturated first hop at once.
 func (n *Node) pushConditions(ctx context.Context, c *websocket.Conn) {
 	sent := uint64(0)
 	for {
@@ -197,7 +197,7 @@
 }
 
 // enqueue adds a suspect for the source of another domain. It returns false if there is no
-// link to that.
+// link to that source.
 func (r *conditionRegistry) enqueue(domain string, server uint32) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,7 +208,8 @@
 	return linked
 }
 
-// setLinked records whether there is a link to the source of another domain.
+// setLinked records whether there is a link to the source of another domain. Without a
+// link the outbox of that domain is dropped.
 func (r *conditionRegistry) setLinked(domain string, up bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,7 +250,7 @@
 }
 
 // dueQueries returns the IDs of the backend servers to be queried now, by hash, and
-// records the time in queriedAt. A server in a bad condition that is gone from the
+// records the time in queriedAt. A slow or saturated server that is gone from the
 // inventory has an empty ID.
 func (n *Node) dueQueries(queriedAt map[uint32]time.Time, now time.Time) map[uint32]string {
 	names := n.serverNames()
@@ -287,9 +288,9 @@
 	return due
 }
 
-// queryConditions queries the servers in due and returns all that this daemon then knows
-// to be slow or saturated. Servers that are not due keep their condition; those without an
-// ID are dropped.
+// queryConditions queries the servers in due. It returns the conditions of all servers
+// that this daemon has found to be slow or saturated. Servers that are not due keep their
+// condition; those without an ID are dropped.
 func (n *Node) queryConditions(ctx context.Context, due map[uint32]string) []packedCondition {
 	found, _ := n.conditions.merged(func(from string) bool { return from == localKey })
 	maps.DeleteFunc(found, func(s uint32, _ packedCondition) bool {
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -13,24 +13,24 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// fakeAsker is an Asker with fixed conditions and a fixed list of servers that may be
-// saturated.
-type fakeAsker struct {
+// fakeConditionReader is a ConditionReader with fixed conditions and a fixed list of
+// servers that may be saturated.
+type fakeConditionReader struct {
 	mu         sync.Mutex
 	conditions map[string]Condition
 	maybe      []string
 	calls      int
 }
 
-func newFakeAsker(slowdowns map[string]float64) *fakeAsker {
-	a := &fakeAsker{conditions: map[string]Condition{}}
+func newFakeConditionReader(slowdowns map[string]float64) *fakeConditionReader {
+	a := &fakeConditionReader{conditions: map[string]Condition{}}
 	for server, slowdown := range slowdowns {
 		a.conditions[server] = Condition{Slowdown: slowdown}
 	}
 	return a
 }
 
-func (a *fakeAsker) Condition(_ context.Context, server string) (Condition, error) {
+func (a *fakeConditionReader) Condition(_ context.Context, server string) (Condition, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls++
@@ -41,37 +41,37 @@
 	return s, nil
 }
 
-func (a *fakeAsker) DomainOf(string) string { return "d" }
+func (a *fakeConditionReader) DomainOf(string) string { return "d" }
 
-func (a *fakeAsker) MaybeSaturated() []string {
+func (a *fakeConditionReader) MaybeSaturated() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.maybe
 }
 
-func (a *fakeAsker) set(server string, c Condition) {
+func (a *fakeConditionReader) set(server string, c Condition) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.conditions[server] = c
 }
 
-func (c *fakeInventory) condition(server string) Condition {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.conditions[server]
+func (f *fakeInventory) condition(server string) Condition {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.conditions[server]
 }
 
-func (c *fakeInventory) slowdown(server string) float64 { return c.condition(server).Slowdown }
+func (f *fakeInventory) slowdown(server string) float64 { return f.condition(server).Slowdown }
 
 // A server that may be saturated is queried without a suspicion, and all daemons receive
 // its condition until it has capacity again.
 func TestSaturatedServerIsReportedToAll(t *testing.T) {
 	t.Parallel()
-	asker := newFakeAsker(nil)
-	asker.maybe = []string{"s"}
+	reader := newFakeConditionReader(nil)
+	reader.maybe = []string{"s"}
 	saturated := Condition{MemoryUsed: 0.98, Waiting: 7}
-	asker.set("s", saturated)
-	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: asker})
+	reader.set("s", saturated)
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: reader})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	allReport := func(want Condition) func() bool {
 		return func() bool {
@@ -84,7 +84,7 @@
 		}
 	}
 	require.Eventually(t, allReport(saturated), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
-	asker.set("s", Condition{MemoryUsed: 0.6, Slowdown: 1})
+	reader.set("s", Condition{MemoryUsed: 0.6, Slowdown: 1})
 	require.Eventually(t, allReport(Condition{}), pollInterval+queryInterval+3*pingInterval, 10*time.Millisecond)
 }
 
@@ -105,10 +105,10 @@
 // All daemons receive the result, and its recovery.
 func TestSlowServerIsReportedToAll(t *testing.T) {
 	t.Parallel()
-	asker := newFakeAsker(map[string]float64{"s": 12})
-	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: asker})
+	reader := newFakeConditionReader(map[string]float64{"s": 12})
+	c := newChainOf(t, 4, &fakeStore{version: 1}, Options{FanOut: 1, ConditionReader: reader})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
-	require.Zero(t, asker.calls, "no server is queried without a suspicion")
+	require.Zero(t, reader.calls, "no server is queried without a suspicion")
 	allReport := func(slowdown float64) func() bool {
 		return func() bool {
 			for _, inv := range c.invs {
@@ -124,23 +124,23 @@
 	c.invs[3].mu.Unlock()
 	// Three pings up, a poll, and three steps down.
 	require.Eventually(t, allReport(12), 6*pingInterval+2*pollInterval, 10*time.Millisecond)
-	asker.set("s", Condition{Slowdown: 1})
+	reader.set("s", Condition{Slowdown: 1})
 	require.Eventually(t, allReport(0), 3*pingInterval+pollInterval+2*queryInterval, 10*time.Millisecond)
-	asker.mu.Lock()
-	calls := asker.calls
-	asker.mu.Unlock()
+	reader.mu.Lock()
+	calls := reader.calls
+	reader.mu.Unlock()
 	time.Sleep(2 * queryInterval)
-	asker.mu.Lock()
-	defer asker.mu.Unlock()
-	require.Equal(t, calls, asker.calls, "a recovered server is not queried again")
+	reader.mu.Lock()
+	defer reader.mu.Unlock()
+	require.Equal(t, calls, reader.calls, "a recovered server is not queried again")
 }
 
 // A slow server that does not answer is not reported as slow.
 func TestUnreachableServerIsNotSlow(t *testing.T) {
-	asker := newFakeAsker(nil)
+	reader := newFakeConditionReader(nil)
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: reader}, inv, inv, memberList{}, nil)
 	n.applyConditions(localKey, []packedCondition{{Server: serverHash("s"), Tenths: 30}})
 	require.InDelta(t, 3.0, inv.slowdown("s"), 0)
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
@@ -148,21 +148,21 @@
 	require.Len(t, due, 1)
 	require.Empty(t, n.dueQueries(queriedAt, now), "queried less than queryInterval ago")
 	n.applyConditions(localKey, n.queryConditions(t.Context(), due))
-	require.Equal(t, 1, asker.calls)
+	require.Equal(t, 1, reader.calls)
 	require.Zero(t, inv.slowdown("s"))
 }
 
 // A slow server that is gone from the inventory is neither reported nor queried.
 func TestRemovedSlowServerIsDropped(t *testing.T) {
-	asker := newFakeAsker(map[string]float64{"left": 3})
+	reader := newFakeConditionReader(map[string]float64{"left": 3})
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: reader}, inv, inv, memberList{}, nil)
 	n.applyConditions(localKey, []packedCondition{{Server: serverHash("left"), Tenths: 30}})
 	due := n.dueQueries(map[uint32]time.Time{}, time.Now())
 	require.Len(t, due, 1)
 	n.applyConditions(localKey, n.queryConditions(t.Context(), due))
-	require.Zero(t, asker.calls)
+	require.Zero(t, reader.calls)
 	slow, _ := n.conditions.merged(nil)
 	require.Empty(t, slow)
 }
@@ -171,16 +171,16 @@
 func TestSuspectsOfOtherDomainsAreForwarded(t *testing.T) {
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.set(1)
-	n := New(Options{Domain: "e", ConditionReader: newFakeAsker(nil)}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "e", ConditionReader: newFakeConditionReader(nil)}, inv, inv, memberList{}, nil)
 	s := serverHash("s")
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
 	n.conditions.setLinked("d", true)
-	n.conditions.suspect([]uint32{s})
+	n.conditions.addSuspects([]uint32{s})
 	require.Empty(t, n.dueQueries(queriedAt, now))
 	require.Equal(t, []uint32{s}, n.conditions.drainOutbox("d"))
 	require.Empty(t, n.conditions.drainOutbox("d"))
 	n.conditions.setLinked("d", false)
-	n.conditions.suspect([]uint32{s})
+	n.conditions.addSuspects([]uint32{s})
 	require.Len(t, n.dueQueries(queriedAt, now), 1)
 }
 
@@ -195,9 +195,9 @@
 	require.Equal(t, uint64(2), version)
 	slow, _ = r.merged(func(from string) bool { return from == "b" })
 	require.Equal(t, map[uint32]packedCondition{1: {Server: 1, Tenths: 30}}, slow)
-	r.suspect(make([]uint32, 3))
+	r.addSuspects(make([]uint32, 3))
 	for i := range uint32(2 * maxSuspects) {
-		r.suspect([]uint32{i})
+		r.addSuspects([]uint32{i})
 	}
 	require.Len(t, r.takeSuspects(), maxSuspects)
 	require.Empty(t, r.takeSuspects())
@@ -206,15 +206,15 @@
 // When all of a thousand servers may be saturated, each poll queries a bounded number, and
 // the next poll others.
 func TestQueriesPerPollAreBounded(t *testing.T) {
-	asker := newFakeAsker(nil)
+	reader := newFakeConditionReader(nil)
 	inv := newFakeInventory(&fakeStore{version: 1})
 	inv.state = &inventory.State{ConfigVersion: 1, Servers: map[string]inventory.Entry{}}
 	for i := range 1000 {
 		id := fmt.Sprint("s-", i)
 		inv.state.Servers[id] = inventory.Entry{}
-		asker.maybe = append(asker.maybe, id)
+		reader.maybe = append(reader.maybe, id)
 	}
-	n := New(Options{Domain: "d", ConditionReader: asker}, inv, inv, memberList{}, nil)
+	n := New(Options{Domain: "d", ConditionReader: reader}, inv, inv, memberList{}, nil)
 	queriedAt, now := map[uint32]time.Time{}, time.Now()
 	for poll := range 3 {
 		require.Len(t, n.dueQueries(queriedAt, now), maxSaturationChecks)
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -10,12 +10,13 @@
 	"github.com/snowspoke/snowspoke/quarantine"
 )
 
-// Distribution of requests under which backend servers ended. Changes are sent at once
-// over the links of a failure domain, and to the sources of other domains with the
-// exchange of loads, so that every daemon knows an end before the caller retries. A daemon
-// forwards only changes to its own registry, so a change is not sent around in cycles.
+// Distribution of the requests that were running at backend servers when these ended.
+// Changes are sent at once over the links of a failure domain, and to the sources of other
+// domains with the exchange of loads, so that every daemon knows of the end before the
+// caller retries. A daemon forwards only changes to its own registry, so a change is not
+// sent around in cycles.
 
-// Bounds of what is sent.
+// Bounds of the frames with crashes.
 const (
 	// maxCrashesPerFrame bounds the entries of a frame, at about 25 bytes each.
 	// minCrashInterval is the least time between two frames on a link.
@@ -36,11 +37,11 @@
 // packedCrash is a quarantine.Entry on a link. Times are sent as ages, since daemons share
 // no clock.
 type packedCrash struct {
-	_      struct{} `cbor:",toarray"`
-	Print  uint64
-	Ends   []packedEnd
-	Tried  uint32 // milliseconds since the last trial, plus 1; 0 for none
-	Served uint32 // milliseconds since it was last served, plus 1; 0 for never
+	_           struct{} `cbor:",toarray"`
+	Fingerprint uint64
+	Ends        []packedEnd
+	Tried       uint32 // milliseconds since the last trial, plus 1; 0 for none
+	Served      uint32 // milliseconds since it was last served, plus 1; 0 for never
 }
 
 // valid reports whether the weights and the number of ends are in range.
@@ -56,7 +57,7 @@
 func packCrashes(entries []quarantine.Entry, now time.Time) []packedCrash {
 	out := make([]packedCrash, 0, len(entries))
 	for _, e := range entries {
-		p := packedCrash{Print: uint64(e.Fingerprint), Tried: packTime(e.TriedAt, now), Served: packTime(e.ServedAt, now)}
+		p := packedCrash{Fingerprint: uint64(e.Fingerprint), Tried: packTime(e.TriedAt, now), Served: packTime(e.ServedAt, now)}
 		for _, end := range e.Ends {
 			p.Ends = append(p.Ends, packedEnd{Server: uint32(end.Server), Weight: uint8(end.Weight), Age: ageOf(end.At, now)})
 		}
@@ -71,7 +72,7 @@
 		if !p.valid() {
 			continue
 		}
-		e := quarantine.Entry{Fingerprint: quarantine.Fingerprint(p.Print), TriedAt: unpackTime(p.Tried, now), ServedAt: unpackTime(p.Served, now)}
+		e := quarantine.Entry{Fingerprint: quarantine.Fingerprint(p.Fingerprint), TriedAt: unpackTime(p.Tried, now), ServedAt: unpackTime(p.Served, now)}
 		for _, end := range p.Ends {
 			at := now.Add(-time.Duration(end.Age) * time.Millisecond)
 			e.Ends = append(e.Ends, quarantine.End{Server: quarantine.Server(end.Server), Weight: quarantine.Weight(end.Weight), At: at})
@@ -103,11 +104,11 @@
 type crashReporter struct{ sent uint64 }
 
 // next returns the next changes that were not sent yet.
-func (r *crashReporter) next(b *quarantine.Registry) []packedCrash {
-	if b == nil {
+func (r *crashReporter) next(registry *quarantine.Registry) []packedCrash {
+	if registry == nil {
 		return nil
 	}
-	entries, sent := b.Since(r.sent, maxCrashesPerFrame)
+	entries, sent := registry.Since(r.sent, maxCrashesPerFrame)
 	r.sent = sent
 	return packCrashes(entries, time.Now())
 }
@@ -134,7 +135,8 @@
 	}
 }
 
-// sendCrashes sends changes, those not sent yet first, until ctx or the link ends.
+// sendCrashes sends the changes of the registry that were not sent yet, and then each
+// further change, until ctx or the link ends.
 func (n *Node) sendCrashes(ctx context.Context, c *websocket.Conn, reporter *crashReporter) {
 	registry := n.opts.Quarantine
 	if registry == nil {
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -48,19 +48,19 @@
 }
 
 // quarantinedBy returns the number of daemons that quarantine a request.
-func (f *crashFleet) quarantinedBy(print quarantine.Fingerprint) int {
+func (f *crashFleet) quarantinedBy(fingerprint quarantine.Fingerprint) int {
 	n := 0
 	for _, registry := range f.registries {
-		if registry.Look(print, time.Now()).Held {
+		if registry.Look(fingerprint, time.Now()).Held {
 			n++
 		}
 	}
 	return n
 }
 
-// A request under which a backend server ended at the far end of each of two failure
-// domains is quarantined by all daemons of both before its caller retries, and released by
-// all once it was served.
+// Backend servers end while they run the same request, at the far end of each of two
+// failure domains. All daemons of both quarantine the request before its caller retries,
+// and lift the quarantine once it was served.
 func TestCrashesReachAllDaemons(t *testing.T) {
 	t.Parallel()
 	f := newCrashFleet(t, "d", "d", "d", "e", "e", "e")
@@ -90,12 +90,12 @@
 		now := time.Unix(5000, 0)
 		registry, other := quarantine.NewRegistry(quarantine.DefaultPolicy), quarantine.NewRegistry(quarantine.DefaultPolicy)
 		for range rapid.IntRange(0, 9).Draw(t, "ends") {
-			print := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "print"))
+			fingerprint := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "print"))
 			server := quarantine.Server(rapid.Uint32().Draw(t, "server"))
 			weight := quarantine.Weight(rapid.IntRange(1, 2).Draw(t, "weight"))
-			registry.Ended(print, server, weight, now)
+			registry.Ended(fingerprint, server, weight, now)
 			if rapid.Bool().Draw(t, "tried") {
-				registry.Admit(print, now.Add(quarantine.DefaultPolicy.TrialAfter))
+				registry.Admit(fingerprint, now.Add(quarantine.DefaultPolicy.TrialAfter))
 			}
 		}
 		var reporter crashReporter
@@ -105,8 +105,8 @@
 		require.NoError(t, err)
 		at := time.Now()
 		other.Join(unpackCrashes(f.Crashes, at), at)
-		for print := range quarantine.Fingerprint(4) {
-			require.Equal(t, registry.Look(print, now).Score, other.Look(print, now).Score)
+		for fingerprint := range quarantine.Fingerprint(4) {
+			require.Equal(t, registry.Look(fingerprint, now).Score, other.Look(fingerprint, now).Score)
 		}
 	})
 }
@@ -114,12 +114,12 @@
 // Entries out of range are dropped.
 func TestInvalidCrashesAreDropped(t *testing.T) {
 	now := time.Now()
-	require.Empty(t, unpackCrashes([]packedCrash{{Print: 1, Ends: []packedEnd{{Server: 1, Weight: 3}}}}, now))
-	require.Empty(t, unpackCrashes([]packedCrash{{Print: 1, Ends: make([]packedEnd, maxEnds+1)}}, now))
-	require.Len(t, unpackCrashes([]packedCrash{{Print: 1, Ends: []packedEnd{{Server: 1, Weight: 2}}}}, now), 1)
+	require.Empty(t, unpackCrashes([]packedCrash{{Fingerprint: 1, Ends: []packedEnd{{Server: 1, Weight: 3}}}}, now))
+	require.Empty(t, unpackCrashes([]packedCrash{{Fingerprint: 1, Ends: make([]packedEnd, maxEnds+1)}}, now))
+	require.Len(t, unpackCrashes([]packedCrash{{Fingerprint: 1, Ends: []packedEnd{{Server: 1, Weight: 2}}}}, now), 1)
 }
 
-// An end under 130 streams is sent once, in at most 30 bytes an entry.
+// When a backend server ends with 130 streams, each is sent once, in at most 30 bytes.
 func TestCrashFramesAreBounded(t *testing.T) {
 	registry := quarantine.NewRegistry(quarantine.DefaultPolicy)
 	for range 130 {
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -259,22 +259,22 @@
 			go inv.Follow(ctx, minRetryDelay, maxRetryDelay)
 			continue
 		}
-		above := i % sources
+		source := i % sources
 		if n := i / sources; n > defaultFanOut {
-			above = (n-1)/defaultFanOut*sources + i%sources
+			source = (n-1)/defaultFanOut*sources + i%sources
 		}
-		f.attach(ctx, i, above)
+		f.attach(ctx, i, source)
 	}
 	return f
 }
 
 // attach makes a daemon follow another one, starting with the full state.
-func (f *eraFleet) attach(ctx context.Context, i, above int) {
+func (f *eraFleet) attach(ctx context.Context, i, other int) {
 	if f.follow[i] != nil {
 		f.follow[i]()
 	}
 	ctx, f.follow[i] = context.WithCancel(ctx)
-	inv, source := f.all[i], f.all[above]
+	inv, source := f.all[i], f.all[other]
 	go func() {
 		var sent *inventory.State
 		for ctx.Err() == nil {
@@ -439,7 +439,7 @@
 		f.check()
 		switch rng.IntN(9) {
 		case 8:
-			// A source that is cut off for longer is left by its followers.
+			// Followers leave a source that is cut off for longer.
 			feed := f.feeds[rng.IntN(f.sources)]
 			feed.cut.Store(true)
 			time.AfterFunc(time.Duration(rng.Int64N(int64(minContactTimeout))), func() { feed.cut.Store(false) })
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -11,12 +11,12 @@
 	"github.com/snowspoke/snowspoke/inventory"
 )
 
-// exchangeFactor is the ratio of the interval of load exchanges between domains to that
-// within a domain. Traffic between domains is billed.
+// exchangeFactor is the ratio of the interval at which domains exchange loads to the
+// interval within a domain. Traffic between domains is billed.
 const exchangeFactor = 2
 
-// exchangeInterval is how often the sources of domains exchange suspects, conditions and
-// crashes. Loads are exchanged less often.
+// exchangeInterval is the interval at which the sources of domains exchange suspects,
+// conditions and crashes. Loads are exchanged less often.
 const exchangeInterval = 500 * time.Millisecond
 
 // exchangeLoads exchanges loads, suspects, conditions and crashes with the sources of the
@@ -29,15 +29,15 @@
 			n.dropDomain(domain)
 		}
 	}()
-	loadsAt := boottime.Now()
+	loadsSentAt := boottime.Now()
 	for wait.For(ctx, exchangeInterval) {
-		withLoads := boottime.Since(loadsAt) >= exchangeFactor*loadsInterval(len(n.inv.State().Servers))
+		withLoads := boottime.Since(loadsSentAt) >= exchangeFactor*loadsInterval(len(n.inv.State().Servers))
 		for domain, m := range n.otherSources() {
 			n.exchangeWith(ctx, links, domain, m, withLoads)
 		}
 		if withLoads {
-			loadsAt = boottime.Now()
-			n.updateOthers(loadsAt)
+			loadsSentAt = boottime.Now()
+			n.updateOthers(loadsSentAt)
 		}
 	}
 }
@@ -60,7 +60,7 @@
 		if err != nil {
 			return // retried at the next exchange; its last loads expire
 		}
-		l = &domainLink{conn: c, received: loadReceiver{refused: n.book.RefuseLoads}}
+		l = &domainLink{conn: c, received: loadReceiver{refused: n.loads.RefuseLoads}}
 		links[domain] = l
 		n.conditions.setLinked(domain, true)
 	}
@@ -106,6 +106,7 @@
 	}
 }
 
+// toUpdate converts an update from its form on a link.
 func toUpdate(u *update) inventory.Update {
 	return inventory.Update{Config: u.Config, Servers: u.Servers, Gone: u.Gone, Full: u.Full, Restored: u.Restored}
 }
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -26,9 +26,9 @@
 
 // searchSource searches for a healthy source before a daemon that is not among the first
 // of its domain follows the store itself. It searches while an earlier daemon of its
-// domain is starting or has lost the store, and no longer than a configuration could still
-// be in force in time. While daemons of several domains do not have the store, it searches
-// for up to maxOutageSearch. It returns whether a source was found.
+// domain is starting or has lost the store, and stops early enough for a configuration to
+// be in force within ConfigWithin. While daemons of several domains have lost the store,
+// it searches for up to maxOutageSearch. It reports whether a source was found.
 func (n *Node) searchSource(ctx context.Context) bool {
 	began := time.Now()
 	bound := n.opts.ConfigWithin - contactTimeout(n.opts.ConfigWithin) - maxSwitchDelay
@@ -70,7 +70,7 @@
 // from another domain is large and traffic between domains is billed. The first daemon of
 // a domain does not wait. The second waits for a shorter time: if it did not wait, others
 // would follow it and be cut off when it finds the first; if it waited longer, a domain
-// whose first daemon is gone would have no configuration for longer. It returns whether a
+// whose first daemon is gone would have no configuration for longer. It reports whether a
 // source was found.
 func (n *Node) awaitInitialSource(ctx context.Context) bool {
 	began := time.Now()
@@ -90,9 +90,10 @@
 	return false
 }
 
-// probeOwnDomain returns errHealthy if a source of this domain is healthy, and errStarting
-// if one is about to be. It stops at the first such source; otherwise all daemons would
-// follow the first.
+// probeOwnDomain probes the candidates of this domain in order. At the first that is
+// healthy or starting it returns errHealthy or errStarting; nil if there is none. It does
+// not go on after a starting one: all daemons would then follow the first of the domain
+// instead of their parent.
 func (n *Node) probeOwnDomain(ctx context.Context) error {
 	for _, m := range n.candidates() {
 		if m.Domain != n.opts.Domain {
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// followSource follows the first reachable source until the link fails. It returns whether
+// followSource follows the first reachable source until the link fails. It reports whether
 // one was followed.
 func (n *Node) followSource(ctx context.Context) bool {
 	better := []Member{}
@@ -143,7 +144,7 @@
 func (n *Node) followStore(ctx context.Context) {
 	sctx, cancel := context.WithCancel(ctx)
 	n.mu.Lock()
-	n.source = sctx
+	n.sourceCtx = sctx
 	n.mu.Unlock()
 	n.beforeStore.Do(func() { n.prepare(sctx) })
 	var wg sync.WaitGroup
@@ -156,11 +157,11 @@
 	if n.opts.ConditionReader != nil {
 		wg.Go(func() { n.pollConditions(sctx) })
 	}
-	n.readingSince.Store(time.Now().UnixNano())
-	n.reading.Store(true)
+	n.followsStoreSince.Store(time.Now().UnixNano())
+	n.followsStore.Store(true)
 	_ = level.Info(n.logger).Log("msg", "following the store", "domain", n.opts.Domain)
 	n.awaitHealthy(ctx, n.candidates)
-	n.reading.Store(false)
+	n.followsStore.Store(false)
 	cancel()
 	wg.Wait()
 }
@@ -183,8 +184,8 @@
 	}
 }
 
-// probe returns errHealthy for a healthy source, errStarting for one that is about to be
-// one, and otherwise why the daemon is not a source.
+// probe returns errHealthy for a healthy source, errStarting for a daemon that is about to
+// be a source, and otherwise the reason why the daemon is not a source.
 func (n *Node) probe(ctx context.Context, m Member) error {
 	_, err := n.session(ctx, m, errHealthy)
 	return err
--- a/relay/loads.go
+++ b/relay/loads.go
@@ -30,8 +30,8 @@
 type LoadItem struct {
 	Server  string
 	Running int     // requests that pass through it
-	Heads   int     // requests of which it is the first hop
-	KV      float64 // tokens x layers held by them
+	Heads   int     // requests whose first hop it is
+	KV      float64 // KV cache of the requests, in tokens x layers
 }
 
 // packedLoad is a LoadItem on a link, without field names and with rounded tokens. Server
@@ -195,10 +195,10 @@
 
 func newLoadSum() *loadSum { return &loadSum{items: map[string]LoadItem{}} }
 
-// add adds loads that were received ago before now.
-func (s *loadSum) add(l Loads, ago time.Duration) {
+// add adds loads that were received age ago.
+func (s *loadSum) add(l Loads, age time.Duration) {
 	s.daemons += l.Daemons
-	s.ages += time.Duration(l.Daemons) * (l.Age + ago)
+	s.ages += time.Duration(l.Daemons) * (l.Age + age)
 	for _, i := range l.Items {
 		total := s.items[i.Server]
 		total.Server = i.Server
@@ -229,35 +229,35 @@
 func newLoadTable() *loadTable { return &loadTable{reports: map[string]loadReport{}} }
 
 // put stores the report of a daemon or domain.
-func (l *loadTable) put(daemon string, r loadReport) {
+func (l *loadTable) put(reporter string, r loadReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reports[daemon] = r
+	l.reports[reporter] = r
 }
 
-// drop removes the report that a daemon made at that time, after its link has ended. A
-// later report over a new link stays.
-func (l *loadTable) drop(daemon string, at time.Time) {
+// drop removes the report received at the given time, after its link has ended. A later
+// report over a new link stays.
+func (l *loadTable) drop(reporter string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.reports[daemon].at.Equal(at) {
-		delete(l.reports, daemon)
+	if l.reports[reporter].at.Equal(at) {
+		delete(l.reports, reporter)
 	}
 }
 
-// addTo adds the reports that are not older than ttl, except that of one daemon and those
-// from domains that keep rejects. It removes expired reports.
+// addTo adds the reports that are not older than ttl to sum. It skips the report of
+// the reporter except and those of domains that keep rejects. It removes expired reports.
 func (l *loadTable) addTo(sum *loadSum, except string, keep func(domain string) bool, ttl time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, r := range l.reports {
-		ago := now.Sub(r.at)
-		if ago > ttl {
+		age := now.Sub(r.at)
+		if age > ttl {
 			delete(l.reports, name)
 			continue
 		}
 		if name != except && keep(r.domain) {
-			sum.add(r.loads, ago)
+			sum.add(r.loads, age)
 		}
 	}
 }
--- a/relay/node.go
+++ b/relay/node.go
@@ -38,14 +38,15 @@
 	ConditionReader ConditionReader
 	// Quarantine is kept in sync with those of the other daemons, nil for none.
 	Quarantine *quarantine.Registry
-	// Stalls monitors stalls of this process, which do not count as timeouts of other
-	// daemons; nil for none.
+	// Stalls monitors stalls of this process, which do not count towards the timeouts of
+	// other daemons; nil for none.
 	Stalls *stall.Monitor
-	// BeforeStore is called once before this daemon first follows the store, and so before
-	// it or one of its followers forwards a request; nil for none.
+	// BeforeStore is called once, before this daemon first follows the store. At a start
+	// without a source it returns before the daemon has a state, and so before the daemon
+	// or one of its followers forwards a request. It may be nil.
 	BeforeStore func(ctx context.Context)
-	// Restored reports whether the store was ever restored from an older copy, as far as
-	// this daemon knows after BeforeStore; nil for no.
+	// Restored reports whether the store is known to have been restored from an older
+	// copy. It is called after BeforeStore; nil if it never was.
 	Restored func() bool
 }
 
@@ -53,7 +54,7 @@
 type Node struct {
 	opts          Options
 	inv           Inventory
-	book          LoadExchange
+	loads         LoadExchange
 	members       Members
 	logger        log.Logger
 	followerLoads *loadTable
@@ -62,16 +63,16 @@
 	servers       serverIndex
 	conditions    *conditionRegistry
 
-	beforeStore  sync.Once
-	wasHealthy   atomic.Bool  // this daemon has been a healthy source
-	reading      atomic.Bool  // this daemon follows the store itself
-	readingSince atomic.Int64 // Unix nanoseconds
-	domainLoads  *loadTable   // loads of the other domains, while following the store
-	sourceLoads  *loadTable   // loads received from the source, while following one
+	beforeStore       sync.Once
+	wasHealthy        atomic.Bool  // this daemon has been a healthy source
+	followsStore      atomic.Bool  // this daemon follows the store itself
+	followsStoreSince atomic.Int64 // Unix nanoseconds
+	domainLoads       *loadTable   // loads of the other domains, while following the store
+	sourceLoads       *loadTable   // loads received from the source, while following one
 
-	mu       sync.Mutex
-	source   context.Context // ends when this daemon stops being a source
-	upstream *upstream       // nil unless this daemon follows a source
+	mu        sync.Mutex
+	sourceCtx context.Context // ends when this daemon stops being a source
+	upstream  *upstream       // nil unless this daemon follows a source
 }
 
 // upstream is the freshness that the source of this daemon reported.
@@ -88,7 +89,7 @@
 }
 
 // New returns a node. The caller must call Run.
-func New(o Options, inv Inventory, book LoadExchange, m Members, logger log.Logger) *Node {
+func New(o Options, inv Inventory, loads LoadExchange, m Members, logger log.Logger) *Node {
 	if o.FanOut == 0 {
 		o.FanOut = defaultFanOut
 	}
@@ -96,21 +97,21 @@
 		o.ConfigWithin = defaultConfigDelay
 	}
 	return &Node{
-		opts: o, inv: inv, book: book, members: m, logger: logger, followerLoads: newLoadTable(), dialer: NewDialer(o.Connect, o.Stalls), conditions: newConditionRegistry(),
-		domainLoads: newLoadTable(), sourceLoads: newLoadTable(), source: context.Background(),
+		opts: o, inv: inv, loads: loads, members: m, logger: logger, followerLoads: newLoadTable(), dialer: NewDialer(o.Connect, o.Stalls), conditions: newConditionRegistry(),
+		domainLoads: newLoadTable(), sourceLoads: newLoadTable(), sourceCtx: context.Background(),
 	}
 }
 
 // FollowsStore reports whether this daemon follows the store itself.
-func (n *Node) FollowsStore() bool { return n.reading.Load() }
+func (n *Node) FollowsStore() bool { return n.followsStore.Load() }
 
 // Leading reports whether this daemon follows the store as one of the first of its domain,
 // or has followed it for leadingDelay, which means that few other daemons are left.
 func (n *Node) Leading() bool {
-	if !n.reading.Load() {
+	if !n.followsStore.Load() {
 		return false
 	}
-	since := time.Unix(0, n.readingSince.Load())
+	since := time.Unix(0, n.followsStoreSince.Load())
 	return len(n.candidates()) < sourcesPerDomain || time.Since(since) > leadingDelay
 }
 
@@ -121,7 +122,7 @@
 func (n *Node) sourceContext() context.Context {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.source
+	return n.sourceCtx
 }
 
 // healthy reports whether this daemon may be a source for its own domain: it follows the
@@ -131,10 +132,10 @@
 	return ok && ago < contactTimeout(n.opts.ConfigWithin)
 }
 
-// sinceContact returns how long ago the store last answered this daemon or the one that it
-// follows. ok is false if it follows neither.
+// sinceContact returns how long ago the store last answered this daemon or its source. ok
+// is false if the daemon follows neither the store nor a source.
 func (n *Node) sinceContact(now time.Time) (ago time.Duration, ok bool) {
-	if n.reading.Load() {
+	if n.followsStore.Load() {
 		return now.Sub(n.inv.LastContact()), true
 	}
 	n.mu.Lock()
@@ -151,7 +152,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.upstream == nil {
-		n.source = ctx
+		n.sourceCtx = ctx
 	}
 	n.upstream = &upstream{sinceContact: sinceContact, receivedAt: now}
 }
@@ -165,9 +166,9 @@
 
 // starting reports whether this daemon is about to be a source for the first time. It
 // needs a configuration and a full list of backend servers, since followers would treat
-// the missing ones as gone. It also needs a freshness report from its own source; until
-// then it is not healthy, and followers that it rejected would choose another source and
-// leave that soon after.
+// the missing ones as gone. It also needs a freshness report from its own source. Until
+// then it is not healthy, and a follower rejected for that reason would choose another
+// source and soon leave that one.
 func (n *Node) starting(now time.Time) bool {
 	s := n.inv.State()
 	if s.ConfigVersion == 0 || !s.Complete {
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -32,9 +32,9 @@
 	return maxCount
 }
 
-// domainOf starts the daemons of a domain with a bound on configurations and waits until
+// startDomain starts the daemons of a domain with a bound on configurations and waits until
 // they have one.
-func domainOf(t *testing.T, daemons int, configWithin time.Duration) *chain {
+func startDomain(t *testing.T, daemons int, configWithin time.Duration) *chain {
 	c := newChainOf(t, daemons, &fakeStore{version: 1}, Options{ConfigWithin: configWithin})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	return c
@@ -44,7 +44,7 @@
 // configuration may take four seconds, no daemon leaves its source for that.
 func TestCompactionPauseKeepsSources(t *testing.T) {
 	t.Parallel()
-	c := domainOf(t, 10, 4*time.Second)
+	c := startDomain(t, 10, 4*time.Second)
 	c.store.setUnavailable(true)
 	time.AfterFunc(1600*time.Millisecond, func() { c.store.setUnavailable(false) })
 	require.Equal(t, 1, c.maxStoreFollowers(4*time.Second))
@@ -57,7 +57,7 @@
 // healthy afterwards.
 func TestOutageIsPolledByFirstDaemonsOnly(t *testing.T) {
 	t.Parallel()
-	c := domainOf(t, 10, 4*time.Second)
+	c := startDomain(t, 10, 4*time.Second)
 	c.store.setUnavailable(true)
 	time.AfterFunc(3*time.Second, func() { c.store.setUnavailable(false) })
 	require.LessOrEqual(t, c.maxStoreFollowers(6*time.Second), sourcesPerDomain)
@@ -71,7 +71,7 @@
 func TestLaterDaemonsSearchThroughLongOutage(t *testing.T) {
 	t.Parallel()
 	s := &fakeStore{version: 1}
-	other := newNodeOf(t, "e-000", "e", s)
+	other := startOnlyDaemon(t, "e-000", "e", s)
 	c := newChainOf(t, 6, s, Options{ConfigWithin: 4 * time.Second}, other)
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	s.setUnavailable(true)
@@ -79,8 +79,8 @@
 	require.LessOrEqual(t, c.maxStoreFollowers(8*time.Second), sourcesPerDomain)
 }
 
-// newNodeOf starts the only daemon of another failure domain.
-func newNodeOf(t *testing.T, name, domain string, s *fakeStore) Member {
+// startOnlyDaemon starts the only daemon of another failure domain.
+func startOnlyDaemon(t *testing.T, name, domain string, s *fakeStore) Member {
 	inv := newFakeInventory(s)
 	server := httptest.NewUnstartedServer(nil)
 	self := Member{Name: name, Domain: domain, Address: server.Listener.Addr().String()}
@@ -93,7 +93,7 @@
 // lost the store.
 func TestLaterDaemonsFollowTheStoreInTime(t *testing.T) {
 	t.Parallel()
-	c := domainOf(t, 4, 4*time.Second)
+	c := startDomain(t, 4, 4*time.Second)
 	for _, inv := range c.invs[:sourcesPerDomain] {
 		inv.cutOff()
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -131,7 +131,7 @@
 }
 
 // The loads held by the receiver stay close to the real ones, although few are sent.
-func TestOnlyChangedLoadsAreTold(t *testing.T) {
+func TestOnlyChangedLoadsAreSent(t *testing.T) {
 	const servers, rounds = 600, 50
 	entries := map[string]inventory.Entry{}
 	for i := range servers {
--- a/relay/session.go
+++ b/relay/session.go
@@ -28,10 +28,10 @@
 	defer func() { _ = c.CloseNow() }()
 	s := &session{
 		node: n, conn: c, sent: map[uint64]time.Time{}, probe: probe, cancel: cancel,
-		received: loadReceiver{refused: n.book.RefuseLoads},
+		received: loadReceiver{refused: n.loads.RefuseLoads},
 	}
-	s.silent = n.opts.Stalls.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
-	defer s.silent.Stop()
+	s.silenceTimer = n.opts.Stalls.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
+	defer s.silenceTimer.Stop()
 	if probe == nil {
 		defer n.clearUpstream()
 		defer n.applyConditions(sourceKey, nil)
@@ -48,7 +48,7 @@
 }
 
 // NewDialer returns the client that opens links, over connections from connect, or from
-// net.Dialer if it is nil.
+// net.Dialer if connect is nil. Stalls of this process do not count towards its timeout.
 func NewDialer(connect func(ctx context.Context, network, address string) (net.Conn, error), stalls *stall.Monitor) *http.Client {
 	if connect == nil {
 		connect = new(net.Dialer).DialContext
@@ -87,17 +87,17 @@
 	return c, nil
 }
 
-// sourceKey is the key of what was received from the source, among loads and conditions.
+// sourceKey is the key of loads and conditions received from the source.
 const sourceKey = "source"
 
 // session is a link to a source. followed, complete, received and config are used by the
 // reading goroutine alone.
 type session struct {
-	node   *Node
-	conn   *websocket.Conn
-	silent *stall.Timer
-	probe  error // nil unless this is a probe
-	cancel context.CancelCauseFunc
+	node         *Node
+	conn         *websocket.Conn
+	silenceTimer *stall.Timer
+	probe        error // nil unless this is a probe
+	cancel       context.CancelCauseFunc
 
 	followed bool // the source has proved fresh
 	complete bool // the full state was received
@@ -188,8 +188,8 @@
 }
 
 // resolveConfig makes the configuration of an update from its delta, if it has one, and
-// keeps it as the base of the next. A source sends deltas against the configuration that
-// it last sent over the link.
+// keeps it as the base of the next delta. A source sends deltas against the configuration
+// that it last sent over the link.
 func (s *session) resolveConfig(u *update) error {
 	if u.Change != nil {
 		config, err := u.Change.apply(s.config)
@@ -205,9 +205,9 @@
 }
 
 // onFullState pings at once, since earlier pings were answered before the configuration
-// was known here. The ping also requests loads: those received before the list of backend
-// servers could not be resolved, and the servers would count as idle for up to an
-// interval.
+// was known here. The ping also requests loads. Loads that were received before the list
+// of backend servers could not be resolved, so the servers would count as idle for up to
+// an interval.
 func (s *session) onFullState(ctx context.Context) error {
 	s.complete = true
 	s.mu.Lock()
@@ -220,7 +220,7 @@
 // sent. Loads are applied before setUpstream makes this daemon a source, so that its
 // followers receive them.
 func (s *session) pong(ctx context.Context, p *pong) error {
-	s.silent.Reset(silenceTimeout)
+	s.silenceTimer.Reset(silenceTimeout)
 	s.mu.Lock()
 	sent, ok := s.sent[p.Number]
 	delete(s.sent, p.Number)
--- a/relay/session_test.go
+++ b/relay/session_test.go
@@ -53,12 +53,12 @@
 	t.Parallel()
 	server := httptest.NewServer(http.HandlerFunc(serveLateState))
 	t.Cleanup(server.Close)
-	above := Member{Name: daemonName(0), Domain: "d", Address: server.Listener.Addr().String()}
+	source := Member{Name: daemonName(0), Domain: "d", Address: server.Listener.Addr().String()}
 	inv := newFakeInventory(&fakeStore{version: 1})
-	n := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, memberList{above}, log.NewNopLogger())
+	n := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, memberList{source}, log.NewNopLogger())
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go func() { _, _ = n.session(ctx, above, nil) }()
+	go func() { _, _ = n.session(ctx, source, nil) }()
 	require.Eventually(t, func() bool { return n.healthy(time.Now()) }, 5*time.Second, 100*time.Microsecond)
 	inv.mu.Lock()
 	defer inv.mu.Unlock()
--- a/relay/source.go
+++ b/relay/source.go
@@ -36,6 +36,7 @@
 
 // LoadExchange provides the loads of this daemon and receives those of the others.
 type LoadExchange interface {
+	// OwnLoads returns the loads that this daemon causes.
 	OwnLoads() []LoadItem
 	// SetOthers sets the summed loads of the other daemons.
 	SetOthers(others Loads)
@@ -58,7 +59,7 @@
 	case n.starting(now):
 		http.Error(w, "starting", http.StatusTooEarly)
 		return
-	case !sameDomain && !n.reading.Load():
+	case !sameDomain && !n.followsStore.Load():
 		http.Error(w, "no source of this domain", http.StatusMisdirectedRequest)
 		return
 	case !n.healthy(now):
@@ -92,7 +93,7 @@
 	n.pushChanges(ctx, c)
 }
 
-// pushChanges sends the full state, then changes.
+// pushChanges sends the full state, then changes, until the link ends.
 func (n *Node) pushChanges(ctx context.Context, c *websocket.Conn) {
 	var sent *inventory.State
 	for {
@@ -182,8 +183,8 @@
 	return u
 }
 
-// maxDeltaRatio is the size of a delta, relative to the full configuration, below which it
-// is sent instead.
+// maxDeltaRatio is the size of a delta, relative to the full configuration, below which
+// the delta is sent.
 const maxDeltaRatio = 0.5
 
 // setConfig sets the configuration, as a delta from the last one sent if that is much
@@ -198,10 +199,11 @@
 	u.Config = now
 }
 
-// answerPings answers a follower until the link ends.
+// answerPings answers the pings of a follower, a probe or the source of another domain
+// until the link ends.
 func (n *Node) answerPings(ctx context.Context, c *websocket.Conn) {
 	follower, reportedAt := "", time.Time{}
-	fromFollower := loadReceiver{refused: n.book.RefuseLoads}
+	fromFollower := loadReceiver{refused: n.loads.RefuseLoads}
 	var toFollower loadReporter
 	var conditionsVersion uint64
 	var crashes crashReporter
@@ -231,7 +233,7 @@
 			loads := n.loadsFor(p.Sender, sameDomain, now)
 			answer.Loads, answer.Daemons, answer.LoadsAge = toFollower.changes(loads.Items), loads.Daemons, loads.Age
 		}
-		n.conditions.suspect(p.Suspects)
+		n.conditions.addSuspects(p.Suspects)
 		if !sameDomain {
 			conditionsVersion = n.addConditions(answer, conditionsVersion)
 		}
@@ -260,13 +262,14 @@
 	return version
 }
 
-// loadsFor returns the loads for another daemon. A daemon of this domain gets all but its
-// own and those of its followers; the source of another domain gets those of this domain.
+// loadsFor returns the loads for another daemon. A daemon of this domain receives all loads
+// except its own and those of its followers; the source of another domain receives the
+// loads of this domain.
 func (n *Node) loadsFor(sender string, sameDomain bool, now time.Time) Loads {
 	keep := func(domain string) bool { return sameDomain || domain == n.opts.Domain }
 	ttl, sum := n.ttl(), newLoadSum()
 	n.followerLoads.addTo(sum, sender, keep, ttl, now)
-	sum.addOwn(n.book.OwnLoads())
+	sum.addOwn(n.loads.OwnLoads())
 	if sameDomain {
 		n.outsideLoads().addTo(sum, "", allDomains, ttl, now)
 	}
@@ -278,7 +281,7 @@
 // outsideLoads returns the loads of the daemons that are not below this one: those of the
 // other domains, or those received from the source.
 func (n *Node) outsideLoads() *loadTable {
-	if n.reading.Load() {
+	if n.followsStore.Load() {
 		return n.domainLoads
 	}
 	return n.sourceLoads
@@ -288,16 +291,16 @@
 func (n *Node) subtreeLoads(now time.Time) Loads {
 	sum := newLoadSum()
 	n.followerLoads.addTo(sum, "", n.ownDomain, n.ttl(), now)
-	sum.addOwn(n.book.OwnLoads())
+	sum.addOwn(n.loads.OwnLoads())
 	return sum.loads()
 }
 
-// updateOthers passes the loads of all other daemons to the load book.
+// updateOthers passes the loads of all other daemons to the LoadExchange.
 func (n *Node) updateOthers(now time.Time) {
 	ttl, sum := n.ttl(), newLoadSum()
 	n.followerLoads.addTo(sum, "", n.ownDomain, ttl, now)
 	n.outsideLoads().addTo(sum, "", allDomains, ttl, now)
-	n.book.SetOthers(sum.loads())
+	n.loads.SetOthers(sum.loads())
 }
 
 // serverNames returns the IDs of the backend servers by their hash.
--- a/relay/tree_test.go
+++ b/relay/tree_test.go
@@ -21,7 +21,7 @@
 
 type memberList []Member
 
-func (e memberList) All() []Member { return e }
+func (l memberList) All() []Member { return l }
 
 // Each daemon of a domain follows one whose name sorts before its own, no daemon has more
 // than defaultFanOut followers, and the tree is at most two levels deep.
@@ -63,7 +63,8 @@
 	unavailable bool
 }
 
-// fakeInventory is the inventory and load book of a daemon: a version and its freshness.
+// fakeInventory is the Inventory and the LoadExchange of a daemon. Its state is a version
+// and its freshness.
 type fakeInventory struct {
 	store *fakeStore
 
@@ -88,116 +89,116 @@
 	return &fakeInventory{store: s, state: &inventory.State{}, changed: make(chan struct{})}
 }
 
-func (c *fakeInventory) set(version uint64) {
-	if version <= c.state.ConfigVersion {
+func (f *fakeInventory) set(version uint64) {
+	if version <= f.state.ConfigVersion {
 		return
 	}
-	c.state = &inventory.State{
+	f.state = &inventory.State{
 		ConfigVersion: version, Config: []byte(fmt.Sprint(version)), Complete: true, Servers: map[string]inventory.Entry{"s": {At: 1}},
 	}
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
-func (c *fakeInventory) State() *inventory.State {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.state
+func (f *fakeInventory) State() *inventory.State {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.state
 }
 
-func (c *fakeInventory) Changed() <-chan struct{} {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.changed
+func (f *fakeInventory) Changed() <-chan struct{} {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.changed
 }
 
-func (c *fakeInventory) Age(now time.Time) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return now.Sub(c.fresh)
+func (f *fakeInventory) Age(now time.Time) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return now.Sub(f.fresh)
 }
 
-func (c *fakeInventory) LastContact() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.lastContact
+func (f *fakeInventory) LastContact() time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.lastContact
 }
 
-func (c *fakeInventory) Apply(u inventory.Update) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+func (f *fakeInventory) Apply(u inventory.Update) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	if u.Full {
-		c.applied++
+		f.applied++
 	}
 	var version uint64
 	if _, err := fmt.Sscan(string(u.Config), &version); err == nil {
-		c.set(version)
+		f.set(version)
 	}
 }
 
-func (c *fakeInventory) ConfirmFresh(version uint64, fresh time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.state.ConfigVersion >= version && fresh.After(c.fresh) {
-		c.fresh = fresh
+func (f *fakeInventory) ConfirmFresh(version uint64, fresh time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.state.ConfigVersion >= version && fresh.After(f.fresh) {
+		f.fresh = fresh
 	}
 }
 
-func (c *fakeInventory) Follow(ctx context.Context, _, _ time.Duration) {
+func (f *fakeInventory) Follow(ctx context.Context, _, _ time.Duration) {
 	for ctx.Err() == nil {
-		c.store.mu.Lock()
-		version, unavailable := c.store.version, c.store.unavailable
-		c.store.mu.Unlock()
-		c.mu.Lock()
-		if !unavailable && !c.cut {
-			c.set(version)
-			c.lastContact, c.fresh = time.Now(), time.Now()
+		f.store.mu.Lock()
+		version, unavailable := f.store.version, f.store.unavailable
+		f.store.mu.Unlock()
+		f.mu.Lock()
+		if !unavailable && !f.cut {
+			f.set(version)
+			f.lastContact, f.fresh = time.Now(), time.Now()
 		}
-		c.mu.Unlock()
+		f.mu.Unlock()
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
 // cutOff makes the store unavailable to this daemon alone.
-func (c *fakeInventory) cutOff() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cut = true
+func (f *fakeInventory) cutOff() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.cut = true
 }
 
-func (c *fakeInventory) OwnLoads() []LoadItem {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.own
+func (f *fakeInventory) OwnLoads() []LoadItem {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.own
 }
 
-func (c *fakeInventory) SetOthers(others Loads) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.others, c.daemons, c.age = others.Items, others.Daemons, others.Age
+func (f *fakeInventory) SetOthers(others Loads) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.others, f.daemons, f.age = others.Items, others.Daemons, others.Age
 }
 
-func (c *fakeInventory) TakeSuspects() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	out := c.suspects
-	c.suspects = nil
+func (f *fakeInventory) TakeSuspects() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	out := f.suspects
+	f.suspects = nil
 	return out
 }
 
-func (c *fakeInventory) SetConditions(known map[string]Condition) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.conditions = known
+func (f *fakeInventory) SetConditions(known map[string]Condition) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.conditions = known
 }
 
-func (c *fakeInventory) RefuseLoads(n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.refused += n
+func (f *fakeInventory) RefuseLoads(n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.refused += n
 }
 
-// chain runs daemons that by default each follow the previous one.
+// chain runs the daemons of one domain. With a FanOut of 1 each follows the previous one.
 type chain struct {
 	store *fakeStore
 	nodes []*Node
@@ -327,8 +328,8 @@
 	require.True(t, c.allHave(1, -1))
 }
 
-// A domain starts in time even if its first VM is gone, does not answer connections, but
-// still has a record.
+// A domain starts in time even if its first VM is gone: its record is still there, but it
+// does not answer connections.
 func TestDomainStartsWithoutItsFirstDaemon(t *testing.T) {
 	t.Parallel()
 	gone := Member{Name: "c-999", Domain: "d", Address: "10.255.255.1:1"}
@@ -367,7 +368,7 @@
 	inv.state = &inventory.State{ConfigVersion: 1}
 	inv.lastContact = time.Now()
 	n := New(Options{Name: daemonName(0), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
-	n.reading.Store(true)
+	n.followsStore.Store(true)
 	srv := httptest.NewServer(n)
 	t.Cleanup(srv.Close)
 	follower := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
@@ -388,13 +389,13 @@
 	n := New(Options{Name: daemonName(1), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
 	srv := httptest.NewServer(n)
 	t.Cleanup(srv.Close)
-	above := Member{Name: daemonName(1), Domain: "d", Address: srv.Listener.Addr().String()}
+	source := Member{Name: daemonName(1), Domain: "d", Address: srv.Listener.Addr().String()}
 	follower := New(Options{Name: daemonName(2), Domain: "d"}, inv, inv, memberList{}, log.NewNopLogger())
-	require.ErrorIs(t, follower.probe(t.Context(), above), errStarting)
+	require.ErrorIs(t, follower.probe(t.Context(), source), errStarting)
 	n.setUpstream(t.Context(), 0, time.Now())
-	require.ErrorIs(t, follower.probe(t.Context(), above), errHealthy)
+	require.ErrorIs(t, follower.probe(t.Context(), source), errHealthy)
 	n.clearUpstream()
-	err := follower.probe(t.Context(), above)
+	err := follower.probe(t.Context(), source)
 	require.Error(t, err)
 	require.NotErrorIs(t, err, errStarting)
 	require.NotErrorIs(t, err, errHealthy)
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -20,9 +20,9 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// Path is where a daemon serves its links. In the query, domainParam is the failure domain
-// of the follower, and probeParam marks a probe, which checks whether this daemon is a
-// healthy source and receives no state.
+// Path is the URL path at which a daemon serves its links. In the query, domainParam is
+// the failure domain of the follower, and probeParam marks a probe, which checks whether
+// this daemon is a healthy source and receives no state.
 const (
 	Path        = "/relay"
 	domainParam = "domain"
