--- a/inventory/era_test.go
+++ b/inventory/era_test.go
@@ -23,9 +23,9 @@
 
 // beforeRestore returns an inventory that has read era 1 up to revision 100.
 func beforeRestore() *Inventory {
-	i := newTest()
-	i.takeServers(store.At(1, 10), []ServerRecord{listed("drains", store.At(1, 3), false), listed("left", store.At(1, 4), false)}, true)
-	i.takeServers(store.At(1, 100), []ServerRecord{
+	i := newTestInventory()
+	i.applyServers(store.At(1, 10), []ServerRecord{listed("drains", store.At(1, 3), false), listed("left", store.At(1, 4), false)}, true)
+	i.applyServers(store.At(1, 100), []ServerRecord{
 		listed("drains", store.At(1, 60), true), {ID: "left", At: store.At(1, 70), Gone: true}, listed("new", store.At(1, 80), false),
 	}, false)
 	return i
@@ -39,7 +39,7 @@
 func TestCopyRevertsNothing(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		i := beforeRestore()
-		i.takeServers(store.At(2, 20), copied(), true)
+		i.applyServers(store.At(2, 20), copied(), true)
 		check := func() {
 			t.Helper()
 			v := i.View().Servers
@@ -48,7 +48,7 @@
 			require.Contains(t, v, "new", "it will write its record again")
 		}
 		check()
-		time.Sleep(settleDelay - time.Millisecond)
+		time.Sleep(reconcileDelay - time.Millisecond)
 		check()
 	})
 }
@@ -58,8 +58,8 @@
 func TestNewEraSupersedesHigherRevisions(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		i := beforeRestore()
-		i.takeServers(store.At(2, 20), copied(), true)
-		i.takeServers(store.At(2, 25), []ServerRecord{
+		i.applyServers(store.At(2, 20), copied(), true)
+		i.applyServers(store.At(2, 25), []ServerRecord{
 			{ID: "drains", At: store.At(2, 21), Gone: true}, listed("left", store.At(2, 22), false), listed("new", store.At(2, 23), true), listed("later", store.At(2, 24), false),
 		}, false)
 		v := i.View().Servers
@@ -67,18 +67,18 @@
 		require.Contains(t, v, "left", "written again after the restore")
 		require.True(t, v["new"].Draining)
 		require.Contains(t, v, "later")
-		time.Sleep(settleDelay + missingGrace + time.Second)
+		time.Sleep(reconcileDelay + missingGrace + time.Second)
 		synctest.Wait()
 		require.Len(t, i.View().Servers, 3)
 	})
 }
 
-// After settleDelay the content of the store counts as it is.
-func TestCopyCountsAfterSettling(t *testing.T) {
+// After reconcileDelay the content of the store counts as it is.
+func TestCopyCountsAfterReconciliation(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		i := beforeRestore()
-		i.takeServers(store.At(2, 20), copied(), true)
-		time.Sleep(settleDelay + time.Millisecond)
+		i.applyServers(store.At(2, 20), copied(), true)
+		time.Sleep(reconcileDelay + time.Millisecond)
 		synctest.Wait()
 		require.Contains(t, i.View().Servers, "left", "its record would have expired")
 		require.False(t, i.View().Servers["drains"].Draining)
@@ -92,7 +92,7 @@
 // anything.
 func TestUpdatesOfAnEarlierEra(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		i := newTest()
+		i := newTestInventory()
 		raw := func(at store.Position) Entry { return Entry{Raw: []byte(`{"Service":"s","Address":"a:1"}`), At: at} }
 		i.Apply(Update{Full: true, Restored: store.At(2, 20), Servers: map[string]Entry{"a": raw(store.At(2, 25))}})
 		other := Entry{Raw: []byte(`{"Service":"s","Address":"a:2"}`), At: store.At(1, 90)}
@@ -107,13 +107,13 @@
 
 // Reads of a store that lacks the configuration in force do not prove freshness.
 func TestStoreBehindDoesNotProveFreshness(t *testing.T) {
-	i := newTest()
+	i := newTestInventory()
 	read := func(at store.Position, fresh time.Time, versions ...uint64) {
 		r := Read[ConfigRecord]{At: at}
 		for _, v := range versions {
 			r.Items = append(r.Items, ConfigRecord{Raw: []byte(fmt.Sprint(v)), Config: site.NewConfig(v, site.Limits{}, nil, nil, nil)})
 		}
-		i.takeConfig(r, fresh)
+		i.applyConfig(r, fresh)
 	}
 	began := boottime.Now()
 	at := func(s int) time.Time { return began.Add(time.Duration(s) * time.Second) }
@@ -132,9 +132,9 @@
 func TestUnconfirmedRecordMissingFromListIsRemoved(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		i := beforeRestore()
-		i.takeServers(store.At(2, 20), copied(), true)
-		i.takeServers(store.At(2, 30), copied()[:1], true) // listed again: "left" was removed in between
-		time.Sleep(settleDelay + time.Millisecond)
+		i.applyServers(store.At(2, 20), copied(), true)
+		i.applyServers(store.At(2, 30), copied()[:1], true) // listed again: "left" was removed in between
+		time.Sleep(reconcileDelay + time.Millisecond)
 		synctest.Wait()
 		require.NotContains(t, i.View().Servers, "left")
 	})
@@ -144,16 +144,16 @@
 // removed, even if the copy has a later record of it than was ever received.
 func TestCopyDoesNotRestoreServersRemovedUnseen(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		i := newTest()
-		i.takeServers(store.At(1, 10), []ServerRecord{listed("left", store.At(1, 4), false)}, true)
-		i.takeServers(store.At(1, 100), nil, true) // it drained at revision 27 and was removed at 29
+		i := newTestInventory()
+		i.applyServers(store.At(1, 10), []ServerRecord{listed("left", store.At(1, 4), false)}, true)
+		i.applyServers(store.At(1, 100), nil, true) // it drained at revision 27 and was removed at 29
 		time.Sleep(missingGrace + time.Millisecond)
 		synctest.Wait()
 		require.Empty(t, i.View().Servers)
-		i.takeServers(store.At(2, 28), []ServerRecord{listed("left", store.At(2, 27), true)}, true)
+		i.applyServers(store.At(2, 28), []ServerRecord{listed("left", store.At(2, 27), true)}, true)
 		require.Empty(t, i.View().Servers)
-		i.takeServers(store.At(2, 30), []ServerRecord{{ID: "left", At: store.At(2, 29), Gone: true}}, false)
-		time.Sleep(settleDelay)
+		i.applyServers(store.At(2, 30), []ServerRecord{{ID: "left", At: store.At(2, 29), Gone: true}}, false)
+		time.Sleep(reconcileDelay)
 		synctest.Wait()
 		require.Empty(t, i.View().Servers)
 	})
--- a/inventory/feed.go
+++ b/inventory/feed.go
@@ -34,9 +34,10 @@
 	Err    error               // why the record is invalid
 }
 
-// Feed reads the platform's store. Lists are linearizable. A watch returns as soon as
-// there is a change, or without one when wait is over. Errors are the sentinels of
-// package store; a watch from an earlier era fails with store.ErrRestored.
+// Feed reads the platform's store. Config and Servers are lists, which are linearizable.
+// ConfigChanges and ServerChanges are watches: they return as soon as there is a change
+// after since, or without one when wait is over. Errors are the sentinels of package
+// store; a watch from an earlier era fails with store.ErrRestored.
 type Feed interface {
 	Config(ctx context.Context) (Read[ConfigRecord], error)
 	ConfigChanges(ctx context.Context, since store.Position, wait time.Duration) (Read[ConfigRecord], error)
--- a/inventory/follow.go
+++ b/inventory/follow.go
@@ -20,10 +20,10 @@
 func (i *Inventory) Follow(ctx context.Context, first, longest time.Duration) {
 	defer i.clearLastContact()
 	var wg sync.WaitGroup
-	suspect := make(chan struct{}, 1)
-	listServers := func() {
+	relist := make(chan struct{}, 1)
+	relistServers := func() {
 		select {
-		case suspect <- struct{}{}:
+		case relist <- struct{}{}:
 		default: // already pending
 		}
 	}
@@ -31,21 +31,21 @@
 	wg.Go(func() {
 		follow(ctx, &follower[ConfigRecord]{
 			name: "configuration", logger: i.logger, first: first, longest: longest, watchTimeout: configWatchTimeout, batchDelay: configBatchDelay, list: i.feed.Config, watch: i.feed.ConfigChanges,
-			take: func(r Read[ConfigRecord], _ bool, fresh time.Time) { i.takeConfig(r, fresh) },
-			back: reachable.open,
-			lost: func() {
+			apply:  func(r Read[ConfigRecord], _ bool, fresh time.Time) { i.applyConfig(r, fresh) },
+			onBack: reachable.open,
+			onLost: func() {
 				i.clearLastContact()
 				reachable.shut()
-				listServers()
+				relistServers()
 			},
-			restored: listServers,
+			onRestored: relistServers,
 		})
 	})
 	wg.Go(func() {
 		follow(ctx, &follower[ServerRecord]{
-			name: "backend servers", logger: i.logger, first: first, longest: longest, watchTimeout: serverWatchTimeout, batchDelay: serverBatchDelay, suspect: suspect,
-			list: i.feed.Servers, watch: i.feed.ServerChanges, before: reachable.await, lost: func() {}, back: func() {},
-			take: func(r Read[ServerRecord], full bool, _ time.Time) { i.takeServers(r.At, r.Items, full) },
+			name: "backend servers", logger: i.logger, first: first, longest: longest, watchTimeout: serverWatchTimeout, batchDelay: serverBatchDelay, relist: relist,
+			list: i.feed.Servers, watch: i.feed.ServerChanges, before: reachable.await, onLost: func() {}, onBack: func() {},
+			apply: func(r Read[ServerRecord], full bool, _ time.Time) { i.applyServers(r.At, r.Items, full) },
 		})
 	})
 	wg.Wait()
@@ -59,21 +59,21 @@
 	batchDelay   time.Duration   // pause after changes
 	first        time.Duration   // pause after the first failed call
 	longest      time.Duration   // longest pause after failed calls
-	suspect      <-chan struct{} // ends a watch, since the store may be lost; may be nil
+	relist       <-chan struct{} // ends a watch, so that the follower lists again; may be nil
 	list         func(context.Context) (Read[T], error)
 	watch        func(context.Context, store.Position, time.Duration) (Read[T], error)
-	// take applies a read; nothing newer existed at fresh.
-	take     func(r Read[T], full bool, fresh time.Time)
-	lost     func() // called when reads begin to fail
-	back     func() // called at the first successful read and at the first after lost
+	// apply applies a read; nothing newer existed at fresh.
+	apply    func(r Read[T], full bool, fresh time.Time)
+	onLost   func() // called when reads begin to fail
+	onBack   func() // called at the first successful read and at the first after onLost
 	isLost   bool
 	answered bool // a read has succeeded
 	// before is called before each read. It may block, and may be nil.
 	before func(context.Context)
-	// restored is called when a read shows that the store was restored from an older copy.
-	// It may be nil.
-	restored func()
-	era      uint64 // of the last answer
+	// onRestored is called when a read shows that the store was restored from an older
+	// copy. It may be nil.
+	onRestored func()
+	era        uint64 // of the last answer
 }
 
 // follow runs a follower until ctx ends. After a failed call it lists again, since entries
@@ -96,7 +96,7 @@
 		f.noteEra(r.At.Era())
 		f.noteResult(nil)
 		pause.Reset()
-		f.take(r, full, fresh)
+		f.apply(r, full, fresh)
 		at = max(at, r.At)
 		if len(r.Items) > 0 {
 			wait.For(ctx, f.batchDelay)
@@ -104,8 +104,9 @@
 	}
 }
 
-// errSuspect is the cause when a watch is canceled because another read failed.
-var errSuspect = errors.New("inventory: store may be lost")
+// errRelist is the cause when a watch is canceled because another read failed, or showed that
+// the store was restored.
+var errRelist = errors.New("inventory: store may be lost")
 
 // read performs a list, or a watch if at is set. A watch that returns without changes
 // after its full wait proves that there were none until watchMargin before its end; any
@@ -120,11 +121,11 @@
 	defer cancel(nil)
 	stop := make(chan struct{})
 	defer close(stop)
-	if f.suspect != nil {
+	if f.relist != nil {
 		go func() {
 			select {
-			case <-f.suspect:
-				cancel(errSuspect)
+			case <-f.relist:
+				cancel(errRelist)
 			case <-stop:
 			}
 		}()
@@ -136,29 +137,29 @@
 	return r, sent, err
 }
 
-// noteResult logs the loss and the return of the store, and calls lost and back.
+// noteResult logs the loss and the return of the store, and calls onLost and onBack.
 func (f *follower[T]) noteResult(err error) {
 	switch {
 	case errors.Is(err, store.ErrCompacted) || errors.Is(err, store.ErrRestored):
 		_ = level.Info(f.logger).Log("msg", "listing the store again", "of", f.name, "err", err)
 	case err != nil && !f.isLost:
 		f.isLost = true
-		f.lost()
+		f.onLost()
 		_ = level.Warn(f.logger).Log("msg", "store lost", "of", f.name, "err", err)
 	case err == nil && f.isLost:
 		f.isLost = false
-		f.back()
+		f.onBack()
 		_ = level.Info(f.logger).Log("msg", "store back", "of", f.name)
 	case err == nil && !f.answered:
-		f.back()
+		f.onBack()
 	}
 	f.answered = f.answered || err == nil
 }
 
 // noteEra records the era of an answer, and calls restored if it is a later one.
 func (f *follower[T]) noteEra(era uint64) {
-	if f.answered && era > f.era && f.restored != nil {
-		f.restored()
+	if f.answered && era > f.era && f.onRestored != nil {
+		f.onRestored()
 	}
 	f.era = era
 }
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -72,9 +72,9 @@
 	mu          sync.Mutex
 	servers     map[string]record
 	byAddress   map[string]string // IDs of servers by their address
-	fresh       time.Time         // up to then no newer configuration existed
+	fresh       time.Time         // no newer configuration existed at this time
 	lastContact time.Time         // when the store last answered this daemon, zero if it is lost
-	notify      chan struct{}
+	notify      chan struct{}     // closed at the next change of the view
 
 	listed    bool                 // a full list of backend servers was received
 	rawConfig []byte               // of the configuration in force
@@ -84,8 +84,9 @@
 	eraState
 }
 
-// tombstone marks a removed backend server, so that an older record does not bring it
-// back. A later record does: one that expired in an outage of the store is written again.
+// tombstone marks a removed backend server, so that an older record does not add it again.
+// A later record does, since a record that expired in an outage of the store is written
+// again.
 type tombstone struct {
 	at    store.Position
 	since time.Time
@@ -95,7 +96,8 @@
 // known record.
 const maxPosition = ^store.Position(0)
 
-// tombstoneTTL is longer than any source of old records goes without reading the store.
+// tombstoneTTL exceeds the time for which a daemon may pass on records without reading the
+// store.
 const tombstoneTTL = 2 * time.Minute
 
 // record is the known record of a backend server.
@@ -103,7 +105,7 @@
 	server       *site.BackendServer
 	raw          []byte
 	at           store.Position // of its last change
-	missingSince time.Time      // missing since an outage, zero while it is there
+	missingSince time.Time      // missing since an outage, zero while the store has it
 	missingAt    store.Position // of the list that lacked it, 0 if unknown
 }
 
@@ -154,9 +156,9 @@
 	i.lastContact = time.Time{}
 }
 
-// takeConfig applies versions of the configuration. fresh is zero unless they were read
+// applyConfig applies versions of the configuration. fresh is zero unless they were read
 // from the store itself.
-func (i *Inventory) takeConfig(r Read[ConfigRecord], fresh time.Time) {
+func (i *Inventory) applyConfig(r Read[ConfigRecord], fresh time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	old := i.view.Load()
@@ -182,10 +184,10 @@
 	i.publish(old.withConfig(newest.Config))
 }
 
-// takeServers applies records that were read at a position, or that come from a daemon
-// whose history of the store's era begins there. Records that a full list lacks are
-// dropped after missingGrace, since they may have expired in an outage.
-func (i *Inventory) takeServers(at store.Position, items []ServerRecord, full bool) {
+// applyServers applies records that were read from the store at a position, or received
+// from a daemon with that State.Restored. Records that a full list lacks are dropped only
+// after missingGrace, since they may have expired in an outage.
+func (i *Inventory) applyServers(at store.Position, items []ServerRecord, full bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.noteEra(at)
@@ -194,7 +196,7 @@
 	var changed []*site.BackendServer
 	for _, r := range items {
 		listed[r.ID] = true
-		if i.takeRecord(r) {
+		if i.applyRecord(r) {
 			changed = append(changed, r.Server)
 		}
 	}
@@ -207,8 +209,8 @@
 	i.publishServers()
 }
 
-// maxServerLines is the number of backend servers that change together up to which each
-// is logged in a line of its own.
+// maxServerLines bounds the lines for backend servers that change together. If more have
+// changed, a single line has their number.
 const maxServerLines = 8
 
 // logChanged logs backend servers that are new, or whose draining state or layers have
@@ -224,9 +226,9 @@
 	}
 }
 
-// takeRecord applies a record. It reports whether the backend server is new, or its
+// applyRecord applies a record. It reports whether the backend server is new, or its
 // draining state or layers have changed.
-func (i *Inventory) takeRecord(r ServerRecord) (changed bool) {
+func (i *Inventory) applyRecord(r ServerRecord) (changed bool) {
 	old, known := i.servers[r.ID]
 	removed, isGone := i.gone[r.ID]
 	switch {
@@ -263,8 +265,7 @@
 	return false
 }
 
-// refuse drops an invalid record, and the earlier record of that name that it has
-// replaced.
+// refuse drops an invalid record, and the earlier record of the same name.
 func (i *Inventory) refuse(r ServerRecord, old record, known bool) {
 	old.at = r.At
 	if known {
@@ -277,21 +278,21 @@
 
 // NoteRestart applies a backend server's report that it has restarted, which its record
 // may not show yet. The state of the earlier incarnation is discarded.
-func (i *Inventory) NoteRestart(as site.Incarnation) {
+func (i *Inventory) NoteRestart(incarnation site.Incarnation) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	r, known := i.servers[as.Name]
-	if !known || !as.Newer(r.server.Incarnation) {
+	r, known := i.servers[incarnation.Name]
+	if !known || !incarnation.Newer(r.server.Incarnation) {
 		return
 	}
-	i.logRestarted(r.server, as)
-	r.server = r.server.Restarted(as)
-	i.servers[as.Name] = r
+	i.logRestarted(r.server, incarnation)
+	r.server = r.server.Restarted(incarnation)
+	i.servers[incarnation.Name] = r
 	i.publishServers()
 }
 
-func (i *Inventory) logRestarted(old *site.BackendServer, as site.Incarnation) {
-	_ = level.Info(i.logger).Log("msg", "backend server started again", "id", as.ID(), "before", old.ID, "address", old.Address)
+func (i *Inventory) logRestarted(old *site.BackendServer, incarnation site.Incarnation) {
+	_ = level.Info(i.logger).Log("msg", "backend server started again", "id", incarnation.ID(), "before", old.ID, "address", old.Address)
 }
 
 // put stores a record. Of two records with the same address it keeps the one that was
@@ -333,7 +334,8 @@
 	}
 }
 
-// markUnlisted marks the records that a full list lacks. They are dropped after missingGrace.
+// markUnlisted marks the records that a full list lacks. They are dropped after
+// missingGrace.
 func (i *Inventory) markUnlisted(at store.Position, listed map[string]bool, now time.Time) {
 	for id, r := range i.servers {
 		if !listed[id] && !i.isAwaited(r.at) {
--- a/inventory/inventory_test.go
+++ b/inventory/inventory_test.go
@@ -37,75 +37,75 @@
 	return Entry{Raw: []byte(fmt.Sprintf(`{"Service":"s","Address":"a:%d"}`, revision)), At: store.Position(revision)}
 }
 
-func newTest() *Inventory { return New(plainFeed{}, log.NewNopLogger()) }
+func newTestInventory() *Inventory { return New(plainFeed{}, log.NewNopLogger()) }
 
-func full(servers map[string]Entry) Update { return Update{Full: true, Servers: servers} }
+func fullUpdate(servers map[string]Entry) Update { return Update{Full: true, Servers: servers} }
 
 func TestOlderSourceDoesNotRestoreRemovedServers(t *testing.T) {
-	i := newTest()
-	i.Apply(full(map[string]Entry{"a": entry(5)}))
+	i := newTestInventory()
+	i.Apply(fullUpdate(map[string]Entry{"a": entry(5)}))
 	i.Apply(Update{Gone: []string{"a"}})
-	i.Apply(full(map[string]Entry{"a": entry(5)})) // of a source that lost the store meanwhile
+	i.Apply(fullUpdate(map[string]Entry{"a": entry(5)})) // of a source that lost the store meanwhile
 	require.Empty(t, i.View().Servers)
-	i.Apply(full(map[string]Entry{"a": entry(9)})) // written again after an outage
+	i.Apply(fullUpdate(map[string]Entry{"a": entry(9)})) // written again after an outage
 	require.Contains(t, i.View().Servers, "a")
 }
 
 func TestOneIncarnationAtAnAddress(t *testing.T) {
-	i := newTest()
+	i := newTestInventory()
 	at := func(revision uint64) Entry {
 		return Entry{Raw: []byte(`{"Service":"s","Address":"a:1"}`), At: store.Position(revision)}
 	}
-	i.Apply(full(map[string]Entry{"old": at(5), "new": at(9)}))
+	i.Apply(fullUpdate(map[string]Entry{"old": at(5), "new": at(9)}))
 	require.Len(t, i.View().Servers, 1)
 	require.Contains(t, i.View().Servers, "new")
 }
 
-// Receiving a known state again, as after a change of source, changes nothing and notifies
-// no one.
+// Receiving a known state again, as after a change of source, changes nothing and sends
+// no notification.
 func TestKnownStateChangesNothing(t *testing.T) {
-	i := newTest()
+	i := newTestInventory()
 	servers := map[string]Entry{"a": entry(5), "b": entry(6)}
-	i.Apply(full(servers))
+	i.Apply(fullUpdate(servers))
 	before, changed := i.View(), i.Changed()
-	i.Apply(full(servers))
+	i.Apply(fullUpdate(servers))
 	require.Same(t, before, i.View())
 	require.Equal(t, changed, i.Changed())
-	i.Apply(full(map[string]Entry{"a": entry(5), "b": entry(7)}))
+	i.Apply(fullUpdate(map[string]Entry{"a": entry(5), "b": entry(7)}))
 	require.Same(t, before.Servers["a"], i.View().Servers["a"])
 	require.NotSame(t, before.Servers["b"], i.View().Servers["b"])
 }
 
 func TestCompleteNeedsConfigurationAndFullList(t *testing.T) {
-	i := newTest()
+	i := newTestInventory()
 	i.Apply(Update{Config: []byte("7")})
 	require.False(t, i.Complete())
 	i.Apply(Update{Servers: map[string]Entry{"a": entry(5)}})
 	require.False(t, i.Complete(), "an update that is not full")
 	require.False(t, i.State().Complete)
-	i.Apply(full(map[string]Entry{"a": entry(5)}))
+	i.Apply(fullUpdate(map[string]Entry{"a": entry(5)}))
 	require.True(t, i.Complete())
 	require.True(t, i.State().Complete)
 }
 
 // BenchmarkKnownState applies a known full state of 3,000 backend servers.
 func BenchmarkKnownState(b *testing.B) {
-	i := newTest()
+	i := newTestInventory()
 	servers := map[string]Entry{}
 	for n := range uint64(3000) {
 		servers[fmt.Sprint("i-", n)] = entry(n + 1)
 	}
-	i.Apply(full(servers))
+	i.Apply(fullUpdate(servers))
 	for b.Loop() {
-		i.Apply(full(servers))
+		i.Apply(fullUpdate(servers))
 	}
 }
 
 func TestMissingRecordIsDroppedAfterGrace(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		i := newTest()
-		i.Apply(full(map[string]Entry{"a": entry(5), "b": entry(6)}))
-		i.Apply(full(map[string]Entry{"b": entry(6)}))
+		i := newTestInventory()
+		i.Apply(fullUpdate(map[string]Entry{"a": entry(5), "b": entry(6)}))
+		i.Apply(fullUpdate(map[string]Entry{"b": entry(6)}))
 		require.Contains(t, i.View().Servers, "a")
 		time.Sleep(missingGrace + time.Millisecond)
 		synctest.Wait()
@@ -114,22 +114,22 @@
 }
 
 func TestMissingRecordOfASourceIsNotAdded(t *testing.T) {
-	i := newTest()
+	i := newTestInventory()
 	e := entry(5)
 	e.Lapsed = true
-	i.Apply(full(map[string]Entry{"a": e}))
+	i.Apply(fullUpdate(map[string]Entry{"a": e}))
 	require.Empty(t, i.View().Servers)
 }
 
 func TestConfigurationIsNeverReverted(t *testing.T) {
-	i := newTest()
+	i := newTestInventory()
 	i.Apply(Update{Config: []byte("7")})
 	i.Apply(Update{Config: []byte("5")})
 	require.EqualValues(t, 7, i.View().Config.Version)
 }
 
 func TestConfirmFreshNeedsTheConfiguration(t *testing.T) {
-	i := newTest()
+	i := newTestInventory()
 	now := time.Now()
 	i.Apply(Update{Config: []byte("7")})
 	i.ConfirmFresh(8, now) // the source has a newer one that was not received
@@ -166,21 +166,21 @@
 	}
 }
 
-// outageFeed is a store that refuses lists from from to until.
+// outageFeed is a store that refuses lists between start and end.
 type outageFeed struct {
 	scriptFeed
-	from, until time.Time
-	calls       atomic.Int64
+	start, end time.Time
+	calls      atomic.Int64
 }
 
 var errOutage = errors.New("store unavailable")
 
 func (f *outageFeed) refuses() bool {
-	away := !time.Now().Before(f.from) && time.Now().Before(f.until)
-	if away {
+	unavailable := !time.Now().Before(f.start) && time.Now().Before(f.end)
+	if unavailable {
 		f.calls.Add(1)
 	}
-	return away
+	return unavailable
 }
 
 func (f *outageFeed) Config(ctx context.Context) (Read[ConfigRecord], error) {
@@ -209,7 +209,7 @@
 	} {
 		virtual.Test(t, func(t *testing.T) {
 			began := time.Now()
-			f := &outageFeed{from: began, until: began.Add(8 * time.Second)}
+			f := &outageFeed{start: began, end: began.Add(8 * time.Second)}
 			f.watch = func(ctx context.Context, d time.Duration) (Read[ConfigRecord], error) {
 				wait.For(ctx, d)
 				return Read[ConfigRecord]{At: 10}, ctx.Err()
--- a/inventory/state.go
+++ b/inventory/state.go
@@ -56,9 +56,9 @@
 	Config  []byte // nil when unchanged
 	Servers map[string]Entry
 	Gone    []string
-	Full    bool // Servers has all that exist
-	// Restored is that of the sender's State, 0 for unchanged. It shows which era the sender
-	// knows.
+	Full    bool // Servers holds all backend servers
+	// Restored is State.Restored of the sender, 0 for unchanged. It shows which era the
+	// sender knows.
 	Restored store.Position
 }
 
@@ -71,7 +71,7 @@
 		if err != nil {
 			_ = level.Error(i.logger).Log("msg", "configuration ignored", "err", err)
 		} else {
-			i.takeConfig(Read[ConfigRecord]{Items: []ConfigRecord{{Raw: u.Config, Config: c}}}, time.Time{})
+			i.applyConfig(Read[ConfigRecord]{Items: []ConfigRecord{{Raw: u.Config, Config: c}}}, time.Time{})
 		}
 	}
 	records := make([]ServerRecord, 0, len(u.Servers)+len(u.Gone))
@@ -93,7 +93,7 @@
 			records = append(records, ServerRecord{ID: id, Gone: true, At: maxPosition})
 		}
 	}
-	i.takeServers(u.Restored, records, u.Full && current)
+	i.applyServers(u.Restored, records, u.Full && current)
 	if u.Full && !current {
 		i.noteListed()
 	}
