--- a/site/config.go
+++ b/site/config.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Repeat is the kind of a request by what may be repeated.
+// Repeat is the kind of a request: whether and how it may be repeated.
 type Repeat uint8
 
 // The kinds of request.
@@ -69,7 +69,7 @@
 // Workspace is a customer, identified by the API keys that callers present.
 type Workspace struct {
 	Name        string
-	Priority    int // overrides the route's if Ranked is set
+	Priority    int // overrides the route's if HasPriority is set
 	HasPriority bool
 }
 
--- a/site/engine.go
+++ b/site/engine.go
@@ -10,7 +10,7 @@
 }
 
 // Engine describes how the backend servers of a service run a model. Times are for all
-// layers on an accelerator of Pace 1, and scale with the share of layers.
+// layers on the reference accelerator, and scale with the share of layers.
 type Engine struct {
 	Slots            int // requests that a backend server runs as the head of a path
 	Layers           int
@@ -70,8 +70,8 @@
 	return min(e.Layers, int(e.Kinds[kind].MemoryMB/e.LayerMB))
 }
 
-// LoadTime returns how long a backend server loads a number of layers of the slowest
-// model, with no more than LoadsAtOnce loads running.
+// LoadTime returns how long a backend server takes to load a number of layers of the
+// slowest model, with no more than LoadsAtOnce loads running.
 func (e *Engine) LoadTime(layers int) time.Duration {
 	var longest time.Duration
 	for _, m := range e.Models {
--- a/site/server.go
+++ b/site/server.go
@@ -39,11 +39,11 @@
 	return s.Incarnation.Name
 }
 
-// Restarted returns the backend server after a restart that its record does not show yet. It
-// holds no layers and is not draining.
-func (s *BackendServer) Restarted(as Incarnation) *BackendServer {
+// Restarted returns the backend server after a restart that its record does not show yet.
+// It holds no layers and is not draining.
+func (s *BackendServer) Restarted(incarnation Incarnation) *BackendServer {
 	restarted := *s
-	restarted.ID, restarted.Incarnation, restarted.Held, restarted.Draining = as.ID(), as, Range{}, false
+	restarted.ID, restarted.Incarnation, restarted.Held, restarted.Draining = incarnation.ID(), incarnation, Range{}, false
 	return &restarted
 }
 
--- a/site/settings.go
+++ b/site/settings.go
@@ -19,7 +19,7 @@
 	FirstStart    bool // the whole system starts for the first time
 
 	Contact      time.Duration // time without faults after which a VM counts as healthy
-	LeaveWithin  time.Duration // from when a backend server starts draining until it gets no new work
+	LeaveWithin  time.Duration // from when a backend server starts draining until it gets no new requests
 	Grace        time.Duration // from SIGTERM to SIGKILL
 	FailClosed   bool          // keys are valid only while the configuration is known to be fresh
 	RevokeWithin time.Duration // until a revoked key is refused
