--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -33,16 +33,18 @@
 }
 
 // Suspended returns how long the VM has been suspended since this process started.
-func Suspended() time.Duration { return max(0, suspended()-atStart) + time.Duration(simulated.Load()) }
+func Suspended() time.Duration {
+	return max(0, suspended()-suspendedAtStart) + time.Duration(simulated.Load())
+}
 
 // simulated is the suspension added by tests, in nanoseconds.
 var simulated atomic.Int64
 
-// SimulateSuspension simulates a suspension of the VM that has just ended, for tests. It affects the
-// whole process, so no other test may run at the same time.
+// SimulateSuspension simulates a suspension of the VM that has just ended, for tests. It
+// affects the whole process, so no other test may run at the same time.
 func SimulateSuspension(d time.Duration) { simulated.Add(int64(d)) }
 
-var atStart = suspended()
+var suspendedAtStart = suspended()
 
 // readAttempts is how often both clocks are read. The time between the two reads counts as
 // suspended; the minimum removes the effect of a process stopped between them once.
@@ -50,18 +52,18 @@
 
 // suspended returns how long the VM has been suspended since it started.
 func suspended() time.Duration {
-	least, known := time.Duration(0), false
+	shortest, known := time.Duration(0), false
 	for range readAttempts {
-		steady, ok := read(unix.CLOCK_MONOTONIC)
-		since, also := read(unix.CLOCK_BOOTTIME)
-		if !ok || !also {
+		steady, steadyOK := read(unix.CLOCK_MONOTONIC)
+		boot, bootOK := read(unix.CLOCK_BOOTTIME)
+		if !steadyOK || !bootOK {
 			return 0
 		}
-		if d := since - steady; !known || d < least {
-			least, known = d, true
+		if d := boot - steady; !known || d < shortest {
+			shortest, known = d, true
 		}
 	}
-	return least
+	return shortest
 }
 
 func read(clock int32) (time.Duration, bool) {
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,7 +1,7 @@
 // Package lease elects the single holder of a role. A lease is an object of the platform's
-// store. Clocks of daemons are never compared: other daemons take a lease as expired when
+// store. Clocks of daemons are never compared: other daemons treat a lease as expired when
 // its object has not changed for a whole period of their own monotonic clock, and the
-// holder counts the period from before it sent its last renewal.
+// holder counts the period from when it sent its last renewal.
 package lease
 
 import (
@@ -46,7 +46,7 @@
 	Wait    Action = iota // nothing to do yet
 	Read                  // read the lease, whose known state is missing or too old
 	Acquire               // write a new lease
-	Renew                 // write the own lease again
+	Renew                 // write the lease that this daemon holds again
 )
 
 // Candidate decides for one daemon and one lease. It does no I/O: callers pass in what they
@@ -72,7 +72,7 @@
 	lostAt      time.Time      // of the last conflict, zero for none
 }
 
-// New returns a candidate.
+// New returns the candidate of the daemon self for a lease that expires after ttl.
 func New(self string, ttl time.Duration) *Candidate { return &Candidate{self: self, ttl: ttl} }
 
 // safetyFraction is the inverse of the fraction of the period that the holder does not use,
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -17,7 +17,7 @@
 
 const ttl = 3 * time.Second
 
-func keepers(store store.Store, n int) []*Manager {
+func newManagers(store store.Store, n int) []*Manager {
 	var out []*Manager
 	for i := range n {
 		out = append(out, NewManager("Lease", "placement", fmt.Sprint("d", i), ttl, store, log.NewNopLogger()))
@@ -30,10 +30,10 @@
 func TestOneHolder(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		ks := keepers(store, 5)
+		managers := newManagers(store, 5)
 		ctx, cancel := context.WithCancel(context.Background())
-		for _, k := range ks {
-			go k.Run(ctx)
+		for _, m := range managers {
+			go m.Run(ctx)
 		}
 		held, highest := 0, uint64(0)
 		for i := range 6000 {
@@ -45,8 +45,8 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 			holders := 0
-			for _, k := range ks {
-				if f, ok := k.Held(); ok {
+			for _, m := range managers {
+				if f, ok := m.Held(); ok {
 					holders++
 					require.GreaterOrEqual(t, f, highest)
 					highest = f
@@ -93,19 +93,19 @@
 func TestHandover(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		store := memstore.New()
-		ks := keepers(store, 2)
+		managers := newManagers(store, 2)
 		first, stopFirst := context.WithCancel(context.Background())
 		second, stopSecond := context.WithCancel(context.Background())
-		go ks[0].Run(first)
+		go managers[0].Run(first)
 		time.Sleep(time.Second)
-		go ks[1].Run(second)
+		go managers[1].Run(second)
 		time.Sleep(5 * time.Second)
-		_, ok := ks[0].Held()
+		_, ok := managers[0].Held()
 		require.True(t, ok)
 		began := time.Now()
 		stopFirst()
 		for {
-			if _, ok := ks[1].Held(); ok {
+			if _, ok := managers[1].Held(); ok {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
--- a/lease/manager.go
+++ b/lease/manager.go
@@ -35,44 +35,45 @@
 	candidate *Candidate
 }
 
-// NewManager returns the manager of the named lease; Run must be called.
+// NewManager returns the manager of the named lease for the daemon self. Run must be
+// called.
 func NewManager(kind, name, self string, ttl time.Duration, store Store, logger log.Logger) *Manager {
 	return &Manager{kind: kind, name: name, store: store, logger: logger, candidate: New(self, ttl)}
 }
 
 // Held returns the fencing number if this daemon holds the lease now.
-func (k *Manager) Held() (uint64, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.candidate.Held(boottime.Now())
+func (m *Manager) Held() (uint64, bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.candidate.Held(boottime.Now())
 }
 
-// Holder returns the lease as last seen.
-func (k *Manager) Holder() Spec {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.candidate.Holder()
+// Holder returns the lease as last read.
+func (m *Manager) Holder() Spec {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.candidate.Holder()
 }
 
 // Run acquires and renews the lease until ctx ends, then releases it.
-func (k *Manager) Run(ctx context.Context) {
-	period := k.candidate.ttl / 10
+func (m *Manager) Run(ctx context.Context) {
+	period := m.candidate.ttl / 10
 	t := time.NewTicker(period)
 	defer t.Stop()
 	for {
 		pause := time.Duration(0)
-		if !k.step(ctx) {
-			pause = k.candidate.ttl / retryFraction // do not retry a failed store at every tick
+		if !m.step(ctx) {
+			pause = m.candidate.ttl / retryFraction // do not retry a failed store at every tick
 		}
 		select {
 		case <-ctx.Done():
-			k.release()
+			m.release()
 			return
 		case <-time.After(pause):
 		}
 		select {
 		case <-ctx.Done():
-			k.release()
+			m.release()
 			return
 		case <-t.C:
 		}
@@ -83,45 +84,45 @@
 // to the store.
 const retryFraction = 3
 
-func (k *Manager) next() Action {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.candidate.Next(boottime.Now())
+func (m *Manager) next() Action {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.candidate.Next(boottime.Now())
 }
 
 // step performs the next action and reports whether the store answered.
-func (k *Manager) step(ctx context.Context) (answered bool) {
-	switch a := k.next(); a {
+func (m *Manager) step(ctx context.Context) (answered bool) {
+	switch a := m.next(); a {
 	case Read:
-		return k.read(ctx)
+		return m.read(ctx)
 	case Acquire, Renew:
-		return k.write(ctx, a)
+		return m.write(ctx, a)
 	}
 	return true
 }
 
-func (k *Manager) read(ctx context.Context) (answered bool) {
-	o, err := k.store.Get(ctx, k.kind, k.name)
+func (m *Manager) read(ctx context.Context) (answered bool) {
+	o, err := m.store.Get(ctx, m.kind, m.name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.candidate.Seen(o, boottime.Now())
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.candidate.Seen(o, boottime.Now())
 	return true
 }
 
 // write makes one attempt. After a lost answer it reads the lease back and compares the
 // nonce to find out whether the write was applied.
-func (k *Manager) write(ctx context.Context, a Action) (answered bool) {
-	k.mu.Lock()
-	spec, ifVersion := k.candidate.Propose(a, rand.Uint64())
-	era := k.candidate.version.Era()
-	k.mu.Unlock()
+func (m *Manager) write(ctx context.Context, a Action) (answered bool) {
+	m.mu.Lock()
+	spec, ifVersion := m.candidate.Propose(a, rand.Uint64())
+	era := m.candidate.version.Era()
+	m.mu.Unlock()
 	requestedAt := boottime.Now()
-	version, err := k.store.Put(ctx, k.kind, k.name, spec.Encode(), ifVersion)
+	version, err := m.store.Put(ctx, m.kind, m.name, spec.Encode(), ifVersion)
 	if errors.Is(err, store.ErrAmbiguous) {
-		o, getErr := k.store.Get(ctx, k.kind, k.name)
+		o, getErr := m.store.Get(ctx, m.kind, m.name)
 		if getErr != nil {
 			return false // unknown until a later read; the lease may expire meanwhile
 		}
@@ -134,36 +135,37 @@
 		// the fencing number are of the previous era.
 		err = store.ErrConflict
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	switch {
 	case err == nil:
-		k.candidate.Written(spec, version, requestedAt, boottime.Now())
+		m.candidate.Written(spec, version, requestedAt, boottime.Now())
 		if a == Acquire {
-			_ = level.Info(k.logger).Log("msg", "lease acquired", "lease", k.name, "fencing", spec.Fencing)
+			_ = level.Info(m.logger).Log("msg", "lease acquired", "lease", m.name, "fencing", spec.Fencing)
 		}
 	case errors.Is(err, store.ErrConflict):
-		k.candidate.Lost(boottime.Now())
-		_ = level.Info(k.logger).Log("msg", "lease lost", "lease", k.name)
+		m.candidate.Lost(boottime.Now())
+		_ = level.Info(m.logger).Log("msg", "lease lost", "lease", m.name)
 	default:
 		return false
 	}
 	return true
 }
 
-// release lets other daemons take over at once. It writes an expired lease with the same
-// fencing number. Without it, as after a crash, the others wait for one period.
-func (k *Manager) release() {
-	if _, ok := k.Held(); !ok {
+// release lets other daemons take over at once. It writes a lease that has no holder and
+// expires after a millisecond, with the same fencing number. Without it, as after a crash,
+// the others wait for one period.
+func (m *Manager) release() {
+	if _, ok := m.Held(); !ok {
 		return
 	}
-	k.mu.Lock()
-	spec, ifVersion := k.candidate.Propose(Renew, 0)
+	m.mu.Lock()
+	spec, ifVersion := m.candidate.Propose(Renew, 0)
 	spec.TTL = time.Millisecond
 	spec.Holder = ""
-	k.candidate.Released()
-	k.mu.Unlock()
+	m.candidate.Released()
+	m.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_, _ = k.store.Put(ctx, k.kind, k.name, spec.Encode(), ifVersion)
+	_, _ = m.store.Put(ctx, m.kind, m.name, spec.Encode(), ifVersion)
 }
--- a/lease/restore_test.go
+++ b/lease/restore_test.go
@@ -31,14 +31,14 @@
 func runRestores(t *testing.T, rng *rand.Rand) {
 	t.Helper()
 	s := memstore.New()
-	ks := keepers(s, 3)
+	managers := newManagers(s, 3)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer func() {
 		cancel()
 		time.Sleep(5 * time.Second)
 	}()
-	for _, k := range ks {
-		go k.Run(ctx)
+	for _, m := range managers {
+		go m.Run(ctx)
 	}
 	copies := []*memstore.Snapshot{s.Snapshot()}
 	holderOf, highest := map[uint64]int{}, uint64(0)
@@ -56,8 +56,8 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		holders := 0
-		for i, k := range ks {
-			fencing, held := k.Held()
+		for i, m := range managers {
+			fencing, held := m.Held()
 			if !held {
 				continue
 			}
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -38,7 +38,7 @@
 	mu            sync.Mutex
 	lastBeat      time.Time       // of the last heartbeat, the zero time while not running
 	lastSuspended time.Duration   // value of suspended at the last heartbeat
-	stalls        [maxStalls]span // a ring
+	stalls        [maxStalls]span // a ring buffer
 	next          int             // index of the next one
 	observer      func(time.Duration)
 	onWake        []func(suspended time.Duration)
@@ -56,10 +56,10 @@
 }
 
 // span is a period in which the process did not run. The steady clock does not advance
-// while a VM is suspended; lost is that time.
+// while a VM is suspended, so that time is stored separately.
 type span struct {
-	from, to time.Time
-	lost     time.Duration // in addition to to - from
+	from, to  time.Time
+	suspended time.Duration // in addition to to - from
 }
 
 // New returns a monitor; Run must be called. observe is called with the length of each
@@ -71,7 +71,7 @@
 	return &Monitor{suspended: boottime.Suspended, observer: observe}
 }
 
-// Run sends heartbeats until ctx ends.
+// Run detects stalls until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
 	t := time.NewTimer(heartbeatInterval)
 	defer t.Stop()
@@ -104,23 +104,23 @@
 	m.mu.Lock()
 	late := m.late(now)
 	suspended := m.suspended()
-	lost := suspended - m.lastSuspended
-	if lost < minStall {
-		lost = 0
+	suspension := suspended - m.lastSuspended
+	if suspension < minStall {
+		suspension = 0
 	}
-	if late > 0 || lost > 0 {
-		m.stalls[m.next] = span{from: now.Add(-late), to: now, lost: lost}
+	if late > 0 || suspension > 0 {
+		m.stalls[m.next] = span{from: now.Add(-late), to: now, suspended: suspension}
 		m.next = (m.next + 1) % maxStalls
 	}
 	m.lastBeat, m.lastSuspended = now, suspended
 	callbacks := m.onWake
 	m.mu.Unlock()
-	if late+lost > 0 {
-		m.observer(late + lost)
+	if late+suspension > 0 {
+		m.observer(late + suspension)
 	}
-	if lost > 0 {
+	if suspension > 0 {
 		for _, f := range callbacks {
-			f(lost)
+			f(suspension)
 		}
 	}
 }
@@ -134,22 +134,22 @@
 	return late
 }
 
-// StallTime returns for how long the process was kept from running between since and now. It
-// excludes suspensions of the VM, which the steady clock does not count.
+// StallTime returns for how long the process was kept from running between since and now.
+// It excludes suspensions of the VM, which the steady clock does not count.
 func (m *Monitor) StallTime(since, now time.Time) time.Duration {
 	if m == nil {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	held := time.Duration(0)
+	stalled := time.Duration(0)
 	for _, s := range m.stalls {
-		held += s.within(since, now)
+		stalled += s.within(since, now)
 	}
 	if late := m.late(now); late > 0 { // the heartbeat is still due
-		held += span{from: now.Add(-late), to: now}.within(since, now)
+		stalled += span{from: now.Add(-late), to: now}.within(since, now)
 	}
-	return held
+	return stalled
 }
 
 // Stalled reports whether the process was kept from running, or its VM was suspended, at
@@ -164,7 +164,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, s := range m.stalls {
-		if s.lost > 0 && !s.to.Before(since) {
+		if s.suspended > 0 && !s.to.Before(since) {
 			return true
 		}
 	}
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -63,7 +63,7 @@
 }
 
 // A stalled timer expires once the process has run for its duration; without stalls it
-// expires as usual.
+// expires after its duration.
 func TestTimersCountRunningTime(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		var suspended time.Duration
--- a/stall/timer.go
+++ b/stall/timer.go
@@ -39,8 +39,8 @@
 func (t *Timer) due(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	held := t.monitor.StallTime(t.since, now)
-	left := t.d - (now.Sub(t.since) - held)
+	stalled := t.monitor.StallTime(t.since, now)
+	left := t.d - (now.Sub(t.since) - stalled)
 	if left <= 0 {
 		return true
 	}
