--- a/gateway/callers_test.go
+++ b/gateway/callers_test.go
@@ -21,9 +21,9 @@
 	r *bufio.Reader
 }
 
-func (r *testDaemon) dial(t *testing.T) *rawCaller {
+func (d *testDaemon) dial(t *testing.T) *rawCaller {
 	t.Helper()
-	c, err := net.Dial("tcp", r.CallersAddr())
+	c, err := net.Dial("tcp", d.CallersAddr())
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = c.Close() })
 	require.NoError(t, c.SetDeadline(time.Now().Add(5*time.Second)))
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -22,8 +22,8 @@
 // caller retries it under new IDs at all daemons, so it is recognized by its fingerprint.
 const crashing = "crashes what runs it"
 
-// Once it has crashed three backend servers and the daemons had reportDelay to exchange
-// that, the request may reach no more than maxLateArrivals others.
+// A request that has crashed three backend servers may reach at most maxLateArrivals others
+// later than reportDelay, which is the time for the daemons to report the crashes.
 const (
 	reportDelay     = time.Second
 	maxLateArrivals = 3
@@ -107,12 +107,12 @@
 	}
 	srv := httptest.NewServer(adminHandler(http.NotFoundHandler(), d.Gateway))
 	t.Cleanup(srv.Close)
-	list := func() (held []QuarantinedRequest) {
+	list := func() (quarantined []QuarantinedRequest) {
 		resp, err := http.Get(srv.URL + QuarantinePath)
 		require.NoError(t, err)
 		defer resp.Body.Close()
-		require.NoError(t, json.NewDecoder(resp.Body).Decode(&held))
-		return held
+		require.NoError(t, json.NewDecoder(resp.Body).Decode(&quarantined))
+		return quarantined
 	}
 	lift := func(fingerprint string) int {
 		req, err := http.NewRequest(http.MethodDelete, srv.URL+QuarantinePath+"/"+fingerprint, nil)
@@ -122,13 +122,13 @@
 		require.NoError(t, resp.Body.Close())
 		return resp.StatusCode
 	}
-	held := list()
-	require.Len(t, held, 1)
-	require.Equal(t, quarantine.Fingerprint(7).String(), held[0].Fingerprint)
-	require.Equal(t, 2, held[0].Ends)
+	quarantined := list()
+	require.Len(t, quarantined, 1)
+	require.Equal(t, quarantine.Fingerprint(7).String(), quarantined[0].Fingerprint)
+	require.Equal(t, 2, quarantined[0].Ends)
 	require.Equal(t, http.StatusBadRequest, lift("seven"))
 	require.Equal(t, http.StatusNotFound, lift("8"))
-	require.Equal(t, http.StatusNoContent, lift(held[0].Fingerprint))
+	require.Equal(t, http.StatusNoContent, lift(quarantined[0].Fingerprint))
 	require.Empty(t, list())
 	require.False(t, fromThisVM(&http.Request{RemoteAddr: "10.0.0.9:1"}))
 }
--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -102,17 +102,17 @@
 }
 
 // ready waits until the daemon is ready and knows at least this many backend servers.
-func (r *testDaemon) ready(t *testing.T, servers int) *testDaemon {
+func (d *testDaemon) ready(t *testing.T, servers int) *testDaemon {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		resp, err := http.Get("http://" + r.ReadinessAddr() + "/ready")
+		resp, err := http.Get("http://" + d.ReadinessAddr() + "/ready")
 		if err != nil {
 			return false
 		}
 		_ = resp.Body.Close()
-		return resp.StatusCode == http.StatusOK && len(r.inv.View().Servers) >= servers
+		return resp.StatusCode == http.StatusOK && len(d.inv.View().Servers) >= servers
 	}, 5*time.Second, 5*time.Millisecond)
-	return r
+	return d
 }
 
 type answer = sitetrial.Answer
@@ -125,7 +125,7 @@
 	ctx                         context.Context
 }
 
-func (r *testDaemon) call(t *testing.T, c call) answer {
+func (d *testDaemon) call(t *testing.T, c call) answer {
 	t.Helper()
 	if c.ctx == nil {
 		c.ctx = t.Context()
@@ -133,7 +133,7 @@
 	if c.client == nil {
 		c.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	}
-	return sitetrial.Do(c.ctx, c.client, r.CallersAddr(), sitetrial.Call{
+	return sitetrial.Do(c.ctx, c.client, d.CallersAddr(), sitetrial.Call{
 		Method: c.method, Path: c.path, Body: c.body, Header: c.header,
 		Key: cmp.Or(c.key, sitetrial.Key), ID: cmp.Or(c.id, "req-1"),
 	})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -36,8 +36,8 @@
 )
 
 const (
-	// leasePeriod is the period of the placement lease. A failed holder is replaced
-	// within it.
+	// leasePeriod is the period of the placement lease, within which a failed holder is
+	// replaced.
 	leasePeriod = 1600 * time.Millisecond
 	// headerTimeout bounds the reading of a request's headers. Callers send them
 	// within 3 s.
@@ -54,7 +54,7 @@
 	placementLease = "placement"
 )
 
-// Gateway is a daemon.
+// Gateway is the daemon with all its parts.
 type Gateway struct {
 	opts           Options
 	listeners      listeners
@@ -93,7 +93,8 @@
 	MetricsPort int // 0 for none
 }
 
-// New returns a daemon that logs to out. It opens the listening addresses.
+// New returns a daemon that logs to out, and opens its listening sockets. It returns an
+// error if the settings or the metrics fail to load, or an address is not available.
 func New(o Options, out io.Writer) (*Gateway, error) {
 	set, err := o.Load()
 	if err != nil {
@@ -125,19 +126,19 @@
 	self := relay.Member{Name: set.Name, Domain: set.FailureDomain, Address: g.listeners.links.Addr().String()}
 	g.members = newMembers(self, set.FirstStart, g.store, g.log)
 	stalls.OnWake(g.members.wake)
-	book := quarantine.NewRegistry(quarantine.DefaultPolicy)
-	g.quarantine = book
-	g.quarantineSync = newQuarantineSyncer(book, g.store, g.quarantineRole, g.log)
+	registry := quarantine.NewRegistry(quarantine.DefaultPolicy)
+	g.quarantine = registry
+	g.quarantineSync = newQuarantineSyncer(registry, g.store, g.quarantineRole, g.log)
 	limits, sends := quota.NewLimits(), quota.NewSends()
 	pool := quota.NewPool(set.Name, limits, sends)
 	g.forward = forward.New(forward.Options{
 		FailureDomain: set.FailureDomain, RetryRatio: set.RetryRatio, RetrySlack: set.RetrySlack,
-		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, MaxKeyAge: keyFreshnessBound(set),
-	}, forward.Dependencies{Inventory: g.inv, Fleet: g.members, Backends: g.backends, Log: g.log, Observer: observer{m}, Quarantine: book, Stalls: stalls,
+		RetryWindow: set.RetryWindow, Restarted: !set.FirstStart, MaxKeyAge: maxKeyAge(set),
+	}, forward.Dependencies{Inventory: g.inv, Fleet: g.members, Backends: g.backends, Log: g.log, Observer: observer{m}, Quarantine: registry, Stalls: stalls,
 		Limits: limits, Sends: sends, Permits: permits{g}})
 	g.backends.OnLimit(g.forward.ApplyLimit)
 	g.relay = relay.New(relay.Options{
-		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, ConditionReader: g.forward, Quarantine: book, Stalls: stalls, BeforeStore: g.quarantineSync.load,
+		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, ConditionReader: g.forward, Quarantine: registry, Stalls: stalls, BeforeStore: g.quarantineSync.load,
 		Restored: func() bool { return g.store.Era() > store.FirstEra },
 	}, g.inv, g.forward.Loads(), g.members, g.log)
 	g.permits = permit.New(permit.Options{
@@ -167,7 +168,9 @@
 	return mux
 }
 
-func keyFreshnessBound(set site.Settings) time.Duration {
+// maxKeyAge returns the age of the configuration from which keys are refused, 0 for no
+// bound.
+func maxKeyAge(set site.Settings) time.Duration {
 	if !set.FailClosed {
 		return 0
 	}
@@ -194,8 +197,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Run serves until ctx ends, then stops gracefully. It returns early on Kill or
-// when a listener for callers or readiness checks fails.
+// Run serves until ctx ends, then stops gracefully. It returns early on Kill, or with the
+// error of a listener for callers or readiness checks that fails.
 func (g *Gateway) Run(ctx context.Context) error {
 	_ = level.Info(g.log).Log("msg", "started", "vm", g.set.Name, "domain", g.set.FailureDomain, "callers", g.set.Callers, "store", g.set.Store)
 	restore := invariant.SetReporter(g.reportViolation)
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -15,8 +15,8 @@
 )
 
 // Bounds on the requests that reach a backend server after it has announced a limit: from
-// limitDelay after the announcement, at most limitFactor times the limit and limitSlack
-// more in any limitWindow. Daemons must share the limit, since each decides alone.
+// limitDelay after the announcement, at most limitFactor times the limit plus limitSlack
+// in any limitWindow. Daemons must share the limit, since each decides alone.
 const (
 	limitWindow = 4 * time.Second
 	limitDelay  = 3 * time.Second
@@ -51,11 +51,11 @@
 	}
 	awaitFollowing(t, daemons[0], daemons[2])
 	var wg sync.WaitGroup
-	var named time.Time
+	var announcedAt time.Time
 	for n := range 9 * perSecond {
 		if n == 2*perSecond {
 			heads[0].SetLimit(fmt.Sprint(rate))
-			named = time.Now()
+			announcedAt = time.Now()
 		}
 		wg.Go(func() {
 			a := daemons[n%daemonCount].call(t, call{method: "POST", path: "/stream/", body: fmt.Sprint("b", n), id: fmt.Sprint("limited-", n)})
@@ -64,10 +64,10 @@
 		time.Sleep(time.Second / perSecond)
 	}
 	wg.Wait()
-	got := maxArrivals(heads[0].Arrivals(), named.Add(limitDelay))
+	got := maxArrivals(heads[0].Arrivals(), announcedAt.Add(limitDelay))
 	t.Logf("%d in four seconds", got)
 	require.LessOrEqual(t, float64(got), limitFactor*rate*limitWindow.Seconds()+limitSlack)
-	late := slices.DeleteFunc(heads[0].Arrivals(), func(a standin.Arrival) bool { return a.At.Before(named.Add(limitDelay)) })
+	late := slices.DeleteFunc(heads[0].Arrivals(), func(a standin.Arrival) bool { return a.At.Before(announcedAt.Add(limitDelay)) })
 	seconds := 7 - limitDelay.Seconds()
 	require.GreaterOrEqual(t, float64(len(late)), 0.8*rate*seconds, "what the limit allows is used")
 }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -35,7 +35,7 @@
 	joinInterval = 400 * time.Millisecond
 	joinTimeout  = 2 * time.Second
 	// listRetryInterval is the period of lists until one succeeds. After
-	// firstListTimeout a daemon goes on alone. A daemon that knows no other acts as the
+	// firstListTimeout a daemon continues alone. A daemon that knows no other acts as the
 	// first of its failure domain, so a short timeout would let every daemon that starts
 	// during an outage follow the store itself.
 	listRetryInterval = 500 * time.Millisecond
@@ -74,8 +74,8 @@
 }
 
 // members tracks the daemons of the fleet. Each daemon writes a record to the store
-// periodically, and one whose record stays unchanged for memberTTL counts as dead. It
-// implements forward.Fleet and relay.Members.
+// periodically. A daemon whose record stays unchanged for memberTTL counts as dead.
+// members implements forward.Fleet and relay.Members.
 type members struct {
 	self       relay.Member
 	store      memberStore
@@ -84,7 +84,7 @@
 	heartbeats uint64
 	alive      atomic.Int64
 	found      chan struct{} // closed after the first list
-	woken      chan struct{} // the VM was suspended: the daemons must be listed again
+	woken      chan struct{} // receives when the daemons must be listed again after a suspension
 
 	firstStart bool // of the whole system: no earlier records exist
 
@@ -182,7 +182,7 @@
 }
 
 // join announces this daemon and finds the others. If the system ran before, it only
-// lists the records, and adopts one that an earlier process of this VM has left.
+// lists the records, and adopts the record that an earlier process of this VM has left.
 func (m *members) join(ctx context.Context) {
 	if !m.firstStart {
 		m.list(ctx, false)
@@ -300,7 +300,7 @@
 // noteEra records the era of a list and reports whether it is the current one. A store
 // that was restored from an older copy lacks the records of daemons that started later
 // until they write them again, each at its next list. Until then known members are kept.
-func (m *members) noteEra(objects []store.Object, now time.Time) (present bool) {
+func (m *members) noteEra(objects []store.Object, now time.Time) (current bool) {
 	era := uint64(0)
 	for _, o := range objects {
 		era = max(era, o.Version.Era())
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -18,7 +18,7 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// staleStore is a store whose stale lists are older by lag. It implements memberStore.
+// staleStore is a memberStore whose stale lists are older by lag.
 type staleStore struct {
 	lag     time.Duration
 	version store.Position
@@ -179,7 +179,7 @@
 	}
 }
 
-// A daemon that gets no list within firstListTimeout goes on alone.
+// A daemon that gets no list within firstListTimeout continues alone.
 func TestDaemonContinuesAloneWithoutAList(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		s := &staleStore{}
--- a/gateway/permits.go
+++ b/gateway/permits.go
@@ -32,17 +32,17 @@
 type permittedBackends struct{ g *Gateway }
 
 // Report implements placer.Backends.
-func (o permittedBackends) Report(ctx context.Context, s *site.BackendServer) (forward.Report, error) {
-	if err := o.g.forward.MayOrder(ctx, s.ID); err != nil {
+func (b permittedBackends) Report(ctx context.Context, s *site.BackendServer) (forward.Report, error) {
+	if err := b.g.forward.MayOrder(ctx, s.ID); err != nil {
 		return forward.Report{}, err
 	}
-	return o.g.backends.Report(ctx, s)
+	return b.g.backends.Report(ctx, s)
 }
 
 // Hold implements placer.Backends.
-func (o permittedBackends) Hold(ctx context.Context, s *site.BackendServer, layers site.Range, atOnce bool, after, fence uint64) error {
-	if err := o.g.forward.MayOrder(ctx, s.ID); err != nil {
+func (b permittedBackends) Hold(ctx context.Context, s *site.BackendServer, layers site.Range, atOnce bool, after, fence uint64) error {
+	if err := b.g.forward.MayOrder(ctx, s.ID); err != nil {
 		return err
 	}
-	return o.g.backends.Hold(ctx, s, layers, atOnce, after, fence)
+	return b.g.backends.Hold(ctx, s, layers, atOnce, after, fence)
 }
--- a/gateway/quarantine_sync.go
+++ b/gateway/quarantine_sync.go
@@ -57,15 +57,15 @@
 	store    quarantineStore
 	role     func() (rank int, writes bool)
 	logger   log.Logger
-	woken    chan struct{} // the store was restored from a copy
+	woken    chan struct{} // receives when the store was restored from a copy
 
 	loaded  bool           // the record was read in the current era
 	version store.Position // of the object, 0 for none
 	stored  []quarantine.Entry
 }
 
-// newQuarantineSyncer returns a quarantineSyncer. role reports whether this daemon writes the
-// record, and the number of failure domains that sort before its own.
+// newQuarantineSyncer returns a quarantineSyncer. role reports whether this daemon writes
+// the record, and the number of failure domains that sort before its own.
 func newQuarantineSyncer(registry *quarantine.Registry, s quarantineStore, role func() (rank int, writes bool), logger log.Logger) *quarantineSyncer {
 	return &quarantineSyncer{registry: registry, store: s, role: role, logger: logger, woken: make(chan struct{}, 1)}
 }
@@ -91,8 +91,8 @@
 	}
 }
 
-// fetch reads the record. The object has no revision if there is none; answered is false
-// if the call failed.
+// fetch reads the record. The object has no revision if there is no record;
+// answered is false if the call failed.
 func (q *quarantineSyncer) fetch(ctx context.Context) (o store.Object, answered bool) {
 	o, err := q.store.Get(ctx, kindQuarantine, quarantineObject)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -199,7 +199,8 @@
 	return quarantine.SameHeld(quarantined, q.stored)
 }
 
-// quarantined returns the entries to store, quarantine.RecordMost at most.
+// quarantined returns the entries to store, at most
+// quarantine.MaxRecordEntries.
 func (q *quarantineSyncer) quarantined() []quarantine.Entry {
 	quarantined := q.registry.Quarantined(time.Now())
 	return quarantined[:min(len(quarantined), quarantine.MaxRecordEntries)]
--- a/gateway/reload.go
+++ b/gateway/reload.go
@@ -37,6 +37,6 @@
 		}
 		_ = level.Info(g.log).Log("msg", "settings reloaded", "changed", set != last, "signalled", signalled)
 		last = set
-		g.forward.SetBounds(set.RetryRatio, set.RetrySlack, keyFreshnessBound(set))
+		g.forward.SetBounds(set.RetryRatio, set.RetrySlack, maxKeyAge(set))
 	}
 }
--- a/gateway/requests_test.go
+++ b/gateway/requests_test.go
@@ -89,7 +89,7 @@
 		fault   standin.Fault
 		status  int
 		runs    int
-		sealed  bool
+		signed  bool
 		refused bool
 	}{
 		"unsafe, connection reset after it ran":      {"/once/", standin.ResetAfter, http.StatusBadGateway, 1, false, false},
@@ -119,7 +119,7 @@
 			}
 			require.NoError(t, a.Err)
 			require.Equal(t, c.status, a.Status)
-			require.Equal(t, c.sealed, a.Header.Get("Snowspoke-Server-Seal") != "")
+			require.Equal(t, c.signed, a.Header.Get("Snowspoke-Server-Seal") != "")
 			require.Equal(t, c.refused, a.Header.Get("Retry-After") != "")
 			if c.path == "/once/" {
 				require.Equal(t, c.runs, totalRuns(servers))
--- a/gateway/restore_test.go
+++ b/gateway/restore_test.go
@@ -12,7 +12,7 @@
 )
 
 // A store that is restored from an older copy reverts nothing: draining backend servers
-// get no work, deregistered ones stay away, new ones are used, and the configuration in
+// get no work, deregistered ones stay removed, new ones are used, and the configuration in
 // force stays. Later writes take effect although their revisions were used before.
 func TestStoreRestoredFromOlderCopyRevertsNothing(t *testing.T) {
 	env := newTestEnv(t)
@@ -33,19 +33,19 @@
 		env.store.Set("servers", "stays", old[2].Record("plain", "domain-1", "")) // revisions grow
 	}
 	inForce := uint64(env.version)
-	upToDate := func(r *testDaemon) bool {
-		v := r.inv.View()
+	upToDate := func(d *testDaemon) bool {
+		v := d.inv.View()
 		return v.Config.Version == inForce && len(v.Servers) == 3 && v.Servers["drains"] != nil && v.Servers["drains"].Draining
 	}
-	for _, r := range daemons {
-		require.Eventually(t, func() bool { return upToDate(r) }, 3*time.Second, 5*time.Millisecond)
+	for _, d := range daemons {
+		require.Eventually(t, func() bool { return upToDate(d) }, 3*time.Second, 5*time.Millisecond)
 	}
 
 	env.store.Restore(copied)
 	until := time.Now().Add(2500 * time.Millisecond) // longer than a watch and missingGrace
 	for time.Now().Before(until) {
-		for _, r := range daemons {
-			v := r.inv.View()
+		for _, d := range daemons {
+			v := d.inv.View()
 			require.Equal(t, inForce, v.Config.Version, "the configuration never reverts")
 			require.NotContains(t, v.Servers, "leaves")
 			require.Contains(t, v.Servers, "new")
@@ -63,16 +63,16 @@
 	env.store.Set("servers", "late", late.Record("plain", "domain-1", ""))
 	env.store.Remove("servers", "stays")
 	env.putConfig()
-	for _, r := range daemons {
+	for _, d := range daemons {
 		require.Eventually(t, func() bool {
-			v := r.inv.View()
+			v := d.inv.View()
 			return v.Servers["late"] != nil && v.Servers["stays"] == nil && v.Config.Version == uint64(env.version)
-		}, 3*time.Second, 5*time.Millisecond, "%s knows %v", r.set.Name, r.inv.View().Servers)
+		}, 3*time.Second, 5*time.Millisecond, "%s knows %v", d.set.Name, d.inv.View().Servers)
 	}
 }
 
 // A daemon that starts while the store still lacks the configuration in force gets it
-// from the others instead of serving by the copy.
+// from other daemons, and does not use the configuration in the copy.
 func TestDaemonStartedOnOlderCopyAsksOthers(t *testing.T) {
 	env := newTestEnv(t)
 	env.putConfig()
