--- a/relay/conditions.go
+++ b/relay/conditions.go
@@ -135,7 +135,7 @@
 
 // collectSuspects adds the suspects of this daemon to those of its followers.
 func (n *Node) collectSuspects() {
-	ids := n.loads.TakeSuspects()
+	ids := n.loadExchange.TakeSuspects()
 	hashes := make([]uint32, len(ids))
 	for i, id := range ids {
 		hashes[i] = serverHash(id)
@@ -157,7 +157,7 @@
 			out[id] = c.unpack()
 		}
 	}
-	n.loads.SetConditions(out)
+	n.loadExchange.SetConditions(out)
 }
 
 // changes returns a channel that is closed at the next change of the reported conditions.
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -60,7 +60,7 @@
 		if err != nil {
 			return // retried at the next exchange; its last loads expire
 		}
-		l = &domainLink{conn: c, received: loadReceiver{refused: n.loads.RefuseLoads}}
+		l = &domainLink{conn: c, received: loadReceiver{refused: n.loadExchange.RefuseLoads}}
 		links[domain] = l
 		n.conditions.setLinked(domain, true)
 	}
--- a/relay/node.go
+++ b/relay/node.go
@@ -54,7 +54,7 @@
 type Node struct {
 	opts          Options
 	inv           Inventory
-	loads         LoadExchange
+	loadExchange  LoadExchange
 	members       Members
 	logger        log.Logger
 	followerLoads *loadTable
@@ -89,7 +89,7 @@
 }
 
 // New returns a node. The caller must call Run.
-func New(o Options, inv Inventory, loads LoadExchange, m Members, logger log.Logger) *Node {
+func New(o Options, inv Inventory, loadExchange LoadExchange, m Members, logger log.Logger) *Node {
 	if o.FanOut == 0 {
 		o.FanOut = defaultFanOut
 	}
@@ -97,7 +97,7 @@
 		o.ConfigWithin = defaultConfigDelay
 	}
 	return &Node{
-		opts: o, inv: inv, loads: loads, members: m, logger: logger, followerLoads: newLoadTable(), dialer: NewDialer(o.Connect, o.Stalls), conditions: newConditionRegistry(),
+		opts: o, inv: inv, loadExchange: loadExchange, members: m, logger: logger, followerLoads: newLoadTable(), dialer: NewDialer(o.Connect, o.Stalls), conditions: newConditionRegistry(),
 		domainLoads: newLoadTable(), sourceLoads: newLoadTable(), sourceCtx: context.Background(),
 	}
 }
--- a/relay/session.go
+++ b/relay/session.go
@@ -28,7 +28,7 @@
 	defer func() { _ = c.CloseNow() }()
 	s := &session{
 		node: n, conn: c, sent: map[uint64]time.Time{}, probe: probe, cancel: cancel,
-		received: loadReceiver{refused: n.loads.RefuseLoads},
+		received: loadReceiver{refused: n.loadExchange.RefuseLoads},
 	}
 	s.silenceTimer = n.opts.Stalls.AfterFunc(silenceTimeout, func() { cancel(errSilent) })
 	defer s.silenceTimer.Stop()
--- a/relay/source.go
+++ b/relay/source.go
@@ -203,7 +203,7 @@
 // until the link ends.
 func (n *Node) answerPings(ctx context.Context, c *websocket.Conn) {
 	follower, reportedAt := "", time.Time{}
-	fromFollower := loadReceiver{refused: n.loads.RefuseLoads}
+	fromFollower := loadReceiver{refused: n.loadExchange.RefuseLoads}
 	var toFollower loadReporter
 	var conditionsVersion uint64
 	var crashes crashReporter
@@ -269,7 +269,7 @@
 	keep := func(domain string) bool { return sameDomain || domain == n.opts.Domain }
 	ttl, sum := n.ttl(), newLoadSum()
 	n.followerLoads.addTo(sum, sender, keep, ttl, now)
-	sum.addOwn(n.loads.OwnLoads())
+	sum.addOwn(n.loadExchange.OwnLoads())
 	if sameDomain {
 		n.outsideLoads().addTo(sum, "", allDomains, ttl, now)
 	}
@@ -291,7 +291,7 @@
 func (n *Node) subtreeLoads(now time.Time) Loads {
 	sum := newLoadSum()
 	n.followerLoads.addTo(sum, "", n.ownDomain, n.ttl(), now)
-	sum.addOwn(n.loads.OwnLoads())
+	sum.addOwn(n.loadExchange.OwnLoads())
 	return sum.loads()
 }
 
@@ -300,7 +300,7 @@
 	ttl, sum := n.ttl(), newLoadSum()
 	n.followerLoads.addTo(sum, "", n.ownDomain, ttl, now)
 	n.outsideLoads().addTo(sum, "", allDomains, ttl, now)
-	n.loads.SetOthers(sum.loads())
+	n.loadExchange.SetOthers(sum.loads())
 }
 
 // serverNames returns the IDs of the backend servers by their hash.
