--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -33,9 +33,7 @@
 }
 
 // Suspended returns how long the VM has been suspended since this process started.
-func Suspended() time.Duration {
-	return max(0, suspended()-suspendedAtStart) + time.Duration(simulated.Load())
-}
+func Suspended() time.Duration { return max(0, suspended()-atStart) + time.Duration(simulated.Load()) }
 
 // simulated is the suspension added by tests, in nanoseconds.
 var simulated atomic.Int64
@@ -44,7 +42,8 @@
 // affects the whole process, so no other test may run at the same time.
 func SimulateSuspension(d time.Duration) { simulated.Add(int64(d)) }
 
-var suspendedAtStart = suspended()
+// atStart is the value of suspended at the start of this process.
+var atStart = suspended()
 
 // readAttempts is how often both clocks are read. The time between the two reads counts as
 // suspended; the minimum removes the effect of a process stopped between them once.
--- a/stall/stall.go
+++ b/stall/stall.go
@@ -58,8 +58,8 @@
 // span is a period in which the process did not run. The steady clock does not advance
 // while a VM is suspended, so that time is stored separately.
 type span struct {
-	from, to  time.Time
-	suspended time.Duration // in addition to to - from
+	from, to   time.Time
+	suspension time.Duration // in addition to to - from
 }
 
 // New returns a monitor; Run must be called. observe is called with the length of each
@@ -109,7 +109,7 @@
 		suspension = 0
 	}
 	if late > 0 || suspension > 0 {
-		m.stalls[m.next] = span{from: now.Add(-late), to: now, suspended: suspension}
+		m.stalls[m.next] = span{from: now.Add(-late), to: now, suspension: suspension}
 		m.next = (m.next + 1) % maxStalls
 	}
 	m.lastBeat, m.lastSuspended = now, suspended
@@ -164,7 +164,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, s := range m.stalls {
-		if s.suspended > 0 && !s.to.Before(since) {
+		if s.suspension > 0 && !s.to.Before(since) {
 			return true
 		}
 	}
