--- a/capacity/platform.go
+++ b/capacity/platform.go
@@ -64,7 +64,7 @@
 	pingsPerSecond        = 1 / 0.4
 	loadPeriodPerServer   = 0.010         // length of the period of loads, in seconds per backend server
 	ownLoadsShare         = 0.1           // fraction of the backend servers on which one daemon has requests
-	reportedShare         = 0.05          // fraction of the sums of loads that change enough in a period to be sent (relay.TestOnlyChangedLoadsAreTold)
+	reportedShare         = 0.05          // fraction of the sums of loads that change enough in a period to be sent (relay.TestOnlyChangedLoadsAreSent)
 	ownReportedShare      = 0.3           // the same for a daemon's own loads, which are a few requests each (estimated)
 	fanOut                = 7.0           // followers of one daemon
 	storeCallsPerSource   = 1/0.9 + 1/9.0 // per second, by a source whose watches return no change
