--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -34,12 +34,12 @@
 func LinkMS(e *site.Engine, from, to string) float64 {
 	ms := 0.0
 	if e.LinkMbps > 0 {
-		ms += e.ActBytes * 8 / e.LinkMbps / 1000
+		ms += e.ActivationBytes * 8 / e.LinkMbps / 1000
 	}
 	if from != to {
 		ms += float64(e.Delay(from, to)) / float64(time.Millisecond)
 		if e.PipeMbps > 0 {
-			ms += e.ActBytes * 8 / e.PipeMbps / 1000
+			ms += e.ActivationBytes * 8 / e.PipeMbps / 1000
 		}
 	}
 	return ms
@@ -65,5 +65,5 @@
 	if e.PipeMbps <= 0 {
 		return 0
 	}
-	return prompt * e.ActBytes * 8 / e.PipeMbps / 1000
+	return prompt * e.ActivationBytes * 8 / e.PipeMbps / 1000
 }
--- a/site/engine.go
+++ b/site/engine.go
@@ -25,7 +25,7 @@
 	Stride           int     // token steps in a pass
 	Prompt           int     // mean tokens of a prompt
 	Answer           int     // mean tokens of an answer
-	ActBytes         float64 // activations sent to the next hop for each token
+	ActivationBytes         float64 // activations sent to the next hop for each token
 	LinkMbps         float64
 	PipeMbps         float64 // of a cross-domain link
 	LoadsAtOnce      int     // concurrent loads of weights without mutual slowdown
