--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -38,8 +38,8 @@
 	}
 	if from != to {
 		ms += float64(e.Delay(from, to)) / float64(time.Millisecond)
-		if e.PipeMbps > 0 {
-			ms += e.ActivationBytes * 8 / e.PipeMbps / 1000
+		if e.CrossDomainMbps > 0 {
+			ms += e.ActivationBytes * 8 / e.CrossDomainMbps / 1000
 		}
 	}
 	return ms
@@ -62,8 +62,8 @@
 // CrossDomainPrefillMS predicts how long the activations of a prompt take over a
 // cross-domain link, in milliseconds. prompt is its length in tokens.
 func CrossDomainPrefillMS(e *site.Engine, prompt float64) float64 {
-	if e.PipeMbps <= 0 {
+	if e.CrossDomainMbps <= 0 {
 		return 0
 	}
-	return prompt * e.ActivationBytes * 8 / e.PipeMbps / 1000
+	return prompt * e.ActivationBytes * 8 / e.CrossDomainMbps / 1000
 }
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -19,7 +19,7 @@
 	return &site.Engine{
 		Slots: 192, Layers: 80, LayerMB: 1750, KVTokenBytes: 590000, StepMS: 0.85, PerRequestMS: 0.00382,
 		ContextPerKMS: 0.00512, PrefillPerSecond: 196000, PrefillPairsMS: 0.166, Stride: 2, Prompt: 772, Answer: 172,
-		ActivationBytes: 29500, LinkMbps: 480000, PipeMbps: 9000, LoadsAtOnce: 6,
+		ActivationBytes: 29500, LinkMbps: 480000, CrossDomainMbps: 9000, LoadsAtOnce: 6,
 		Models: []site.EngineModel{{Name: "m", Load: 14 * time.Second}},
 		Kinds: map[string]site.Accelerator{
 			"large":  {MemoryMB: 72000, Pace: 1.4, PrefillPace: 1},
--- a/site/engine.go
+++ b/site/engine.go
@@ -27,7 +27,7 @@
 	Answer           int     // mean tokens of an answer
 	ActivationBytes         float64 // activations sent to the next hop for each token
 	LinkMbps         float64
-	PipeMbps         float64 // of a cross-domain link
+	CrossDomainMbps         float64 // of a cross-domain link
 	LoadsAtOnce      int     // concurrent loads of weights without mutual slowdown
 	ReportLag        time.Duration
 	Kinds            map[string]Accelerator
