--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -16,7 +16,7 @@
 // of layers for n requests, in milliseconds. context is their mean context in tokens.
 func HopStepMS(e *site.Engine, kind string, layers int, n, context float64) float64 {
 	perRequest := e.PerRequestMS + e.ContextPerKMS*context/1000
-	return e.Kinds[kind].Pace * layerShare(e, layers) * (e.StepMS + n*perRequest)
+	return e.Kinds[kind].Slowdown * layerShare(e, layers) * (e.StepMS + n*perRequest)
 }
 
 // HopPrefillMS predicts how long a backend server takes to process a prompt in a number of
--- a/pipeline/layout.go
+++ b/pipeline/layout.go
@@ -220,7 +220,7 @@
 
 // trimsBefore reports whether server a loses a layer before server b.
 func trimsBefore(e *site.Engine, a, b ServerState, na, nb int) bool {
-	pa, pb := e.Kinds[a.Server.Kind].Pace, e.Kinds[b.Server.Kind].Pace
+	pa, pb := e.Kinds[a.Server.Kind].Slowdown, e.Kinds[b.Server.Kind].Slowdown
 	if pa != pb {
 		return pa > pb
 	}
--- a/site/engine.go
+++ b/site/engine.go
@@ -5,7 +5,7 @@
 // Accelerator describes a kind of accelerator.
 type Accelerator struct {
 	MemoryMB    float64
-	Pace        float64 // factor on the times of token steps and context, 1 for the reference
+	Slowdown        float64 // factor on the times of token steps and context, 1 for the reference
 	PrefillPace float64 // factor on the time of prefill
 }
 
