--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -88,10 +88,10 @@
 		ActivationBytes: 29500, LinkMbps: 480000, CrossDomainMbps: 9000, LoadsAtOnce: 6,
 		Models: []site.EngineModel{{Name: "m", Load: 14 * time.Second}},
 		Kinds: map[string]site.Accelerator{
-			"large":  {MemoryMB: 72000, Slowdown: 1.4, PrefillPace: 1},
-			"middle": {MemoryMB: 36000, Slowdown: 3.1, PrefillPace: 3.2},
-			"small":  {MemoryMB: 21600, Slowdown: 16, PrefillPace: 8.2},
-			"least":  {MemoryMB: 14400, Slowdown: 15, PrefillPace: 15},
+			"large":  {MemoryMB: 72000, Slowdown: 1.4, PrefillSlowdown: 1},
+			"middle": {MemoryMB: 36000, Slowdown: 3.1, PrefillSlowdown: 3.2},
+			"small":  {MemoryMB: 21600, Slowdown: 16, PrefillSlowdown: 8.2},
+			"least":  {MemoryMB: 14400, Slowdown: 15, PrefillSlowdown: 15},
 		},
 	}
 }
--- a/pipeline/choose_test.go
+++ b/pipeline/choose_test.go
@@ -24,7 +24,7 @@
 func choiceEngine() *site.Engine {
 	return &site.Engine{
 		Slots: 100, Layers: 10, LayerMB: 100, KVTokenBytes: 1000, StepMS: 1, PerRequestMS: 0.01, PrefillPerSecond: 100000,
-		Kinds: map[string]site.Accelerator{"fast": {MemoryMB: 2000, Slowdown: 1, PrefillPace: 1}, "slow": {MemoryMB: 2000, Slowdown: 3, PrefillPace: 3}},
+		Kinds: map[string]site.Accelerator{"fast": {MemoryMB: 2000, Slowdown: 1, PrefillSlowdown: 1}, "slow": {MemoryMB: 2000, Slowdown: 3, PrefillSlowdown: 3}},
 	}
 }
 
@@ -76,7 +76,7 @@
 // capacity.
 func TestFullPathIsTheLastChoice(t *testing.T) {
 	e := choiceEngine()
-	e.Kinds["slow"] = site.Accelerator{MemoryMB: 2000, Slowdown: 100, PrefillPace: 100}
+	e.Kinds["slow"] = site.Accelerator{MemoryMB: 2000, Slowdown: 100, PrefillSlowdown: 100}
 	q := &Query{Engine: e, Tokens: Tokens{Prompt: 500, Answer: 100}}
 	cs := twoPipelines(e)
 	cs[1].Load.KVUsed = e.KVCapacity("fast", cs[1].Server.Held.Len())
--- a/pipeline/cost.go
+++ b/pipeline/cost.go
@@ -26,7 +26,7 @@
 		return 0
 	}
 	pairs := prompt * prompt / 2 / 1e6
-	return e.Kinds[kind].PrefillPace * layerShare(e, layers) * (1000*prompt/e.PrefillPerSecond + pairs*e.PrefillPairsMS)
+	return e.Kinds[kind].PrefillSlowdown * layerShare(e, layers) * (1000*prompt/e.PrefillPerSecond + pairs*e.PrefillPairsMS)
 }
 
 // LinkMS predicts the time to send the activations of one token between backend
--- a/pipeline/layout_test.go
+++ b/pipeline/layout_test.go
@@ -25,9 +25,9 @@
 func unevenEngine() *site.Engine {
 	e := testEngine()
 	e.Kinds = map[string]site.Accelerator{
-		"fast":  {MemoryMB: 72000, Slowdown: 2.4, PrefillPace: 3.2},
-		"brisk": {MemoryMB: 14400, Slowdown: 5.3, PrefillPace: 7.9},
-		"slow":  {MemoryMB: 21600, Slowdown: 16, PrefillPace: 8.2},
+		"fast":  {MemoryMB: 72000, Slowdown: 2.4, PrefillSlowdown: 3.2},
+		"brisk": {MemoryMB: 14400, Slowdown: 5.3, PrefillSlowdown: 7.9},
+		"slow":  {MemoryMB: 21600, Slowdown: 16, PrefillSlowdown: 8.2},
 	}
 	return e
 }
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -75,8 +75,8 @@
 		// With capacity for 46 requests the large backend server holds two layers and
 		// others one, with less capacity three and two.
 		Kinds: map[string]site.Accelerator{
-			"large": {MemoryMB: 340, Slowdown: 1, PrefillPace: 1},
-			"card":  {MemoryMB: 230, Slowdown: 1, PrefillPace: 1},
+			"large": {MemoryMB: 340, Slowdown: 1, PrefillSlowdown: 1},
+			"card":  {MemoryMB: 230, Slowdown: 1, PrefillSlowdown: 1},
 		},
 		Models: []site.EngineModel{{Name: "m", Load: c.load}},
 	}
--- a/site/engine.go
+++ b/site/engine.go
@@ -6,7 +6,7 @@
 type Accelerator struct {
 	MemoryMB    float64
 	Slowdown        float64 // factor on the times of token steps and context, 1 for the reference
-	PrefillPace float64 // factor on the time of prefill
+	PrefillSlowdown float64 // factor on the time of prefill
 }
 
 // Engine describes how the backend servers of a service run a model. Times are for all
