--- a/site/engine.go
+++ b/site/engine.go
@@ -4,7 +4,7 @@
 
 // Accelerator describes a kind of accelerator.
 type Accelerator struct {
-	MemoryMB    float64
+	MemoryMB        float64
 	Slowdown        float64 // factor on the times of token steps and context, 1 for the reference
 	PrefillSlowdown float64 // factor on the time of prefill
 }
@@ -25,9 +25,9 @@
 	Stride           int     // token steps in a pass
 	Prompt           int     // mean tokens of a prompt
 	Answer           int     // mean tokens of an answer
-	ActivationBytes         float64 // activations sent to the next hop for each token
+	ActivationBytes  float64 // activations sent to the next hop for each token
 	LinkMbps         float64
-	CrossDomainMbps         float64 // of a cross-domain link
+	CrossDomainMbps  float64 // of a cross-domain link
 	LoadsAtOnce      int     // concurrent loads of weights without mutual slowdown
 	ReportLag        time.Duration
 	Kinds            map[string]Accelerator
