--- a/admission/limit.go
+++ b/admission/limit.go
@@ -19,9 +19,9 @@
 	return LimitConfig{Initial: 64, Min: 2, Max: 4096, Tolerance: 2.5, Smoothing: 0.12}
 }
 
-// Limit adapts the number of requests that one daemon keeps in flight on one
-// backend server. It depends on the ratio of the minimum token time to the current
-// one. It is not safe for concurrent use.
+// Limit limits the number of requests that one daemon keeps in flight on one backend
+// server. It adapts to the ratio of the minimum token time to the current token time.
+// It is not safe for concurrent use.
 type Limit struct {
 	cfg     LimitConfig
 	limit   float64
--- a/backend/engine.go
+++ b/backend/engine.go
@@ -87,7 +87,7 @@
 	FinishReason string    `json:"finish,omitempty"`
 	Reason       string    `json:"reason,omitempty"`
 	Failed       string    `json:"failed,omitempty"` // backend server that failed
-	Loads        []HopLoad `json:"loads,omitempty"`  // on some events
+	Loads        []HopLoad `json:"loads,omitempty"`  // of the hops; only some events have them
 }
 
 // HopLoad is a report of the load of one hop.
--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -2,8 +2,8 @@
 // of package time does not, so after a resume it underestimates the age of keys, leases
 // and requests.
 //
-// Use this clock for what must expire. For how long this process waits for another one,
-// use the steady clock less the stalls of this process (package stall).
+// Use this clock for what must expire. To limit how long this process waits for another
+// process, use the steady clock less the stalls of this process (package stall).
 package boottime
 
 import (
@@ -45,8 +45,9 @@
 // atStart is the value of suspended at the start of this process.
 var atStart = suspended()
 
-// readAttempts is how often both clocks are read. The time between the two reads counts as
-// suspended; the minimum removes the effect of a process stopped between them once.
+// readAttempts is how often both clocks are read. The time between the reads of the two
+// clocks counts as suspended. Taking the minimum of the attempts removes the effect of a
+// process that was stopped between the reads of one attempt.
 const readAttempts = 2
 
 // suspended returns how long the VM has been suspended since it started.
--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -84,7 +84,7 @@
 	Retained:      Slope{"claims a second, a hundredth of the requests", 100, "", "", "", true},
 }
 
-// Role is one row of the table of roles.
+// Role is one row of the table of roles, with the cost of that role for one daemon.
 type Role struct {
 	Name      string
 	State     string
--- a/capacity/platform.go
+++ b/capacity/platform.go
@@ -43,8 +43,8 @@
 	{380, 222, 0.71, 10.7, 6.1, 8.9},
 }
 
-// Message sizes of the relay: a ping with its answer, the load of one backend
-// server, and the record of one backend server in a compressed state.
+// Message sizes of the relay, in bytes: a ping with its answer, the load of one
+// backend server, and the record of one backend server in a compressed state.
 const (
 	pingBytes   = 95.0
 	loadBytes   = 14.0
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -260,7 +260,7 @@
 }
 
 // append writes the head with one more batch, and first moves older batches to a
-// segment if the head has more than maxHeadRecords. The segment is written before
+// segment if the head would hold more than maxHeadRecords. The segment is written before
 // the head refers to it: a crash in between leaves an unreferenced segment, which
 // is harmless, and never a dangling reference.
 func (s *Shard) append(ctx context.Context, b Batch) error {
--- a/cmd/snowspoke/try.go
+++ b/cmd/snowspoke/try.go
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// runOnce sends a fixed load to the fleet, stops it and prints a report.
+// runOnce sends a fixed load to the fleet, stops the fleet and prints a report.
 func (t *tryCmd) runOnce(w *trial.World) error {
 	ctx, cancel := context.WithTimeout(context.Background(), onceTimeout)
 	defer cancel()
--- a/config/config.go
+++ b/config/config.go
@@ -112,7 +112,7 @@
 	Period       time.Duration // interval between placement decisions
 	LeaseTTL     time.Duration // duration of the placement lease
 	OrderTimeout time.Duration // of one placement order to an engine
-	OrderExpiry  time.Duration // time after which an order without effect is repeated
+	OrderExpiry  time.Duration // time after which an order without effect is dropped and may be given again
 	BudgetBytes  int64         // maximum bytes being loaded from the weight store
 }
 
--- a/dispatch/eventid.go
+++ b/dispatch/eventid.go
@@ -69,8 +69,8 @@
 
 // Attempt seals the event IDs of one attempt. The Position is encoded once, and
 // each event adds its index. The nonce is 16 random bytes per attempt followed by the
-// index, so no nonce is used twice under the key. It is not safe for concurrent
-// use.
+// index, so no nonce is used twice under the key. An Attempt is not safe for
+// concurrent use.
 type Attempt struct {
 	aead  cipher.AEAD
 	nonce [chacha20poly1305.NonceSizeX]byte
--- a/dispatch/policy_test.go
+++ b/dispatch/policy_test.go
@@ -235,7 +235,7 @@
 
 // thirdFails returns the work per token delivered after the failure, and the
 // fraction of the new bound, or of the demand if that is less, that is delivered
-// from two seconds after it.
+// from two seconds after the failure.
 func thirdFails(s simSpec) (retryLoad, goodput float64) {
 	l := newSim(s)
 	demand := 0.75 * l.bound()
@@ -346,7 +346,7 @@
 }
 
 // slowLink returns the traffic on the links from two seconds after they slowed and
-// from fifteen after they recovered, as fractions of the traffic before.
+// from fifteen seconds after they recovered, as fractions of the traffic before.
 func slowLink(s simSpec) (left, back float64) {
 	l := newSim(s)
 	from := l.fastest("s1-")
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -58,8 +58,8 @@
 	return r.d.prober.Silent(ctx, r.route)
 }
 
-// reroute finds another route for the request, waiting up to RecoverWait for one,
-// and prepares the next attempt.
+// reroute finds another route for the request, waiting up to RecoverTimeout for
+// one, and prepares the next attempt.
 func (r *run) reroute(ctx context.Context, res result, why string) error {
 	deadline := r.d.clock().Add(r.d.opts.RecoverTimeout)
 	for {
