--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -26,7 +26,7 @@
 	mu        sync.Mutex
 	known     map[string]relay.Condition // by ID, the reported conditions of slow and saturated backend servers
 	version   int                        // incremented when a slowdown changes
-	suspects  map[string]bool            // IDs of suspects that are not sent yet
+	suspects  map[string]bool            // IDs of suspects that TakeSuspects has not returned yet
 	suspected map[string]time.Time       // by ID, when a backend server was last suspected
 	baseline  float64                    // average ratio of the pause between two events to the predicted step
 	samples   int                        // number of pauses observed
@@ -46,7 +46,8 @@
 	minSamples   = 50
 	// resuspectInterval is the minimum time between two suspicions of one backend server.
 	resuspectInterval = time.Second
-	// maxSuspects is the maximum number of suspects that are not sent yet.
+	// maxSuspects is the maximum number of suspects that TakeSuspects has not returned
+	// yet.
 	maxSuspects = 64
 )
 
@@ -204,8 +205,8 @@
 
 // MaybeSaturated implements relay.ConditionReader. While the loads of other daemons are
 // unknown, as after a restart of the fleet, it returns all backend servers of this
-// daemon's failure domain. Later it returns the nearly full ones, and only of services
-// with too few requests per daemon to spread them without reports.
+// daemon's failure domain that hold layers. Later it returns only the nearly full ones of
+// services with too few requests per daemon to spread them without reports.
 func (f *Forwarder) MaybeSaturated() []string {
 	now, daemons := time.Now(), float64(max(1, f.fleet.Daemons()))
 	unknown, view := f.loadsUnknown(now), f.inv.View()
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// sendCrashing sends one crashing request repeatedly, to another daemon each time, until
-// ctx ends. It pauses less after an attempt that reached no server.
+// sendCrashing sends one crashing request repeatedly, to a different daemon each time,
+// until ctx ends. It pauses less after an attempt that reached no server.
 func (l *lab) sendCrashing(ctx context.Context, body string, at int) {
 	pause := crashInterval
 	for n := at; wait.For(ctx, pause); n += 7 {
@@ -149,14 +149,14 @@
 type crashResult struct {
 	ended       int // servers
 	maxArrivals int // maximum arrivals of one crashing request
-	late        int // maximum arrivals of one after all daemons know the third end
+	late        int // maximum arrivals of one crashing request after all daemons know the third end
 	completed   int // other requests that were answered completely
 	lost        int // other requests, refused or cut
 	quarantined int // quarantined attempts of other requests
 }
 
-// runWithCrashes runs 30 streams per second with a number of crashing requests. Servers
-// also end for unrelated reasons at a rate per minute.
+// runWithCrashes runs 30 streams per second and a number of crashing requests. In addition,
+// unrelated servers per minute end for other reasons.
 func runWithCrashes(p quarantine.Policy, daemons, requests int, unrelated float64) crashResult {
 	l := newFleetLab(1, daemons)
 	l.arrivals = map[string][]time.Time{}
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -206,7 +206,8 @@
 // pruneInterval is the number of requests between two calls of prune.
 const pruneInterval = 1000
 
-// prune removes the state of backend servers that are gone.
+// prune removes the state of backend servers that are gone, and expired entries of the
+// quarantine.
 func (f *Forwarder) prune(known map[string]*site.BackendServer) {
 	f.loads.Prune(known)
 	f.loads.conditions.prune(known)
@@ -271,8 +272,8 @@
 }
 
 // useReportedMemory reports whether the selection of paths considers the memory usage that
-// backend servers report. It does if other loads are unknown, or if each daemon handles too
-// few requests to spread them by their load. Otherwise the reports would do harm: they are
+// backend servers report. It does if the loads of other daemons are unknown, or if each daemon
+// handles too few requests to spread them by their load. Otherwise the reports would do harm: they are
 // half a second old and the same for all daemons, so that all daemons would select the same
 // backend servers at once.
 func (f *Forwarder) useReportedMemory(service string, now time.Time) bool {
--- a/forward/heads.go
+++ b/forward/heads.go
@@ -51,7 +51,7 @@
 }
 
 // countActive returns the number of heads that count as attempts. A head for which
-// hasEnded once returned true never counts again.
+// hasTerminated once returned true never counts again.
 func (h *triedHeads) countActive(hasTerminated func(id string) bool) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/forward/linelimit.go
+++ b/forward/linelimit.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// Limits on lines of one kind. Frequent configuration changes would otherwise log each
+// Limits on log lines of one kind. Frequent configuration changes would otherwise log each
 // backend server many times a second.
 const (
 	linesPerSecond = 100
 	linesBurst     = 400 // enough for one list of all backend servers
 )
 
-// lineLimit limits the rate of lines of each kind and counts omitted lines. It is not
-// safe for concurrent use.
+// lineLimit limits the rate of log lines of each kind and counts omitted lines. It is
+// not safe for concurrent use.
 type lineLimit struct {
 	kinds map[string]*lineBucket
 }
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -114,7 +114,7 @@
 
 // pauseBegun waits before the next send of a begun stream whose last send did not run. The
 // pause is longer after a refusal, until backend servers have capacity again. pauseBegun
-// returns false once the stream has been interrupted for maxRecoveryHold.
+// returns false if ctx ends or the last event is maxRecoveryHold old.
 func (r *run) pauseBegun(ctx context.Context) bool {
 	r.refusals++
 	pause := pollInterval
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -168,8 +168,8 @@
 	return mux
 }
 
-// maxKeyAge returns the age of the configuration from which keys are refused, 0 for no
-// bound.
+// maxKeyAge returns the maximum age of the configuration up to which its keys are
+// accepted, 0 for no maximum.
 func maxKeyAge(set site.Settings) time.Duration {
 	if !set.FailClosed {
 		return 0
@@ -277,8 +277,8 @@
 	}
 }
 
-// follow keeps the inventory up to date through the relay, once the other daemons
-// were listed.
+// follow keeps the inventory up to date through the relay. It starts once the daemons
+// have been listed or firstListTimeout is over.
 func (g *Gateway) follow(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -211,7 +211,7 @@
 	}
 }
 
-// hasSeen reports whether the last list had a daemon.
+// hasSeen reports whether the last list contained the daemon with this name.
 func (m *members) hasSeen(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/gateway/members_test.go
+++ b/gateway/members_test.go
@@ -18,7 +18,7 @@
 	"github.com/snowspoke/snowspoke/store"
 )
 
-// staleStore is a memberStore whose stale lists are older by lag.
+// staleStore is a memberStore whose stale lists show its state of lag ago.
 type staleStore struct {
 	lag     time.Duration
 	version store.Position
--- a/gateway/quarantine_sync.go
+++ b/gateway/quarantine_sync.go
@@ -176,7 +176,8 @@
 	return true
 }
 
-// read reads the record and merges it into the registry.
+// read reads the record and merges it into the registry. It returns false if the call
+// failed.
 func (q *quarantineSyncer) read(ctx context.Context) bool {
 	o, answered := q.fetch(ctx)
 	if !answered {
--- a/gateway/stop.go
+++ b/gateway/stop.go
@@ -35,8 +35,8 @@
 
 // stop performs a planned stop. Readiness fails and the placement lease is released at
 // once; connections close with their responses. After balancerDelay idle connections are
-// closed and new requests are refused. It returns when no requests are left, and before
-// the grace is over.
+// closed and new requests are refused. It returns when no requests are left, at the
+// latest graceMargin before the end of the grace.
 func (g *Gateway) stop(stopRoles context.CancelFunc) {
 	began := time.Now()
 	_ = level.Info(g.log).Log("msg", "stopping", "in_flight", g.forward.InFlight())
