--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -83,8 +83,9 @@
 	moveThreshold  = 5 * time.Second
 )
 
-// New builds a daemon and opens its listeners. Run starts it. New fails if a
-// certificate or the fleet key cannot be read or an address cannot be listened on.
+// New builds a daemon and opens its listeners. Run starts it. New returns an error if
+// the metrics cannot be set up, a certificate or the fleet key cannot be read, or an
+// address is not available.
 func New(cfg config.Config, n network.Network, logger log.Logger) (*Daemon, error) {
 	d := &Daemon{cfg: cfg, net: n, killed: make(chan struct{}), logger: log.With(logger, "daemon", cfg.Daemon.Name)}
 	m, err := metrics.New()
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -197,7 +197,8 @@
 const coolingPenalty = 1 << 20
 
 // pickEndpoint returns the untried endpoint with the fewest calls in flight, or nil.
-// Endpoints that failed recently come last.
+// Among equals it prefers one in this daemon's failure domain. Endpoints that failed
+// recently come last.
 func (s *Services) pickEndpoint(svc *topology.Service, tried map[string]bool) *topology.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/forward/crossing.go
+++ b/forward/crossing.go
@@ -63,7 +63,7 @@
 }
 
 // mayCross takes the crossings of a path from this daemon's share of the links. It
-// returns false while one of them is stuck.
+// returns false if the share is used up or one of the links is stuck.
 func (f *Forwarder) mayCross(e *site.Engine, prompt float64, path site.Path, now time.Time) bool {
 	n := len(linksOf(path))
 	if n == 0 {
--- a/forward/live.go
+++ b/forward/live.go
@@ -97,8 +97,8 @@
 	return active
 }
 
-// resultCache caches the last result for each backend server and fetches at most one result
-// at a time. Concurrent callers share the result. It is safe for concurrent use.
+// resultCache caches the last result for each backend server. For each of them it fetches at
+// most one result at a time, which concurrent callers share. It is safe for concurrent use.
 type resultCache[T any] struct {
 	maxAge time.Duration
 	mu     sync.Mutex
--- a/forward/pick.go
+++ b/forward/pick.go
@@ -123,8 +123,9 @@
 	return out
 }
 
-// findPlain selects the backend server of a plain service with the fewest requests in
-// flight among those not tried before.
+// findPlain selects the backend server of a plain service with the lowest cost among
+// those not tried before. The cost is the load per slot plus plainCrossDomainCost and
+// plainRefusedCost where they apply.
 func (r *run) findPlain(cs []pipeline.Candidate) (*target, error) {
 	var best *pipeline.Candidate
 	bestCost := 0.0
@@ -166,5 +167,5 @@
 const plainCrossDomainCost = 0.35
 
 // plainRefusedCost is the extra cost of a server that refused work recently. It exceeds all
-// other costs, so that such a server is selected last.
+// other costs of a server with slots, so that such a server is selected last.
 const plainRefusedCost = 10
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -56,9 +56,9 @@
 	return now
 }
 
-// reserveRetry takes a retry before a send is ended that may still make progress. Many
-// streams may stall at once, and a stream whose send is ended while no retry is left is cut
-// off.
+// reserveRetry takes a retry before a send is ended that may still make progress, and
+// reports whether it got one. Many streams may stall at once, and a stream whose send is
+// ended while no retry is left is cut off.
 func (r *run) reserveRetry() bool {
 	if r.reserved.Load() != nil {
 		return true
@@ -71,9 +71,9 @@
 	return true
 }
 
-// takeRetry uses the reserved retry, or takes one now. No retry is needed until a send has
-// reached a backend server: the budget bounds the sends that reach backend servers beyond
-// the first one of each request.
+// takeRetry uses the reserved retry, or takes one now, and reports whether the next send is
+// allowed. No retry is needed until a send has reached a backend server: the budget bounds
+// the sends that reach backend servers beyond the first one of each request.
 func (r *run) takeRetry() bool {
 	r.retryTakenAt = time.Time{}
 	if reserved := r.reserved.Swap(nil); reserved != nil {
