--- a/pipeline/choose_test.go
+++ b/pipeline/choose_test.go
@@ -72,8 +72,7 @@
 	require.Equal(t, []string{"fast0", "fast1"}, path(), "values below 1 are ignored")
 }
 
-// Guards against refusing a request because the fast path is full while a slow path has
-// capacity.
+// A request is not refused because the fast path is full while a slow path has capacity.
 func TestFullPathIsTheLastChoice(t *testing.T) {
 	e := choiceEngine()
 	e.Kinds["slow"] = site.Accelerator{MemoryMB: 2000, Slowdown: 100, PrefillSlowdown: 100}
--- a/pipeline/layout_test.go
+++ b/pipeline/layout_test.go
@@ -32,8 +32,8 @@
 	return e
 }
 
-// Guards against placing layers on slow servers only for capacity. Without layers, they
-// can substitute for lost servers.
+// Layers are not placed on slow servers only for capacity. Without layers, slow servers can
+// substitute for lost ones.
 func TestPipelineIsPlacedForThroughput(t *testing.T) {
 	e := unevenEngine()
 	chain := emptyServers("fast", 2, "brisk", 4, "slow", 4)
--- a/pipeline/neighborsplit.go
+++ b/pipeline/neighborsplit.go
@@ -7,12 +7,12 @@
 	"github.com/snowspoke/snowspoke/site"
 )
 
-// neighborSplit divides an uncovered range between the server (left) before the range and
-// the server (right) after it. They are indices in the group, -1 for none. The right server
-// begins at layer at. Neither drops a layer, so no request is interrupted.
+// neighborSplit divides an uncovered range between the server before the range (left) and
+// the server after it (right), as indices in the group, -1 for none. The right server takes
+// the layers from layer at on. Neither server drops a layer, so no request is interrupted.
 type neighborSplit struct {
 	left, right, at int
-	capacity        float64 // typical requests that the fuller of the two can then hold
+	capacity        float64 // typical requests that the server with less capacity can then hold
 }
 
 // orderNeighborSplit assigns the layers of an uncovered range to its neighbors.
@@ -63,8 +63,8 @@
 	return lefts, rights
 }
 
-// splitCapacity returns the number of typical requests that the fuller server of a split
-// can hold, 0 if the split leaves a part of the uncovered range without a server.
+// splitCapacity returns the number of typical requests that the server of a split with less
+// capacity can hold, 0 if the split leaves a part of the uncovered range without a server.
 func (g *group) splitCapacity(h neighborSplit, uncovered site.Range) float64 {
 	capacity := math.Inf(1)
 	if h.at > uncovered.From {
--- a/pipeline/place.go
+++ b/pipeline/place.go
@@ -19,12 +19,12 @@
 	Fresh bool
 }
 
-// Order tells a backend server which layers to hold.
+// Order states which layers a backend server must hold.
 type Order struct {
 	Server *site.BackendServer
 	Layers site.Range
 	// AtOnce drops layers without waiting for the requests that pass through them. It
-	// is set if no server of the group holds some layer, so that the requests cannot
+	// is set if some layer is held by no server of the group, so that the requests cannot
 	// continue there anyway.
 	AtOnce bool
 	Reason string
@@ -39,8 +39,8 @@
 	// when it takes an uncovered range. A server with less memory would limit its
 	// pipeline.
 	fillCapacity = 80
-	// minCapacity is the same for servers that share the layers of a lost server, and
-	// minSoleCapacity if no other server holds these layers.
+	// minCapacity is the corresponding number for servers that share the layers of a lost
+	// server, and minSoleCapacity the one if no other server holds these layers.
 	minCapacity     = 30
 	minSoleCapacity = 8
 	// minHolders is the number of servers of the site that should hold each layer.
@@ -174,13 +174,13 @@
 	return out
 }
 
-// hasUnheldLayer reports whether no server of the group holds some of the layers.
+// hasUnheldLayer reports whether any of the layers is held by no server of the group.
 func (g *group) hasUnheldLayer(layers site.Range) bool {
 	return slices.Contains(g.holders()[layers.From:layers.To], 0)
 }
 
-// blocked reports whether no request can pass through a range: no server of the group
-// holds one of its layers, and no draining server holds layers of the range.
+// blocked reports whether no request can pass through a range: some layer of the range is
+// held by no server of the group, and no draining server holds layers of the range.
 func (g *group) blocked(r site.Range) bool { return g.hasUnheldLayer(r) && !g.heldByDraining(r) }
 
 // uncoveredRanges returns the ranges of layers that fewer than g.copies servers hold.
--- a/pipeline/place_test.go
+++ b/pipeline/place_test.go
@@ -124,8 +124,8 @@
 	}
 }
 
-// Several servers share the layers of a lost one. Guards against two neighbors that take
-// all of them and have no memory left for requests.
+// Several servers share the layers of a lost one. Two neighbors that took all of the layers
+// would have no memory left for requests.
 func TestLostServerLeavesCapacity(t *testing.T) {
 	e := testEngine()
 	for lost := range siteServers() {
@@ -154,8 +154,8 @@
 	return slices.DeleteFunc(servers, isRedundant), domain
 }
 
-// While no server of a domain holds a layer, no request can pass, so servers drop
-// layers without waiting. Guards against a longer outage of the domain.
+// While some layer is held by no server of a domain, no request can pass, so servers drop
+// layers without waiting. Waiting would prolong the outage of the domain.
 func TestLayersAreDroppedAtOnceWhenNoRequestCanPass(t *testing.T) {
 	e := testEngine()
 	servers, domain := withoutLargeServer(t, e)
--- a/pipeline/rotation.go
+++ b/pipeline/rotation.go
@@ -16,7 +16,7 @@
 type entry struct {
 	share  Share
 	key    string  // String of the path
-	credit float64 // number of requests that the path is due
+	credit float64 // number of requests due to the path
 }
 
 // Limits of the rotation.
@@ -34,8 +34,8 @@
 	// head that halves the rate of the head's paths. It is twice the time that an idle
 	// head takes to process a prompt.
 	halfRateWaitMS = 100.0
-	// maxCredit bounds the credit of a path. It limits the requests in a row that a
-	// path gets.
+	// maxCredit bounds the credit of a path, and with it the number of consecutive
+	// requests that a path gets.
 	maxCredit = 1.5
 )
 
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -138,8 +138,8 @@
 	require.InDelta(t, 1, rate, 1e-9)
 }
 
-// Shortly after a start hardly any load is reported. Guards against a split over the
-// two fastest paths only.
+// Shortly after a start hardly any load is reported. A split must not use the two fastest
+// paths only.
 func TestUnderreportedLoadDoesNotNarrowSplit(t *testing.T) {
 	e := testEngine()
 	cs := fleetServers(t, e)
@@ -462,8 +462,8 @@
 	return sim
 }
 
-// Guards against oscillation with loads that are six seconds old, at 0.8 of the capacity:
-// if 300 daemons take the cheapest path each, they choose the same heads, and requests
+// With loads that are six seconds old, at 0.8 of the capacity, a split does not oscillate.
+// If each of 300 daemons takes the cheapest path, they choose the same heads, and requests
 // wait for memory there.
 func TestSplitWithStaleLoadsKeepsRequestsInTime(t *testing.T) {
 	sim := simulateLoad(t, 0.8, true)
@@ -518,7 +518,7 @@
 }
 
 // After a restart of all daemons, no daemon counts the requests that are still running.
-// With reports of the servers, fewer new requests are sent to servers where they wait
+// With reports of the servers, fewer new requests are sent to servers where requests wait
 // for memory.
 func TestServerReportsIncludeUncountedRequests(t *testing.T) {
 	before, after := simulateRestart(t, 0), simulateRestart(t, time.Second)
@@ -527,9 +527,9 @@
 	require.Less(t, after.lateShare()+after.refusedShare(), before.lateShare()+before.refusedShare())
 }
 
-// Guards against the use of server reports with few daemons: six daemons with loads that
-// are one second old, at 1.5 times the capacity, refuse and delay fewer requests without
-// the reports, which are the same for all daemons.
+// With few daemons, server reports are not worth using: six daemons with loads that are one
+// second old, at 1.5 times the capacity, refuse and delay fewer requests without the
+// reports, which are the same for all daemons.
 func TestFewDaemonsDoBetterWithOwnLoads(t *testing.T) {
 	simulate := func(reportAge time.Duration) *simulation {
 		sim := newSimulation(t, 6, time.Second)
--- a/pipeline/window.go
+++ b/pipeline/window.go
@@ -49,7 +49,7 @@
 
 // shareUncovered assigns each uncovered range to the servers around it: to its neighbors
 // if they have the capacity, else to the smallest window with enough capacity. A window
-// is used only if no server holds some layer of the range.
+// is used only if some layer of the range is held by no server.
 func (g *group) shareUncovered(patient bool) {
 	defer g.graceful()
 	for _, uncovered := range g.uncoveredRanges() {
@@ -108,7 +108,7 @@
 	g.orderWindow(w, fmt.Sprintf("capacity for %d requests in layers %d-%d, shared by %d backend servers", int(least), s.Assigned.From, s.Assigned.To, len(w.servers)))
 }
 
-// mostConstrained returns a server of the layer with the lowest capacity, and that
+// mostConstrained returns a server that holds the layer with the lowest capacity, and that
 // capacity.
 func (g *group) mostConstrained() (server int, capacity float64) {
 	capacities := capacityByLayer(g.e, g.servers)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -245,9 +245,9 @@
 	return true
 }
 
-// best returns the host that should hold a stage next. It prefers the
-// failure domain with the fewest holders, then the host with the fewest
-// holdings, then the one with the most capacity.
+// bestHost returns the host that should hold a stage next, or nil if none can. It prefers
+// the failure domain with the fewest holders, then the host with the fewest holdings, then
+// the host with the most capacity.
 func (p *planner) bestHost(s *stage, bytes int64) *host {
 	inDomain := map[string]int{}
 	for _, h := range p.holders(s, false) {
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -26,9 +26,9 @@
 	// pollInterval is the time between two checks without a change of the inventory.
 	pollInterval = 500 * time.Millisecond
 	// orderRetryDelay is how long a backend server counts as busy after an unanswered
-	// order, or if it does not report or reports that it is busy. An unanswered order may still be
-	// carried out many seconds later. The order and its retry state the same number of
-	// previous orders, so only one of them is carried out.
+	// order, or if it does not report or reports that it is busy. An unanswered order may
+	// still be carried out many seconds later. The order and its retry state the same
+	// number of previous orders, so only one of them is carried out.
 	orderRetryDelay = time.Second
 	// orderVisibleTimeout is how long the result of an order may take to appear in the
 	// record of the backend server, in addition to the load time.
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -174,7 +174,7 @@
 	return len(c.orders[id])
 }
 
-// kill makes one of the backend servers fail that hold the given number of layers.
+// kill makes a backend server that holds the given number of layers fail.
 func (c *cluster) kill(t *testing.T, layers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -236,8 +236,8 @@
 	})
 }
 
-// An unanswered order is retried with the same number of previous orders. Guards
-// against carrying out both.
+// An unanswered order is retried with the same number of previous orders, so that the order
+// and its retry are not both carried out.
 func TestUnansweredOrderIsCarriedOutOnce(t *testing.T) {
 	for _, delay := range []time.Duration{0, orderRetryDelay / 2, 5 * time.Second, 12 * time.Second} {
 		t.Run(delay.String(), func(t *testing.T) {
@@ -333,7 +333,7 @@
 }
 
 // A backend server may still serve after its record was removed without a sign of failure.
-// Guards against dropping layers of requests that pass through it.
+// The layers of requests that pass through the server must not be dropped.
 func TestLayersAreKeptWhileDepartedServerMayServe(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		c := newCluster(3)
