--- a/inventory/era.go
+++ b/inventory/era.go
@@ -67,7 +67,8 @@
 
 // isUnconfirmed reports whether a record may come from the copy and be older than the
 // known record, which is of an earlier era. server is the known backend server, nil if it
-// was removed. A record that starts draining is never unconfirmed.
+// was removed. A record that starts draining, or is of another incarnation, is never
+// unconfirmed.
 func (i *Inventory) isUnconfirmed(r ServerRecord, known store.Position, server *site.BackendServer) bool {
 	if r.Gone || r.Err != nil || r.At > i.restored || !time.Now().Before(i.reconcileAt) {
 		return false
--- a/inventory/follow.go
+++ b/inventory/follow.go
@@ -156,7 +156,8 @@
 	f.answered = f.answered || err == nil
 }
 
-// noteEra records the era of an answer, and calls restored if it is a later one.
+// noteEra records the era of an answer, and calls onRestored if the era is later than that of
+// the previous answer.
 func (f *follower[T]) noteEra(era uint64) {
 	if f.answered && era > f.era && f.onRestored != nil {
 		f.onRestored()
--- a/inventory/inventory.go
+++ b/inventory/inventory.go
@@ -23,8 +23,8 @@
 	// configBatchDelay is the pause after a change before the next watch of the
 	// configuration. It bounds how many versions a second are read and decoded.
 	configBatchDelay = 100 * time.Millisecond
-	// serverWatchTimeout is the same for backend servers. It is longer, since the watch of
-	// the configuration detects a lost store.
+	// serverWatchTimeout is the corresponding timeout for backend servers. It is longer,
+	// since the watch of the configuration detects a lost store.
 	serverWatchTimeout = 9 * time.Second
 	// serverBatchDelay is the pause after a change before the next watch of backend
 	// servers, so that simultaneous changes take one call.
--- a/relay/candidates.go
+++ b/relay/candidates.go
@@ -20,8 +20,8 @@
 // other domain. The first two daemons of a domain get none from other domains.
 //
 // There are no cycles: within a domain a daemon follows only daemons whose names sort
-// before its own, and it follows one of another domain only while that one follows the
-// store itself.
+// before its own, and it follows a daemon of another domain only while that daemon follows
+// the store itself.
 func (n *Node) candidates() []Member {
 	all := n.members.All()
 	var before []Member
--- a/relay/conditions_test.go
+++ b/relay/conditions_test.go
@@ -63,8 +63,8 @@
 
 func (f *fakeInventory) slowdown(server string) float64 { return f.condition(server).Slowdown }
 
-// A server that may be saturated is queried without a suspicion, and all daemons receive
-// its condition until it has capacity again.
+// A server that may be saturated is queried although no daemon suspects it, and all daemons
+// receive its condition until it has capacity again.
 func TestSaturatedServerIsReportedToAll(t *testing.T) {
 	t.Parallel()
 	reader := newFakeConditionReader(nil)
@@ -203,8 +203,8 @@
 	require.Empty(t, r.takeSuspects())
 }
 
-// When all of a thousand servers may be saturated, each poll queries a bounded number, and
-// the next poll others.
+// When all of a thousand servers may be saturated, each poll queries a bounded number of
+// them, and the next poll queries others.
 func TestQueriesPerPollAreBounded(t *testing.T) {
 	reader := newFakeConditionReader(nil)
 	inv := newFakeInventory(&fakeStore{version: 1})
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -10,7 +10,7 @@
 	"github.com/snowspoke/snowspoke/quarantine"
 )
 
-// Distribution of the requests that were running at backend servers when these ended.
+// Distribution of the requests that were running on backend servers when the servers ended.
 // Changes are sent at once over the links of a failure domain, and to the sources of other
 // domains with the exchange of loads, so that every daemon knows of the end before the
 // caller retries. A daemon forwards only changes to its own registry, so a change is not
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -14,8 +14,8 @@
 	"github.com/snowspoke/snowspoke/quarantine"
 )
 
-// crashFleet runs daemons with a quarantine each, as chains of followers in their failure
-// domains.
+// crashFleet runs daemons, each with a quarantine registry, as chains of followers in their
+// failure domains.
 type crashFleet struct {
 	registries []*quarantine.Registry
 	nodes      []*Node
--- a/relay/eras_test.go
+++ b/relay/eras_test.go
@@ -221,8 +221,8 @@
 	return f.eraStore.ServerChanges(ctx, since, wait)
 }
 
-// eraFleet is a fleet whose sources follow the store. The other daemons receive states
-// from another daemon, 2 ms a step.
+// eraFleet is a fleet whose sources follow the store. Each of the other daemons follows
+// another daemon and receives its states with a delay of 2 ms.
 type eraFleet struct {
 	t       *testing.T
 	store   *eraStore
--- a/relay/loads.go
+++ b/relay/loads.go
@@ -59,7 +59,7 @@
 	minChangeKV   = 8000 // tokens x layers, about one request on one backend server
 )
 
-// changed reports whether a load differs enough from the one sent to be sent again.
+// changed reports whether a load differs enough from the load last sent to be sent again.
 func (l packedLoad) changed(sent packedLoad) bool {
 	differs := func(a, b, minDiff int) bool { return max(a-b, b-a) > max(minDiff, b/changeDivisor) }
 	return differs(l.Running, sent.Running, 1) || differs(l.Heads, sent.Heads, 1) || differs(int(l.KV), int(sent.KV), minChangeKV)
--- a/relay/node.go
+++ b/relay/node.go
@@ -36,7 +36,7 @@
 	ConfigWithin time.Duration
 	// ConditionReader queries backend servers that may be slow or saturated, nil for none.
 	ConditionReader ConditionReader
-	// Quarantine is kept in sync with those of the other daemons, nil for none.
+	// Quarantine is kept in sync with the registries of the other daemons, nil for none.
 	Quarantine *quarantine.Registry
 	// Stalls monitors stalls of this process, which do not count towards the timeouts of
 	// other daemons; nil for none.
@@ -168,7 +168,7 @@
 // needs a configuration and a full list of backend servers, since followers would treat
 // the missing ones as gone. It also needs a freshness report from its own source. Until
 // then it is not healthy, and a follower rejected for that reason would choose another
-// source and soon leave that one.
+// source and soon leave it again.
 func (n *Node) starting(now time.Time) bool {
 	s := n.inv.State()
 	if s.ConfigVersion == 0 || !s.Complete {
--- a/relay/wire.go
+++ b/relay/wire.go
@@ -43,7 +43,7 @@
 	Pong   *pong   `cbor:"3,keyasint,omitempty"`
 	// Packed is an encoded and compressed frame with an update.
 	Packed []byte `cbor:"4,keyasint,omitempty"`
-	// Crashes are changes of requests under which backend servers ended.
+	// Crashes are changed entries of the quarantine registry.
 	Crashes    []packedCrash `cbor:"5,keyasint,omitempty"`
 	Conditions *conditions   `cbor:"6,keyasint,omitempty"`
 }
