--- a/peer/link.go
+++ b/peer/link.go
@@ -117,9 +117,9 @@
 	return true
 }
 
-// unregister removes a link that ended and, unless another link has replaced it,
-// marks its daemon as suspect. A daemon that is alive refutes this within one round
-// trip.
+// unregister removes a link that ended. If the link ended with an error and no other link
+// has replaced it, unregister marks its daemon as suspect. A daemon that is alive refutes
+// this within one round trip.
 func (n *Node) unregister(l *link, err error) {
 	n.mu.Lock()
 	current := n.links[l.peer.Name] == l
--- a/peer/member.go
+++ b/peer/member.go
@@ -95,7 +95,8 @@
 	return update, true
 }
 
-// refute raises the own incarnation if an update supersedes the own entry.
+// refute raises this daemon's incarnation if an update supersedes its entry. It returns
+// the entry to broadcast and whether it has changed.
 func (t *Members) refute(update Member) (Member, bool) {
 	stale := update.Incarnation < t.self.Incarnation
 	if stale || update.Incarnation == t.self.Incarnation && update.State <= t.self.State {
--- a/peer/node.go
+++ b/peer/node.go
@@ -229,8 +229,8 @@
 	}
 }
 
-// broadcastMember notifies this daemon of a change of a member and sends the change
-// on all links except the link of the daemon that it came from.
+// broadcastMember wakes the waiters of Changed, and sends a change of a member on all
+// links except the link of the daemon from which the change was received.
 func (n *Node) broadcastMember(m Member, from string) {
 	n.mu.Lock()
 	n.notify()
@@ -252,8 +252,8 @@
 	return n.changed
 }
 
-// broadcast sends a frame on all links except the link of the daemon that it came
-// from.
+// broadcast sends a frame on all links except the link of the daemon from which it was
+// received.
 func (n *Node) broadcast(f *Frame, from string) {
 	n.mu.Lock()
 	links := make([]*link, 0, len(n.links))
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -189,7 +189,7 @@
 	}
 }
 
-// Bounds the traffic while a limit is known: a poll and a part twice a second for each
+// The traffic while a limit is known is bounded: a poll and a part twice a second for each
 // daemon, and two messages for each permit request.
 func TestPermitsCostABoundedRate(t *testing.T) {
 	size := func(f *frame) int {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -345,7 +345,8 @@
 	r.remove(len(r.entries), func(k *registryEntry) bool { return r.expired(k, now) })
 }
 
-// Quarantined returns the quarantined requests, highest score first.
+// Quarantined returns the quarantined requests, including those due for a trial, highest
+// score first.
 func (r *Registry) Quarantined(now time.Time) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -9,7 +9,7 @@
 // the limit (evenShare) is split evenly, so that a daemon without prior demand can start
 // at once; the rest is split by demand. Grants of one owner add up to at most 1. A daemon
 // without a grant uses 1/N. While an owner is replaced the shares therefore add up to at
-// most 2, for at most GrantFor, and with d of N daemons partitioned from the owner to at
+// most 2, for at most GrantTTL, and with d of N daemons partitioned from the owner to at
 // most 1 + d/N.
 package quota
 
