--- a/health/detector.go
+++ b/health/detector.go
@@ -70,7 +70,7 @@
 	EjectFor        time.Duration // duration of the first ejection; doubles with each further one
 	MaxEjectFor     time.Duration // maximum duration of an ejection
 	ProbeEvery      time.Duration // interval of probes of a suspect or ejected backend server
-	RampFor         time.Duration // duration of the ramp from LeastWeight to full weight
+	RampFor         time.Duration // duration of the ramp from MinWeight to full weight
 	MinWeight       float64       // weight at the start of the ramp
 }
 
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -46,7 +46,7 @@
 	Wait    Action = iota // nothing to do yet
 	Read                  // read the lease, whose known state is missing or too old
 	Acquire               // write a new lease
-	Renew                 // write the lease that this daemon holds again
+	Renew                 // write again the lease that this daemon holds
 )
 
 // Candidate decides for one daemon and one lease. It does no I/O: callers pass in what they
@@ -61,7 +61,7 @@
 	spec      Spec           // as last read
 	seenAt    time.Time      // when this version was first read
 	readAt    time.Time
-	heldUntil time.Time // while this daemon holds the lease
+	heldUntil time.Time // until when this daemon holds the lease
 	fencing   uint64
 
 	// maybeRestored is set when the last read may be from an older copy that the store was
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -73,14 +73,14 @@
 
 type linkKey struct{ from, to string }
 
-// answerTimeout bounds the check of Silent whether a backend server responds at all.
+// answerTimeout bounds the check by Silent of whether backend servers answer.
 const answerTimeout = 150 * time.Millisecond
 
 // probeTimeout bounds a probe of an ejected backend server.
 const probeTimeout = time.Second
 
-// tickInterval is the period of the checks for due probes, ramping weights and links
-// to try again.
+// tickInterval is the period of the checks for due probes, ramping weights and due link
+// trials.
 const tickInterval = 100 * time.Millisecond
 
 // New returns a monitor; Run must be called.
@@ -263,7 +263,7 @@
 	return true
 }
 
-// onTick sends due probes, updates ramping weights and tries links again.
+// onTick sends due probes, updates ramping weights and starts due link trials.
 func (m *Monitor) onTick(ctx context.Context) {
 	now := m.Clock()
 	m.mu.Lock()
--- a/stall/stall_test.go
+++ b/stall/stall_test.go
@@ -46,7 +46,7 @@
 	})
 }
 
-// The steady clock does not show that a VM was suspended.
+// A suspension of the VM is detected although the steady clock does not show it.
 func TestSuspensionIsDetected(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		var suspended time.Duration
@@ -62,8 +62,8 @@
 	})
 }
 
-// A stalled timer expires once the process has run for its duration; without stalls it
-// expires after its duration.
+// A timer expires once the process has run for the duration of the timer; stalls do not
+// count towards the duration.
 func TestTimersCountRunningTime(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		var suspended time.Duration
