--- a/routing/choose.go
+++ b/routing/choose.go
@@ -59,9 +59,9 @@
 const samplesPerHop = 2
 
 // Choose picks a route hop by hop. For each hop it samples two candidates by flow
-// weight and takes the less loaded one. If that fails, it searches all pipelines.
-// Without a search it allocates only the route. It returns ErrNoRoute or ErrFull if
-// there is no route.
+// weight and takes the less loaded one. If that fails, or if backend servers must be
+// avoided, it searches all pipelines. Without a search it allocates only the route. It
+// returns ErrNoRoute or ErrFull if there is no route.
 func Choose(p *Plan, l Loads, o Options, r *rand.Rand) (Choice, error) {
 	if !p.Routable() {
 		return Choice{}, ErrNoRoute
--- a/site/engine.go
+++ b/site/engine.go
@@ -19,9 +19,9 @@
 	StepMS           float64 // of one token step
 	PerRequestMS     float64 // added for each request in the step
 	ContextPerKMS    float64 // added for each request and 1,000 tokens of its context
-	PrefillPerSecond float64 // prompt tokens of prefill
+	PrefillPerSecond float64 // prompt tokens processed per second in prefill
 	PrefillPairsMS   float64 // prefill time for a million pairs of a token and an earlier one
-	PrefillChunk     int     // maximum of prompt tokens in a prefill step
+	PrefillChunk     int     // maximum number of prompt tokens in a prefill step
 	Stride           int     // token steps in a pass
 	Prompt           int     // mean tokens of a prompt
 	Answer           int     // mean tokens of an answer
--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,6 @@
 // Package store defines the interfaces of the platform: the object store with
-// versions, conditional updates and watches, and the list of VMs. The packages
-// below this one implement the wire formats.
+// versions, conditional updates and watches, and the list of VMs. Its subpackages
+// implement the wire formats.
 package store
 
 import (
--- a/topology/layers.go
+++ b/topology/layers.go
@@ -50,7 +50,7 @@
 	return names
 }
 
-// CheckTiling asserts that the route covers [0, layers) exactly once, in order.
+// CheckTiling returns an error unless the route covers [0, layers) exactly once, in order.
 // It is called where a route is built and again by the engine that accepts it.
 func (r Route) CheckTiling(layers int) error {
 	at := 0
--- a/topology/objects.go
+++ b/topology/objects.go
@@ -32,11 +32,11 @@
 // LabelDrain on a backend server takes it out of service when it is "true".
 const LabelDrain = "snowspoke/drain"
 
-// BackendServer is a machine that runs a model engine.
+// BackendServer is a VM that runs a model engine.
 type BackendServer struct {
 	Name            string  `json:"-"`
 	Address         string  `json:"address"`         // host:port of the engine
-	FailureDomain   string  `json:"failureDomain"`   // shared by machines that may fail together
+	FailureDomain   string  `json:"failureDomain"`   // shared by VMs that may fail together
 	Region          string  `json:"region"`          // of the failure domain
 	Accelerator     string  `json:"accelerator"`     // kind of accelerator
 	TokensPerSecond float64 `json:"tokensPerSecond"` // declared capacity, until one is measured
