--- a/internal/memstore/memstore.go
+++ b/internal/memstore/memstore.go
@@ -156,7 +156,7 @@
 	}
 	written := s.set(o).Version
 	if ifVersion != 0 && written.Era() != ifVersion.Era() {
-		return 0, store.ErrConflict // the object has the same revision in another era
+		return 0, store.ErrConflict // the replaced object had the same revision in another era
 	}
 	return written, nil
 }
--- a/network/network.go
+++ b/network/network.go
@@ -1,4 +1,4 @@
-// Package network abstracts the sockets of the machine, so that tests can run
+// Package network abstracts the operating system's sockets, so that tests can run
 // many daemons on a network in memory.
 package network
 
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -407,7 +407,7 @@
 	}
 }
 
-// replaceServer replaces a backend server by a new one of the same kind.
+// replaceServer replaces a backend server with a new one of the same kind.
 func (f *faults) replaceServer() {
 	all := f.site.Servers()
 	old := all[f.r.IntN(len(all))]
--- a/trial/once.go
+++ b/trial/once.go
@@ -81,7 +81,7 @@
 
 func newMix(w *World) *mix { return &mix{w: w, http: network.Client(w.hosts(callersIP), mixParallel)} }
 
-// run sends n requests and calls before ahead of each.
+// run sends n requests. It calls before with the index of each request before sending it.
 func (m *mix) run(ctx context.Context, n int, before func(i int, wg *sync.WaitGroup)) {
 	defer m.http.CloseIdleConnections()
 	jobs := make(chan int)
--- a/trial/once_test.go
+++ b/trial/once_test.go
@@ -13,7 +13,7 @@
 	"github.com/snowspoke/snowspoke/network"
 )
 
-// Runs the same scenario as `snowspoke try --once`, in virtual time.
+// A run of the scenario of `snowspoke try --once` in virtual time violates no guarantee.
 func TestOnce(t *testing.T) {
 	t.Run("plain", func(t *testing.T) { testOnce(t, 3, false) })
 	t.Run("faults", func(t *testing.T) { testOnce(t, 8, true) })
--- a/trial/world.go
+++ b/trial/world.go
@@ -70,7 +70,7 @@
 // Hosts returns the network of the host with the given IP address.
 type Hosts func(ip string) network.Network
 
-// Loopback returns the machine's own network for every host.
+// Loopback returns the operating system's network for every host.
 func Loopback(string) network.Network { return network.NewSystem(time.Second) }
 
 // IP addresses of a world's hosts on an in-memory network.
