--- a/pipeline/choose.go
+++ b/pipeline/choose.go
@@ -13,8 +13,8 @@
 // ErrNoPath is returned if the usable backend servers do not cover all layers.
 var ErrNoPath = errors.New("pipeline: no path covers all layers")
 
-// ErrFull is returned if every path lacks memory for the request, or a backend server on it
-// has requests waiting.
+// ErrFull is returned if every path lacks memory for the request or has a backend server
+// with waiting requests.
 var ErrFull = errors.New("pipeline: every path is full")
 
 // Load is the known load of a backend server.
--- a/relay/times.go
+++ b/relay/times.go
@@ -3,8 +3,9 @@
 import "time"
 
 // Times of following another daemon. A configuration must be in force within
-// defaultConfigDelay or more, also when a source is cut off just before it is published.
-// contactTimeout, one ping and one list of the store must fit into that time.
+// Options.ConfigWithin, defaultConfigDelay if not set, even if a source is cut off just before
+// the configuration is published. contactTimeout, one ping and one list of the store must fit
+// into that time.
 const (
 	defaultConfigDelay = 2 * time.Second
 	// pingInterval is the interval at which a follower pings its source.
