--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -196,7 +196,7 @@
 // handleEvent handles one event of this attempt.
 func (r *run) handleEvent(ev backend.Event) (result, bool) {
 	for _, l := range ev.Loads {
-		r.d.health.Load(l)
+		r.d.health.ObserveLoad(l)
 		r.d.gate.ObserveHop(l)
 	}
 	switch ev.Type {
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -57,16 +57,16 @@
 type noop struct{}
 
 func (noop) Signal(string, health.Signal) {}
-func (noop) Load(backend.HopLoad)         {}
+func (noop) ObserveLoad(backend.HopLoad)  {}
 func (noop) GapBound(topology.Route, *health.Gap) time.Duration {
 	return time.Minute
 }
-func (noop) Silent(context.Context, topology.Route) []string { return nil }
-func (noop) Finished(string, time.Duration)                  {}
-func (noop) FirstToken(time.Duration)                        {}
-func (noop) Recovered(time.Duration)                         {}
-func (noop) LimitReached()                                   {}
-func (noop) Dropped(Drops)                                   {}
+func (noop) Unresponsive(context.Context, topology.Route) []string { return nil }
+func (noop) Finished(string, time.Duration)                        {}
+func (noop) FirstToken(time.Duration)                              {}
+func (noop) Recovered(time.Duration)                               {}
+func (noop) LimitReached()                                         {}
+func (noop) Dropped(Drops)                                         {}
 
 type staticCatalog struct{ snap *topology.Snapshot }
 
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -55,7 +55,7 @@
 	if errors.As(err, &stall) && len(stall.silent) > 0 {
 		return stall.silent
 	}
-	return r.d.prober.Silent(ctx, r.route)
+	return r.d.prober.Unresponsive(ctx, r.route)
 }
 
 // reroute finds another route for the request, waiting up to RecoverWait for one,
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -59,8 +59,8 @@
 type HealthSink interface {
 	// Signal records what a request observed of the backend server.
 	Signal(server string, s Signal)
-	// Load records the load of a hop.
-	Load(l backend.HopLoad)
+	// ObserveLoad records the load of a hop.
+	ObserveLoad(l backend.HopLoad)
 	// GapBound returns the longest acceptable time between two tokens on a route,
 	// from the state of its hops and the gaps of this stream.
 	GapBound(r topology.Route, own *health.Gap) time.Duration
@@ -68,7 +68,7 @@
 
 // Prober probes whether backend servers answer.
 type Prober interface {
-	// Silent returns the backend servers of the route that do not answer a probe in
+	// Unresponsive returns the backend servers of the route that do not answer a probe in
 	// time.
-	Silent(ctx context.Context, r topology.Route) []string
+	Unresponsive(ctx context.Context, r topology.Route) []string
 }
--- a/dispatch/watchdog.go
+++ b/dispatch/watchdog.go
@@ -38,7 +38,7 @@
 
 func (r *run) newWatchdog(ctx context.Context, cancel context.CancelCauseFunc) *watchdog {
 	route := r.route
-	w := &watchdog{cancel: cancel, silent: func() []string { return r.d.prober.Silent(ctx, route) }}
+	w := &watchdog{cancel: cancel, silent: func() []string { return r.d.prober.Unresponsive(ctx, route) }}
 	w.timer = time.AfterFunc(time.Hour, w.onTimeout)
 	w.timer.Stop()
 	return w
--- a/monitor/hops.go
+++ b/monitor/hops.go
@@ -10,8 +10,8 @@
 	"github.com/snowspoke/snowspoke/topology"
 )
 
-// Load applies the load of one hop, as carried on replies.
-func (m *Monitor) Load(l backend.HopLoad) {
+// ObserveLoad applies the load of one hop, as carried on replies.
+func (m *Monitor) ObserveLoad(l backend.HopLoad) {
 	now := m.Clock()
 	if s := m.Table.Server(l.BackendServer); s != nil {
 		s.Report(l.InFlight, now.Add(-seconds(l.AgeSeconds)))
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -73,7 +73,7 @@
 
 type linkKey struct{ from, to string }
 
-// answerTimeout bounds the check of Silent whether a backend server responds at all.
+// answerTimeout bounds the check of Unresponsive whether a backend server responds at all.
 const answerTimeout = 150 * time.Millisecond
 
 // probeTimeout bounds a probe of an ejected backend server.
@@ -168,15 +168,15 @@
 		return
 	}
 	st.BackendServer = b.Name
-	m.Take(st)
+	m.ApplyStatus(st)
 	if m.Publisher != nil {
 		m.Publisher.PublishStatus(st)
 	}
 }
 
-// Take applies a status that was read here or by the daemon that owns the
+// ApplyStatus applies a status that was read here or by the daemon that owns the
 // backend server.
-func (m *Monitor) Take(st backend.Status) {
+func (m *Monitor) ApplyStatus(st backend.Status) {
 	if m.Table.ApplyStatus(st, m.Clock()) {
 		m.Log.Add(decision.Record{
 			Time: m.Clock(), Kind: decision.Health, Subject: st.BackendServer,
@@ -186,8 +186,8 @@
 	}
 }
 
-// Known returns the latest reports that this daemon knows, to update other daemons.
-func (m *Monitor) Known() []backend.Status { return m.Table.Reports() }
+// Reports returns the latest reports that this daemon knows, to update other daemons.
+func (m *Monitor) Reports() []backend.Status { return m.Table.Reports() }
 
 func describe(st backend.Status) string {
 	text := ""
@@ -299,7 +299,7 @@
 		return
 	}
 	st.BackendServer = name
-	m.Take(st)
+	m.ApplyStatus(st)
 	m.Signal(name, health.ProbeOK)
 }
 
@@ -312,9 +312,9 @@
 	return backend.Target{}, false
 }
 
-// Silent returns the backend servers of a route that do not answer within
+// Unresponsive returns the backend servers of a route that do not answer within
 // answerTimeout.
-func (m *Monitor) Silent(ctx context.Context, r topology.Route) []string {
+func (m *Monitor) Unresponsive(ctx context.Context, r topology.Route) []string {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	silent := make([]bool, len(r))
--- a/monitor/monitor_test.go
+++ b/monitor/monitor_test.go
@@ -83,7 +83,7 @@
 		Owner: OwnsAll{}, Wake: func() {}, Clock: time.Now,
 	})
 	load := func(to string, d time.Duration) {
-		m.Load(backend.HopLoad{BackendServer: "a", NextHop: to, LinkSeconds: d.Seconds(), TokenSeconds: 0.001})
+		m.ObserveLoad(backend.HopLoad{BackendServer: "a", NextHop: to, LinkSeconds: d.Seconds(), TokenSeconds: 0.001})
 	}
 	for range 10 {
 		load("b", time.Millisecond)
@@ -118,7 +118,7 @@
 		time.Sleep(2500 * time.Millisecond)
 		require.False(t, table.Server("frozen").Usable())
 		require.True(t, table.Server("fine").Usable())
-		require.Equal(t, []string{"frozen"}, m.Silent(ctx, topology.Route{{BackendServer: "fine"}, {BackendServer: "frozen"}}))
+		require.Equal(t, []string{"frozen"}, m.Unresponsive(ctx, topology.Route{{BackendServer: "fine"}, {BackendServer: "frozen"}}))
 		cancel()
 		time.Sleep(time.Minute)
 	})
--- a/peer/fleet_test.go
+++ b/peer/fleet_test.go
@@ -46,13 +46,13 @@
 	known map[string]backend.Status
 }
 
-func (s *statuses) Take(st backend.Status) {
+func (s *statuses) ApplyStatus(st backend.Status) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.known[st.BackendServer] = st
 }
 
-func (s *statuses) Known() []backend.Status {
+func (s *statuses) Reports() []backend.Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []backend.Status
@@ -302,7 +302,7 @@
 		received := 0
 		owners := 0
 		for _, d := range f.daemons {
-			received += len(d.node.statuses.Known())
+			received += len(d.node.statuses.Reports())
 			if d.node.Owns("engine") {
 				owners++
 			}
--- a/peer/link.go
+++ b/peer/link.go
@@ -143,7 +143,7 @@
 		f.VMs = &vms
 	}
 	n.mu.Unlock()
-	f.Statuses = n.statuses.Known()
+	f.Statuses = n.statuses.Reports()
 	n.sendTo(l, f)
 }
 
@@ -272,7 +272,7 @@
 	if !n.recordIfNewer(st) {
 		return
 	}
-	n.statuses.Take(st)
+	n.statuses.ApplyStatus(st)
 	n.broadcast(&Frame{Statuses: []backend.Status{st}}, from)
 }
 
--- a/peer/node.go
+++ b/peer/node.go
@@ -41,8 +41,8 @@
 
 // Statuses holds the backend server statuses that other daemons read.
 type Statuses interface {
-	Take(st backend.Status)
-	Known() []backend.Status
+	ApplyStatus(st backend.Status)
+	Reports() []backend.Status
 }
 
 // Node is the fleet membership of this daemon. It is safe for concurrent use.
