--- a/forward/backend.go
+++ b/forward/backend.go
@@ -165,6 +165,6 @@
 	Head(status int, h http.Header) error
 	// Events writes complete events, byte for byte.
 	Events(p []byte) error
-	// Whole writes a complete answer.
-	Whole(status int, h http.Header, body []byte) error
+	// Complete writes a complete answer.
+	Complete(status int, h http.Header, body []byte) error
 }
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -241,8 +241,8 @@
 	events     int
 }
 
-func (c *labCaller) Head(int, http.Header) error          { return nil }
-func (c *labCaller) Whole(int, http.Header, []byte) error { return nil }
+func (c *labCaller) Head(int, http.Header) error             { return nil }
+func (c *labCaller) Complete(int, http.Header, []byte) error { return nil }
 func (c *labCaller) Events([]byte) error {
 	now := time.Now()
 	c.lab.mu.Lock()
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -126,7 +126,7 @@
 
 func (c *recordingSink) Head(int, http.Header) error { return nil }
 func (c *recordingSink) Events([]byte) error         { return nil }
-func (c *recordingSink) Whole(status int, _ http.Header, body []byte) error {
+func (c *recordingSink) Complete(status int, _ http.Header, body []byte) error {
 	c.status, c.body = status, string(body)
 	return nil
 }
--- a/forward/refuse_test.go
+++ b/forward/refuse_test.go
@@ -17,9 +17,9 @@
 // discardSink discards the answer. It implements Sink.
 type discardSink struct{}
 
-func (discardSink) Head(int, http.Header) error          { return nil }
-func (discardSink) Whole(int, http.Header, []byte) error { return nil }
-func (discardSink) Events([]byte) error                  { return nil }
+func (discardSink) Head(int, http.Header) error             { return nil }
+func (discardSink) Complete(int, http.Header, []byte) error { return nil }
+func (discardSink) Events([]byte) error                     { return nil }
 
 // requestRefusal sends one request and returns the time to its refusal and the error.
 func requestRefusal(t *testing.T, f *Forwarder) (time.Duration, *apierror.Error) {
--- a/forward/run.go
+++ b/forward/run.go
@@ -272,7 +272,7 @@
 		// The status would imply to the caller that the request did not run.
 		return execution.Answered, apierror.New(apierror.OutcomeUnknown, "backend server answered %d without saying that it did not run", a.Status)
 	}
-	if err := r.sink.Whole(a.Status, a.Header, body); err != nil {
+	if err := r.sink.Complete(a.Status, a.Header, body); err != nil {
 		return execution.Answered, apierror.Wrap(apierror.CallerGone, err)
 	}
 	return execution.Answered, nil
