--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -212,7 +212,7 @@
 // far fewer than without a quarantine. Few other requests are quarantined.
 func TestFleetQuarantinesCrashingRequests(t *testing.T) {
 	noQuarantine := quarantine.DefaultPolicy
-	noQuarantine.HoldFrom, noQuarantine.HoldAll = 1000, 1000
+	noQuarantine.QuarantineScore, noQuarantine.NoTrialScore = 1000, 1000
 	for _, c := range []struct{ daemons, requests int }{{3, 1}, {8, 3}, {300, 1}} {
 		t.Run(fmt.Sprintf("daemons=%d/requests=%d", c.daemons, c.requests), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -12,10 +12,10 @@
 // Policy sets when a request is quarantined. The end of one backend server never suffices:
 // several requests may have been there, and the one that caused the end is unknown.
 type Policy struct {
-	// HoldFrom is the score from which a request is quarantined, except for trials.
-	HoldFrom int
-	// HoldAll is the score from which there are no trials.
-	HoldAll int
+	// QuarantineScore is the score from which a request is quarantined, except for trials.
+	QuarantineScore int
+	// NoTrialScore is the score from which there are no trials.
+	NoTrialScore int
 	// TrialAfter is the time from the last end or trial to the next trial.
 	TrialAfter time.Duration
 	// Keep is the time from the last end after which an entry expires.
@@ -32,7 +32,7 @@
 // that were present at two ends by chance. The delay before a trial is long, since a third
 // end affects many other requests.
 var DefaultPolicy = Policy{
-	HoldFrom: 2 * int(Likely), HoldAll: 3 * int(Likely), TrialAfter: time.Minute,
+	QuarantineScore: 2 * int(Likely), NoTrialScore: 3 * int(Likely), TrialAfter: time.Minute,
 	Keep: 10 * time.Minute, KeepServed: 30 * time.Second, MaxEntries: 4096,
 }
 
@@ -182,9 +182,9 @@
 	last := e.lastEndAt()
 	d := Decision{Score: e.Score(), Ends: len(e.Ends)}
 	switch {
-	case d.Score < r.policy.HoldFrom || now.Sub(last) >= r.policy.Keep:
+	case d.Score < r.policy.QuarantineScore || now.Sub(last) >= r.policy.Keep:
 		return d
-	case d.Score >= r.policy.HoldAll:
+	case d.Score >= r.policy.NoTrialScore:
 		d.Until = last.Add(r.policy.Keep)
 	default:
 		d.Until = boottime.Later(last, e.TriedAt).Add(r.policy.TrialAfter)
@@ -311,7 +311,7 @@
 func (r *Registry) evict(now time.Time) {
 	target := max(1, r.policy.MaxEntries/evictFraction)
 	r.remove(r.policy.MaxEntries, func(k *registryEntry) bool { return r.expired(k, now) })
-	r.remove(target-r.free(), func(k *registryEntry) bool { return k.Score() < r.policy.HoldFrom })
+	r.remove(target-r.free(), func(k *registryEntry) bool { return k.Score() < r.policy.QuarantineScore })
 	r.remove(target-r.free(), func(*registryEntry) bool { return true })
 }
 
