--- a/health/detector.go
+++ b/health/detector.go
@@ -69,8 +69,8 @@
 	FailuresToEject int           // consecutive failures, except probes, that eject
 	EjectFor        time.Duration // duration of the first ejection; doubles with each further one
 	MaxEjectFor     time.Duration // maximum duration of an ejection
-	ProbeEvery      time.Duration // interval of probes of a suspect or ejected backend server
-	RampFor         time.Duration // duration of the ramp from LeastWeight to full weight
+	ProbeInterval   time.Duration // interval of probes of a suspect or ejected backend server
+	RampFor         time.Duration // duration of the ramp from MinWeight to full weight
 	MinWeight       float64       // weight at the start of the ramp
 }
 
@@ -78,7 +78,7 @@
 func DefaultConfig() Config {
 	return Config{
 		FailuresToEject: 3, EjectFor: 2 * time.Second, MaxEjectFor: time.Minute,
-		ProbeEvery: 250 * time.Millisecond, RampFor: 3 * time.Second, MinWeight: 0.2,
+		ProbeInterval: 250 * time.Millisecond, RampFor: 3 * time.Second, MinWeight: 0.2,
 	}
 }
 
@@ -258,7 +258,7 @@
 		if r.state != Suspect && r.state != Ejected {
 			continue
 		}
-		if now.Sub(r.probed) >= d.cfg.ProbeEvery {
+		if now.Sub(r.probed) >= d.cfg.ProbeInterval {
 			r.probed = now
 			due = append(due, name)
 		}
