--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -30,7 +30,7 @@
 // endpointCooldowns configures the cooldown of a failed endpoint. A cooling endpoint
 // is used only if no other is left. A refusal starts no cooldown, since the endpoint
 // is only busy.
-var endpointCooldowns = health.CooldownConfig{Failed: time.Second, MaxFailed: time.Second}
+var endpointCooldowns = health.CooldownConfig{AfterFailure: time.Second, MaxAfterFailures: time.Second}
 
 // Services runs calls to plain services. It is safe for concurrent use.
 type Services struct {
--- a/forward/forwarder.go
+++ b/forward/forwarder.go
@@ -128,7 +128,7 @@
 // cooldowns are the times for which a backend server gets no new work. A full backend
 // server has capacity again once one of its requests ends. The record of a dead one expires
 // after three heartbeats, a few seconds.
-var cooldowns = health.CooldownConfig{Refused: 250 * time.Millisecond, Failed: 4 * time.Second, MaxFailed: 8 * time.Second}
+var cooldowns = health.CooldownConfig{AfterRefusal: 250 * time.Millisecond, AfterFailure: 4 * time.Second, MaxAfterFailures: 8 * time.Second}
 
 // New returns a Forwarder.
 func New(o Options, d Dependencies) *Forwarder {
--- a/forward/refuse_test.go
+++ b/forward/refuse_test.go
@@ -75,8 +75,8 @@
 		now := time.Now()
 		l.eachHead(func(id string) { f.health.Refuse(id, now.Add(time.Second)) })
 		after := f.retryAfter(labService, now)
-		require.GreaterOrEqual(t, after, time.Second+cooldowns.Refused)
-		require.Less(t, after, time.Second+cooldowns.Refused+retryAfterSpread)
+		require.GreaterOrEqual(t, after, time.Second+cooldowns.AfterRefusal)
+		require.Less(t, after, time.Second+cooldowns.AfterRefusal+retryAfterSpread)
 		require.Equal(t, defaultRetryAfter, f.retryAfter("unknown", now))
 	})
 }
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -224,7 +224,7 @@
 		require.True(t, r.attemptsExhausted())
 		f.health.Fail("a", time.Now())
 		require.False(t, r.attemptsExhausted())
-		time.Sleep(2 * cooldowns.MaxFailed)
+		time.Sleep(2 * cooldowns.MaxAfterFailures)
 		require.False(t, r.attemptsExhausted(), "it has terminated")
 		r.tried.add("c")
 		require.True(t, r.attemptsExhausted())
@@ -249,7 +249,7 @@
 		f.markFailed(head("b1"), "probe", syscall.ECONNREFUSED, time.Now())
 		require.True(t, r.attemptsExhausted(), "nor is a refused connection")
 
-		time.Sleep(2 * cooldowns.MaxFailed)
+		time.Sleep(2 * cooldowns.MaxAfterFailures)
 		servers := maps.Clone(f.inv.View().Servers)
 		delete(servers, "b1")
 		f.inv = fixed{inventory.NewView(f.inv.View().Config, servers)}
--- a/forward/run.go
+++ b/forward/run.go
@@ -316,6 +316,6 @@
 // markServed records that all hops of a path served a request.
 func (f *Forwarder) markServed(p site.Path) {
 	for _, h := range p {
-		f.health.Serve(h.Server.ID)
+		f.health.Succeed(h.Server.ID)
 	}
 }
--- a/health/cooldown.go
+++ b/health/cooldown.go
@@ -8,9 +8,9 @@
 
 // CooldownConfig sets how long a backend server gets no work after a refusal or a failure.
 type CooldownConfig struct {
-	Refused   time.Duration // after a refusal for lack of capacity
-	Failed    time.Duration // after a failure, multiplied by the number of consecutive failures
-	MaxFailed time.Duration // maximum time after consecutive failures
+	AfterRefusal     time.Duration // after a refusal for lack of capacity
+	AfterFailure     time.Duration // after a failure, multiplied by the number of consecutive failures
+	MaxAfterFailures time.Duration // maximum time after consecutive failures
 }
 
 // Cooldowns holds the backend servers that refused work or failed recently, by name. It is
@@ -38,7 +38,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[name]
-	if until := now.Add(c.cfg.Refused); until.After(s.until) {
+	if until := now.Add(c.cfg.AfterRefusal); until.After(s.until) {
 		s.until = until
 	}
 	c.servers[name] = s
@@ -52,7 +52,7 @@
 	s := c.servers[name]
 	isNew := !now.Before(s.until)
 	s.failures++
-	s.until = now.Add(min(c.cfg.MaxFailed, c.cfg.Failed*time.Duration(s.failures)))
+	s.until = now.Add(min(c.cfg.MaxAfterFailures, c.cfg.AfterFailure*time.Duration(s.failures)))
 	c.servers[name] = s
 	return isNew
 }
@@ -75,9 +75,9 @@
 	return c.servers[name].ended
 }
 
-// Serve records that a backend server completed work. A cooldown in progress continues as one
+// Succeed records that a backend server completed work. A cooldown in progress continues as one
 // after a refusal.
-func (c *Cooldowns) Serve(name string) {
+func (c *Cooldowns) Succeed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, known := c.servers[name]
--- a/health/cooldown_test.go
+++ b/health/cooldown_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-var testCooldowns = CooldownConfig{Refused: time.Second, Failed: 4 * time.Second, MaxFailed: 8 * time.Second}
+var testCooldowns = CooldownConfig{AfterRefusal: time.Second, AfterFailure: 4 * time.Second, MaxAfterFailures: 8 * time.Second}
 
 func TestRefusalsAndFailuresCoolDown(t *testing.T) {
 	c := NewCooldowns(testCooldowns)
@@ -26,7 +26,7 @@
 		c.Fail("b", now)
 	}
 	require.False(t, c.Dead("b", now.Add(8*time.Second)), "bounded")
-	c.Serve("b")
+	c.Succeed("b")
 	require.False(t, c.Dead("b", now))
 	require.True(t, c.Cooling("b", now), "an answer does not end a cooldown")
 }
