--- a/peer/member.go
+++ b/peer/member.go
@@ -160,9 +160,9 @@
 	return out
 }
 
-// NotLongDead returns every known daemon, including this one, except those that have been
+// Retained returns every known daemon, including this one, except those that have been
 // dead for the given time.
-func (t *Members) NotLongDead(retention time.Duration, now time.Time) []Member {
+func (t *Members) Retained(retention time.Duration, now time.Time) []Member {
 	return slices.DeleteFunc(t.All(), func(m Member) bool {
 		return m.State == Dead && now.Sub(t.others[m.Name].since) >= retention
 	})
--- a/peer/roles.go
+++ b/peer/roles.go
@@ -32,7 +32,7 @@
 func (n *Node) ShareHolders(now time.Time) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := n.members.NotLongDead(shareRetention, now)
+	all := n.members.Retained(shareRetention, now)
 	if len(all) > 1 || len(n.opts.Seeds) == 0 {
 		return all
 	}
