--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -30,7 +30,7 @@
 				now := time.Now()
 				err := f.Do(context.Background(), &Request{
 					ID: "r", Service: "cards", Received: now, Deadline: now.Add(3 * time.Second),
-					Route: &site.Route{Repeat: site.Safe, MaxAttempts: 2, Timeout: 3 * time.Second},
+					Route: &site.Route{Kind: site.Safe, MaxAttempts: 2, Timeout: 3 * time.Second},
 				}, &recordingSink{})
 				require.NoError(b, err)
 			}
@@ -54,7 +54,7 @@
 			f := l.forward[0]
 			r := &run{f: f, engine: l.engine, req: &Request{
 				ID: "r", Service: labService, Prompt: labPrompt, Received: time.Now(), Deadline: time.Now().Add(time.Minute),
-				Route: &site.Route{Repeat: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second},
+				Route: &site.Route{Kind: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second},
 			}}
 			for id, s := range l.view.Servers {
 				if denied > 0 && s.Held.Has(0) {
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -99,7 +99,7 @@
 }
 
 // isStream reports whether the request is a stream of a service with an engine.
-func (r *run) isStream() bool { return r.engine != nil && r.req.Route.Repeat == site.Stream }
+func (r *run) isStream() bool { return r.engine != nil && r.req.Route.Kind == site.Stream }
 
 // admit refuses a quarantined request.
 func (r *run) admit(now time.Time) error {
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -130,7 +130,7 @@
 		now := time.Now()
 		req := &Request{
 			ID: fmt.Sprint(body, n), Body: []byte(body), Service: labService, Received: now, Deadline: now.Add(20 * time.Second), Prompt: labPrompt,
-			Route: &site.Route{Repeat: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
+			Route: &site.Route{Kind: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
 		}
 		err := l.forward[n%len(l.forward)].Do(ctx, req, &labCaller{lab: l, sent: now})
 		pause = crashInterval
@@ -257,7 +257,7 @@
 		req := func() *Request {
 			return &Request{
 				ID: "r", Body: []byte("b"), Service: "cards", Received: time.Now(), Deadline: time.Now().Add(20 * time.Second),
-				Route: &site.Route{Repeat: site.Safe, MaxAttempts: 3, Timeout: 3 * time.Second},
+				Route: &site.Route{Kind: site.Safe, MaxAttempts: 3, Timeout: 3 * time.Second},
 			}
 		}
 		fingerprint := req().Fingerprint()
--- a/forward/lab_test.go
+++ b/forward/lab_test.go
@@ -203,7 +203,7 @@
 	now := time.Now()
 	req := &Request{
 		ID: fmt.Sprint("r", n), Body: fmt.Appendf(nil, "body %d", n), Service: labService, Received: now, Deadline: now.Add(20 * time.Second), Prompt: labPrompt,
-		Route: &site.Route{Repeat: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
+		Route: &site.Route{Kind: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
 	}
 	l.count(1)
 	got := &labCaller{lab: l, sent: now}
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -152,7 +152,7 @@
 		script := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) behaviour {
 			return behaviour(rapid.IntRange(0, int(behaviourCount)-1).Draw(t, "behaviour"))
 		}), 0, 5).Draw(t, "script")
-		repeat := rapid.SampledFrom([]site.Repeat{site.Safe, site.Unsafe}).Draw(t, "repeat")
+		kind := rapid.SampledFrom([]site.RequestKind{site.Safe, site.Unsafe}).Draw(t, "repeat")
 		b := &scriptedBackends{script: script}
 		f := plainForwarder(rapid.IntRange(1, 4).Draw(t, "servers"), b)
 		f.permits = &scriptedPermits{script: rapid.SliceOfN(rapid.Bool(), 0, 6).Draw(t, "permits")}
@@ -165,12 +165,12 @@
 		now := time.Now()
 		req := &Request{
 			ID: "r", Service: "cards", Received: now, Deadline: now.Add(3 * time.Second),
-			Route: &site.Route{Repeat: repeat, MaxAttempts: 3, Timeout: 3 * time.Second, Objective: time.Millisecond},
+			Route: &site.Route{Kind: kind, MaxAttempts: 3, Timeout: 3 * time.Second, Objective: time.Millisecond},
 		}
 		got := &recordingSink{}
 		err := f.Do(context.Background(), req, got)
 		require.Equal(t, before, invariant.Total())
-		if repeat == site.Unsafe {
+		if kind == site.Unsafe {
 			require.LessOrEqual(t, b.ran, 1)
 		}
 		if err != nil && apierror.From(err).NotRun() {
--- a/forward/refuse_test.go
+++ b/forward/refuse_test.go
@@ -27,7 +27,7 @@
 	now := time.Now()
 	err := f.Do(context.Background(), &Request{
 		ID: "r", Service: labService, Received: now, Deadline: now.Add(20 * time.Second), Prompt: labPrompt,
-		Route: &site.Route{Repeat: site.Stream, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 2 * time.Second},
+		Route: &site.Route{Kind: site.Stream, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 2 * time.Second},
 	}, discardSink{})
 	var refusal *apierror.Error
 	require.True(t, errors.As(err, &refusal), "%v", err)
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -116,15 +116,15 @@
 // Only sends that reach a backend server count as retries, beyond the first one of a
 // request. Failed connections need no retry.
 func TestUnreachedSendNeedsNoRetry(t *testing.T) {
-	for _, repeat := range []site.Repeat{site.Safe, site.Unsafe} {
+	for _, kind := range []site.RequestKind{site.Safe, site.Unsafe} {
 		b := &scriptedBackends{script: []behaviour{unreachable, unreachable, serving}}
 		f := plainForwarder(4, b)
 		f.budget = admission.NewBudget(0, 0, testWindow)
-		require.NoError(t, f.Do(t.Context(), plainRequest(repeat), &recordingSink{}))
+		require.NoError(t, f.Do(t.Context(), plainRequest(kind), &recordingSink{}))
 		require.Equal(t, 1, b.arrivals)
 
 		b.script = []behaviour{refusing, serving}
-		require.Error(t, f.Do(t.Context(), plainRequest(repeat), &recordingSink{}), "a refused send has arrived")
+		require.Error(t, f.Do(t.Context(), plainRequest(kind), &recordingSink{}), "a refused send has arrived")
 	}
 }
 
@@ -193,7 +193,7 @@
 // follows a refusal.
 func TestBegunStreamSkipsDeadHeadAtOnce(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		r := &run{f: plainForwarder(2, &scriptedBackends{}), req: &Request{Route: &site.Route{Repeat: site.Stream}}, lastEventAt: time.Now(), tracker: execution.New(true)}
+		r := &run{f: plainForwarder(2, &scriptedBackends{}), req: &Request{Route: &site.Route{Kind: site.Stream}}, lastEventAt: time.Now(), tracker: execution.New(true)}
 		r.headSent.Store(true)
 		require.NoError(t, r.tracker.Move(execution.Sent))
 		require.NoError(t, r.tracker.Move(execution.NotSent))
@@ -204,11 +204,11 @@
 }
 
 // plainRequest returns a request to a plain service.
-func plainRequest(repeat site.Repeat) *Request {
+func plainRequest(kind site.RequestKind) *Request {
 	now := time.Now()
 	return &Request{
 		ID: "r", Service: "cards", Received: now, Deadline: now.Add(3 * time.Second),
-		Route: &site.Route{Repeat: repeat, MaxAttempts: 3, Timeout: 3 * time.Second, Objective: time.Millisecond},
+		Route: &site.Route{Kind: kind, MaxAttempts: 3, Timeout: 3 * time.Second, Objective: time.Millisecond},
 	}
 }
 
--- a/placer/placer_test.go
+++ b/placer/placer_test.go
@@ -318,7 +318,7 @@
 			virtual.Test(t, func(t *testing.T) {
 				c := newCluster(3)
 				c.routes = []*site.Route{{
-					Name: "r", Host: "h", Prefix: "/", Repeat: site.Stream, Resumable: resumable, Targets: []site.Target{{Service: model, Weight: 1}},
+					Name: "r", Host: "h", Prefix: "/", Kind: site.Stream, Resumable: resumable, Targets: []site.Target{{Service: model, Weight: 1}},
 				}}
 				startPlacer(t, c)
 				time.Sleep(10 * time.Second)
--- a/site/config.go
+++ b/site/config.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// Repeat is the kind of a request: whether and how it may be repeated.
-type Repeat uint8
+// RequestKind is the kind of a request: whether and how it may be repeated.
+type RequestKind uint8
 
 // The kinds of request.
 const (
-	Unsafe Repeat = iota // runs at most once
-	Safe                 // idempotent
-	Stream               // a series of events; idempotent only where it is resumable
+	Unsafe RequestKind = iota // runs at most once
+	Safe                      // idempotent
+	Stream                    // a series of events; idempotent only where it is resumable
 )
 
 // String returns the name used in logs.
-func (r Repeat) String() string { return [...]string{"unsafe", "safe", "stream"}[r] }
+func (k RequestKind) String() string { return [...]string{"unsafe", "safe", "stream"}[k] }
 
 // Target is a service that receives a share of a route's requests.
 type Target struct {
@@ -33,7 +33,7 @@
 	Name         string
 	Host         string
 	Prefix       string // begins and ends with a slash
-	Repeat       Repeat
+	Kind         RequestKind
 	Timeout      time.Duration // of a request
 	Objective    time.Duration // latency objective until the answer, or a stream's first event
 	GapObjective time.Duration // latency objective between two events of a stream
@@ -45,7 +45,7 @@
 }
 
 // Repeatable reports whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool { return r.Repeat == Safe || r.Repeat == Stream && r.Resumable }
+func (r *Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
 // TargetAt returns the service for a point in [0, 1) on the scale of cumulative weights.
 func (r *Route) TargetAt(point float64) string {
