--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -24,7 +24,7 @@
 	limitPropagation  = 100 * time.Millisecond // until all daemons know a limit
 	permitLatency     = 3 * time.Millisecond   // until a daemon has a permit
 	sharePollInterval = 500 * time.Millisecond
-	lendDuration      = 1500 * time.Millisecond
+	contributionTTL   = 1500 * time.Millisecond
 	limitStart        = 4 * time.Second // from the start of the run until heads state limits
 	limitRunLength    = 14 * time.Second
 	limitGrace        = 3 * time.Second // until a stated limit must be kept
@@ -117,13 +117,13 @@
 	for wait.For(ctx, sharePollInterval) {
 		now := boottime.Now()
 		for n := range l.forward[1:] {
-			l.pools[n+1].Lend(daemonName(0), now.Add(lendDuration), now)
+			l.pools[n+1].ContributeTo(daemonName(0), now.Add(contributionTTL), now)
 			sent := map[string]int{}
 			for _, limit := range l.limits[n+1].All() {
 				sent[limit.Server] = l.forward[n+1].sends.Recent(limit.Server, now)
 			}
 			l.pools[0].Polled(daemonName(n + 1))
-			l.pools[0].Contribute(daemonName(n+1), now.Add(lendDuration), sent)
+			l.pools[0].AddContribution(daemonName(n+1), now.Add(contributionTTL), sent)
 		}
 	}
 }
--- a/permit/allocator.go
+++ b/permit/allocator.go
@@ -101,7 +101,7 @@
 		}
 		switch {
 		case f.Part != nil && f.Part.Number == l.number.Load():
-			pool.Contribute(l.name, processStart.Add(time.Duration(l.sentAt.Load())).Add(partTTL), f.Part.Sent)
+			pool.AddContribution(l.name, processStart.Add(time.Duration(l.sentAt.Load())).Add(partTTL), f.Part.Sent)
 		case f.Request != nil:
 			if l.decide(ctx, f.Request) != nil {
 				return // the link has ended
--- a/permit/follow.go
+++ b/permit/follow.go
@@ -223,16 +223,16 @@
 func (a *allocator) polled(ctx context.Context, p *poll) error {
 	pool, now := a.node.opts.Pool, boottime.Now()
 	if p.Returned {
-		pool.Lend(a.name, now, now)
+		pool.ContributeTo(a.name, now, now)
 		return errStopping
 	}
 	a.mu.Lock()
 	a.polledAt = now
 	a.mu.Unlock()
-	if to := pool.LentTo(now); to != "" && to != a.name {
+	if to := pool.ContributedTo(now); to != "" && to != a.name {
 		return nil // contributed at a later poll
 	}
-	pool.Lend(a.name, now.Add(partTTL), now)
+	pool.ContributeTo(a.name, now.Add(partTTL), now)
 	return writeFrame(ctx, a.conn, &frame{Part: &part{Number: p.Number, Sent: a.node.sentToLimited(now)}})
 }
 
--- a/permit/node.go
+++ b/permit/node.go
@@ -98,7 +98,7 @@
 func (n *Node) Permit(ctx context.Context, r quota.PermitRequest) quota.Decision {
 	now := boottime.Now()
 	a := n.allocator.Load()
-	if a == nil || n.opts.Pool.LentTo(now) != a.name {
+	if a == nil || n.opts.Pool.ContributedTo(now) != a.name {
 		return n.opts.Pool.Decide(n.opts.Name, r, now)
 	}
 	return a.requestPermits(ctx, r)
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -153,7 +153,7 @@
 	other := (first + 1) % 3
 	f.stateLimit(other, rate)
 	time.Sleep(2 * pollInterval)
-	f.nodes[other].opts.Pool.Lend("gone", boottime.Now().Add(partTTL), boottime.Now())
+	f.nodes[other].opts.Pool.ContributeTo("gone", boottime.Now().Add(partTTL), boottime.Now())
 	require.Zero(t, f.take([]int{other}, partTTL/2), "its part is lent to a daemon that does not answer")
 	got := f.take([]int{other}, 2*time.Second)
 	require.LessOrEqual(t, got, int64(rate*2+5))
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -153,11 +153,11 @@
 	}
 	d.polled = f.now
 	o.pool.Polled(d.name)
-	if to := d.pool.LentTo(f.now); to != "" && to != o.name {
+	if to := d.pool.ContributedTo(f.now); to != "" && to != o.name {
 		return
 	}
-	d.pool.Lend(o.name, f.now.Add(partTTL), f.now)
-	o.pool.Contribute(d.name, f.now.Add(partTTL), map[string]int{limitedServer: d.sends.Recent(limitedServer, f.now)})
+	d.pool.ContributeTo(o.name, f.now.Add(partTTL), f.now)
+	o.pool.AddContribution(d.name, f.now.Add(partTTL), map[string]int{limitedServer: d.sends.Recent(limitedServer, f.now)})
 }
 
 // call makes the calls that are due from a daemon's callers.
@@ -179,7 +179,7 @@
 		d.sends.Add(limitedServer, f.now)
 		return true
 	}
-	if d.to == nil || d.to == d || d.pool.LentTo(f.now) != d.to.name {
+	if d.to == nil || d.to == d || d.pool.ContributedTo(f.now) != d.to.name {
 		return d.pool.Decide(d.name, r, f.now).Granted
 	}
 	if !d.reaches(d.to) || !d.to.pool.Decide(d.name, r, f.now).Granted {
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -64,13 +64,13 @@
 	limits *Limits
 	sends  *Sends // of this daemon
 
-	mu        sync.Mutex
-	fleet     []string             // names of all daemons, sorted; empty while not known
-	departed  map[string]time.Time // when a daemon was found to have left the fleet
-	lentTo    string               // the daemon that the own part was last contributed to
-	lentUntil time.Time
-	parts     map[string]*contribution // by contributing daemon
-	buckets   map[string]*bucket       // by incarnation
+	mu               sync.Mutex
+	fleet            []string             // names of all daemons, sorted; empty while not known
+	departed         map[string]time.Time // when a daemon was found to have left the fleet
+	contributedTo    string               // the daemon that the own part was last contributed to
+	contributedUntil time.Time
+	parts            map[string]*contribution // by contributing daemon
+	buckets          map[string]*bucket       // by incarnation
 }
 
 // contribution is another daemon's part, with the calls sent by that daemon.
@@ -103,24 +103,24 @@
 	maps.DeleteFunc(p.departed, func(name string, at time.Time) bool { return p.listed(name) || now.Sub(at) > Window })
 }
 
-// Lend records that this daemon's own part is contributed to another daemon's pool until
-// the given time. Saved calls are discarded: otherwise many daemons that decide alone for
-// short times could spend all their saved calls together.
-func (p *Pool) Lend(to string, until, now time.Time) {
+// ContributeTo records that this daemon's own part is contributed to another daemon's pool
+// until the given time. Saved calls are discarded: otherwise many daemons that decide alone
+// for short times could spend all their saved calls together.
+func (p *Pool) ContributeTo(to string, until, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !now.Before(p.lentUntil) {
+	if !now.Before(p.contributedUntil) {
 		clear(p.buckets)
 	}
-	p.lentTo, p.lentUntil = to, until
+	p.contributedTo, p.contributedUntil = to, until
 }
 
-// LentTo returns the daemon to whose pool the own part is contributed, or "".
-func (p *Pool) LentTo(now time.Time) string {
+// ContributedTo returns the daemon to whose pool the own part is contributed, or "".
+func (p *Pool) ContributedTo(now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Before(p.lentUntil) {
-		return p.lentTo
+	if now.Before(p.contributedUntil) {
+		return p.contributedTo
 	}
 	return ""
 }
@@ -139,9 +139,9 @@
 	clear(c.sinceLastPoll)
 }
 
-// Contribute adds another daemon's part until the given time, with the calls that it has
-// sent within the window to backend servers with a limit.
-func (p *Pool) Contribute(daemon string, until time.Time, sent map[string]int) {
+// AddContribution adds another daemon's part until the given time, with the calls that it
+// has sent within the window to backend servers with a limit.
+func (p *Pool) AddContribution(daemon string, until time.Time, sent map[string]int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.parts[daemon]
@@ -191,7 +191,7 @@
 
 func (p *Pool) decide(b *bucket, server string, limit, share float64, c Class, now time.Time) Decision {
 	if share == 0 {
-		after := max(minWait, p.lentUntil.Sub(now))
+		after := max(minWait, p.contributedUntil.Sub(now))
 		return Decision{Server: server, After: after, RetryAfter: after}
 	}
 	if sent := p.sent(server, now); float64(sent+1) > max(1, share*windowOf(limit)) {
@@ -214,7 +214,7 @@
 // share returns the fraction of the limits that this pool holds now.
 func (p *Pool) share(now time.Time) float64 {
 	held, unlisted := 0, 0
-	if !now.Before(p.lentUntil) {
+	if !now.Before(p.contributedUntil) {
 		held++
 	}
 	for daemon, c := range p.parts {
@@ -241,10 +241,10 @@
 // while the part is contributed. Calls that accrued earlier were granted by the pool that
 // it was contributed to.
 func (p *Pool) heldSince(now time.Time) time.Time {
-	if now.Before(p.lentUntil) {
+	if now.Before(p.contributedUntil) {
 		return time.Time{}
 	}
-	return p.lentUntil
+	return p.contributedUntil
 }
 
 func (p *Pool) listed(daemon string) bool {
@@ -256,7 +256,7 @@
 // daemons whose parts this pool holds.
 func (p *Pool) sent(server string, now time.Time) int {
 	n := 0
-	if !now.Before(p.lentUntil) {
+	if !now.Before(p.contributedUntil) {
 		n = p.sends.Recent(server, now)
 	}
 	for _, c := range p.parts {
