--- a/peer/quota.go
+++ b/peer/quota.go
@@ -86,7 +86,7 @@
 	n.quotas.mu.Lock()
 	defer n.quotas.mu.Unlock()
 	for _, g := range grants {
-		n.quotas.tracker.Take(g, time.Now())
+		n.quotas.tracker.Apply(g, time.Now())
 	}
 }
 
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -142,7 +142,7 @@
 	return out
 }
 
-// Take applies a grant.
-func (t *Tracker) Take(g Grant, now time.Time) {
+// Apply applies a grant.
+func (t *Tracker) Apply(g Grant, now time.Time) {
 	t.grants[g.Workspace] = grantEntry{share: g.Share, until: now.Add(GrantTTL)}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -51,7 +51,7 @@
 			for d, tr := range trackers {
 				for _, dm := range tr.Report(now) {
 					if reaches(d, s) {
-						tr.Take(owner.Grant(fmt.Sprint(d), dm, n, now), now)
+						tr.Apply(owner.Grant(fmt.Sprint(d), dm, n, now), now)
 					}
 				}
 			}
