--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -41,11 +41,11 @@
 	defer cancel(nil)
 	watch := r.newWatchdog(ctx, cancel)
 	defer watch.disarm()
-	if err := r.Move(execution.Sent); err != nil {
+	if err := r.Transition(execution.Sent); err != nil {
 		return result{err: err, final: true}
 	}
 	if err := r.checkNoLeaving(); err != nil {
-		_ = r.Move(execution.NotSent)
+		_ = r.Transition(execution.NotSent)
 		return result{err: err, final: true}
 	}
 	watch.arm(r.d.opts.FirstToken, r.d.opts.FirstToken)
@@ -118,15 +118,15 @@
 	head := r.route[0].BackendServer
 	if ctx.Err() != nil {
 		if errors.Is(err, execution.ErrNotSent) {
-			_ = r.Move(execution.NotSent)
+			_ = r.Transition(execution.NotSent)
 		} else {
-			_ = r.Move(execution.Unknown)
+			_ = r.Transition(execution.Unknown)
 		}
 		return result{err: context.Cause(ctx), final: true}
 	}
 	switch {
 	case errors.Is(err, execution.ErrNotSent):
-		if verr := r.Move(execution.NotSent); verr != nil {
+		if verr := r.Transition(execution.NotSent); verr != nil {
 			return result{err: verr, final: true}
 		}
 		r.d.health.Signal(head, health.Unreachable)
@@ -134,7 +134,7 @@
 	case errors.Is(err, execution.ErrRefused):
 		return r.handleRefusal(err, refusingServer(err, head))
 	}
-	_ = r.Move(execution.Unknown)
+	_ = r.Transition(execution.Unknown)
 	if cause := context.Cause(actx); errors.Is(cause, errStalled) {
 		return result{err: cause}
 	}
@@ -154,7 +154,7 @@
 // handleRefusal records that this attempt did not run. A refusal by the head means that
 // it is busy; a later hop that the head could not use counts as unreachable.
 func (r *run) handleRefusal(err error, server string) result {
-	if verr := r.Move(execution.Refused); verr != nil {
+	if verr := r.Transition(execution.Refused); verr != nil {
 		return result{err: verr, final: true}
 	}
 	if server != r.route[0].BackendServer {
@@ -184,7 +184,7 @@
 			return res
 		}
 		if c, hop := r.moveTarget(); c != nil {
-			_ = r.Move(execution.Unknown)
+			_ = r.Transition(execution.Unknown)
 			return result{err: errMoving, failed: hop, move: c}
 		}
 		if len(ev.Loads) > 0 || bound == r.d.opts.FirstToken {
@@ -202,7 +202,7 @@
 	switch ev.Type {
 	case backend.EventToken:
 		if err := r.deliver(ev); err != nil {
-			_ = r.Move(execution.Unknown)
+			_ = r.Transition(execution.Unknown)
 			return result{err: err, final: true}, true
 		}
 		return result{}, false
@@ -214,13 +214,13 @@
 			server = r.route[0].BackendServer
 		}
 		if r.produced {
-			_ = r.Move(execution.Unknown) // tokens were produced, so it ran
+			_ = r.Transition(execution.Unknown) // tokens were produced, so it ran
 			return result{err: fmt.Errorf("%w: refused after tokens", execution.ErrLost), failed: server}, true
 		}
 		return r.handleRefusal(fmt.Errorf("%w: %s", execution.ErrRefused, ev.Reason), server), true
 	case backend.EventFailed:
 		r.MarkRan()
-		_ = r.Move(execution.Unknown)
+		_ = r.Transition(execution.Unknown)
 		r.d.health.Signal(ev.Failed, health.Failed)
 		return result{err: fmt.Errorf("%w: backend server %s failed: %s", execution.ErrLost, ev.Failed, ev.Reason), failed: ev.Failed}, true
 	}
@@ -269,13 +269,13 @@
 // handleDone ends an attempt for which the engine reported completion.
 func (r *run) handleDone(ev backend.Event) result {
 	if !r.delivery.IsComplete(ev.Index) {
-		_ = r.Move(execution.Unknown)
+		_ = r.Transition(execution.Unknown)
 		return result{err: errIncomplete}
 	}
 	if err := r.delivery.checkComplete(ev.Index); err != nil {
 		return result{err: err, final: true}
 	}
-	if err := r.Move(execution.Delivered); err != nil {
+	if err := r.Transition(execution.Delivered); err != nil {
 		return result{err: err, final: true}
 	}
 	r.finishReason = ev.FinishReason
@@ -287,7 +287,7 @@
 
 // handleReadError ends an attempt whose stream ended without a final event.
 func (r *run) handleReadError(ctx, actx context.Context, err error) result {
-	_ = r.Move(execution.Unknown)
+	_ = r.Transition(execution.Unknown)
 	if ctx.Err() != nil {
 		return result{err: context.Cause(ctx), final: true}
 	}
--- a/dispatch/recovery.go
+++ b/dispatch/recovery.go
@@ -122,7 +122,7 @@
 	if r.NotRun() {
 		return routeError(r.model.Name, err)
 	}
-	return r.GaveUp(res.err)
+	return r.FinalError(res.err)
 }
 
 // resumeOnly handles a request that is not repeatable. A stalled stream is resumed
@@ -140,7 +140,7 @@
 		}
 	}
 	r.cancelAttempt(r.attempt)
-	return false, r.GaveUp(res.err)
+	return false, r.FinalError(res.err)
 }
 
 // resume continues reading the stream of the current attempt. It resumes again
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -240,7 +240,7 @@
 // passed, or that failed with an error that another attempt cannot avoid.
 func (r *run) finalError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
-		return r.Ended(ctx, r.progress())
+		return r.EndError(ctx, r.progress())
 	}
 	return err
 }
@@ -254,7 +254,7 @@
 		r.d.observe.LimitReached()
 		return limitErr.apiError()
 	}
-	return r.GaveUp(err)
+	return r.FinalError(err)
 }
 
 // retryElsewhere prepares another route for an attempt that did not run. The retry
@@ -272,7 +272,7 @@
 	var limitErr *limitReached
 	atLimit := errors.As(res.err, &limitErr)
 	if !atLimit && !errors.Is(res.err, errLeaving) && !r.d.gate.SpendRetry(r.req.Workspace.Name, r.model.Name) {
-		return r.GaveUp(res.err)
+		return r.FinalError(res.err)
 	}
 	b := r.binding()
 	c, err := r.d.policy(b.Plan, b.At(r.d.clock()), r.routeOptions(), rand.New(rand.NewPCG(rand.Uint64(), 1)))
--- a/dispatch/service.go
+++ b/dispatch/service.go
@@ -175,7 +175,7 @@
 		Time: c.s.clock(), Kind: decision.Route, RequestID: c.req.Call.RequestID, Attempt: c.attempt,
 		Workspace: c.req.Workspace.Name, Subject: svc.Name, Chosen: e.Name, Reason: "least in flight",
 	})
-	if err := c.Move(execution.Sent); err != nil {
+	if err := c.Transition(execution.Sent); err != nil {
 		return nil, err
 	}
 	k := endpointKey{svc.Name, e.Name}
@@ -184,10 +184,10 @@
 	if err == nil {
 		c.MarkRan()
 		reply.Body = &countedBody{body: reply.Body, onEnd: func(complete bool) { c.s.callEnded(k, complete) }}
-		return reply, c.Move(execution.Delivered)
+		return reply, c.Transition(execution.Delivered)
 	}
 	c.s.callEnded(k, errors.Is(err, execution.ErrRefused))
-	if verr := c.Move(execution.StateAfter(err)); verr != nil {
+	if verr := c.Transition(execution.StateAfter(err)); verr != nil {
 		return nil, verr
 	}
 	return nil, err
--- a/execution/run.go
+++ b/execution/run.go
@@ -41,24 +41,24 @@
 			return t.Answer(err)
 		}
 		if ctx.Err() != nil {
-			return t.Ended(ctx, s.Progress())
+			return t.EndError(ctx, s.Progress())
 		}
 		if result == MayHaveRun && !t.repeatable {
-			return t.GaveUp(err)
+			return t.FinalError(err)
 		}
 		if s.Retry(ctx, result) {
 			continue
 		}
 		if ctx.Err() != nil {
-			return t.Ended(ctx, s.Progress())
+			return t.EndError(ctx, s.Progress())
 		}
-		return t.GaveUp(err)
+		return t.FinalError(err)
 	}
 }
 
-// Ended returns the error of a request whose deadline has passed or is about to
+// EndError returns the error of a request whose deadline has passed or is about to
 // pass, or whose caller canceled it.
-func (t *Tracker) Ended(ctx context.Context, progress string) *apierror.Error {
+func (t *Tracker) EndError(ctx context.Context, progress string) *apierror.Error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.DeadlineExceeded) {
 		return apierror.New(apierror.CallerGone, "%s", progress)
 	}
@@ -71,8 +71,8 @@
 	return apierror.New(apierror.OutcomeUnknown, "the deadline passed before the backend server answered, %s", progress)
 }
 
-// GaveUp returns the error of a request that is not sent again after err.
-func (t *Tracker) GaveUp(err error) *apierror.Error {
+// FinalError returns the error of a request that is not sent again after err.
+func (t *Tracker) FinalError(err error) *apierror.Error {
 	kind := apierror.OutcomeUnknown
 	switch {
 	case t.NotRun() && errors.Is(err, ErrNotSent):
--- a/execution/run_test.go
+++ b/execution/run_test.go
@@ -30,15 +30,15 @@
 	if s.made == s.endAt {
 		s.cancel()
 	}
-	if verr := s.tracker.Move(Sent); verr != nil {
+	if verr := s.tracker.Transition(Sent); verr != nil {
 		return Answered, verr
 	}
 	if err == nil {
 		s.ran++
 		s.tracker.MarkRan()
-		return Answered, s.tracker.Move(Delivered)
+		return Answered, s.tracker.Transition(Delivered)
 	}
-	if verr := s.tracker.Move(StateAfter(err)); verr != nil {
+	if verr := s.tracker.Transition(StateAfter(err)); verr != nil {
 		return Answered, verr
 	}
 	if s.tracker.State().NotRun() {
@@ -92,10 +92,10 @@
 	canceled, cancelCaller := context.WithCancel(context.Background())
 	cancelCaller()
 	ran := New(true)
-	require.NoError(t, ran.Move(Sent))
+	require.NoError(t, ran.Transition(Sent))
 	ran.MarkRan()
 	sent := New(true)
-	require.NoError(t, sent.Move(Sent))
+	require.NoError(t, sent.Transition(Sent))
 	fresh := New(true)
 	for _, c := range []struct {
 		ctx     context.Context
@@ -108,6 +108,6 @@
 		{canceled, ran, apierror.CallerGone},
 		{context.Background(), sent, apierror.OutcomeUnknown}, // about to end
 	} {
-		require.Equal(t, c.want, c.tracker.Ended(c.ctx, "").Kind)
+		require.Equal(t, c.want, c.tracker.EndError(c.ctx, "").Kind)
 	}
 }
--- a/execution/tracker.go
+++ b/execution/tracker.go
@@ -76,9 +76,9 @@
 // MarkRan records that an attempt has run, at least in part.
 func (t *Tracker) MarkRan() { t.ran = true }
 
-// Move changes the state. It returns an error if the change violates
+// Transition changes the state. It returns an error if the change violates
 // invariant.AtMostOnce.
-func (t *Tracker) Move(to State) error {
+func (t *Tracker) Transition(to State) error {
 	if to == Unknown && t.state == Unknown {
 		return nil // a resumed stream broke again
 	}
--- a/execution/tracker_test.go
+++ b/execution/tracker_test.go
@@ -29,7 +29,7 @@
 			if to == NotSent || to == Refused {
 				executions--
 			}
-			require.NoError(t, tracker.Move(to))
+			require.NoError(t, tracker.Transition(to))
 			tracker.ran = tracker.ran || to == Delivered
 			if !tracker.repeatable && executions > 1 {
 				t.Fatalf("%d executions", executions)
@@ -46,7 +46,7 @@
 func TestIllegalMoveViolatesInvariant(t *testing.T) {
 	before := invariant.Count(invariant.AtMostOnce)
 	tracker := Tracker{state: Unknown, sends: 1}
-	require.Error(t, tracker.Move(Sent))
+	require.Error(t, tracker.Transition(Sent))
 	require.Equal(t, before+1, invariant.Count(invariant.AtMostOnce))
 	before = invariant.Count(invariant.NotRunIsTrue)
 	require.Error(t, tracker.checkAnswer(apierror.New(apierror.Overloaded, "x")))
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -195,8 +195,8 @@
 	virtual.Test(t, func(t *testing.T) {
 		r := &run{f: plainForwarder(2, &scriptedBackends{}), req: &Request{Route: &site.Route{Kind: site.Stream}}, lastEventAt: time.Now(), tracker: execution.New(true)}
 		r.headSent.Store(true)
-		require.NoError(t, r.tracker.Move(execution.Sent))
-		require.NoError(t, r.tracker.Move(execution.NotSent))
+		require.NoError(t, r.tracker.Transition(execution.Sent))
+		require.NoError(t, r.tracker.Transition(execution.NotSent))
 		began := time.Now()
 		require.True(t, r.Retry(t.Context(), execution.NotRunHere))
 		require.LessOrEqual(t, time.Since(began), pollInterval)
--- a/forward/run.go
+++ b/forward/run.go
@@ -117,7 +117,7 @@
 
 // endError returns the error for a caller that is gone or a deadline that has passed or is
 // near.
-func (r *run) endError(ctx context.Context) error { return r.tracker.Ended(ctx, r.Progress()) }
+func (r *run) endError(ctx context.Context) error { return r.tracker.EndError(ctx, r.Progress()) }
 
 // send makes one send and forwards the answer. The state is execution.Sent from before the
 // first byte is sent until the outcome is known.
@@ -130,7 +130,7 @@
 	triedBefore := r.tried.has(t.head().ID)
 	r.tried.add(t.head().ID)
 	r.logRoute(t, left)
-	if err := r.tracker.Move(execution.Sent); err != nil {
+	if err := r.tracker.Transition(execution.Sent); err != nil {
 		return execution.Answered, err
 	}
 	r.progress = progress{}
@@ -138,7 +138,7 @@
 	if result == execution.MayHaveRun || err == nil {
 		r.recordOutcome(ctx, t.head(), err)
 	}
-	if lerr := r.tracker.Move(stateAfter(result, err)); lerr != nil {
+	if lerr := r.tracker.Transition(stateAfter(result, err)); lerr != nil {
 		return execution.Answered, lerr
 	}
 	if r.tracker.State() != execution.NotSent {
