--- a/forward/refuse.go
+++ b/forward/refuse.go
@@ -70,7 +70,7 @@
 func (f *Forwarder) nextAvailable(service string, now time.Time) time.Time {
 	var first time.Time
 	for _, s := range f.inv.View().OfService(service) {
-		at := f.health.Back(s.ID, now)
+		at := f.health.RefusedUntil(s.ID, now)
 		if !at.IsZero() && (first.IsZero() || at.Before(first)) {
 			first = at
 		}
--- a/health/cooldown.go
+++ b/health/cooldown.go
@@ -95,9 +95,9 @@
 	return now.Before(c.servers[name].until)
 }
 
-// Back returns when a backend server that refused work may get work again, the zero time if
+// RefusedUntil returns when a backend server that refused work may get work again, the zero time if
 // it may now or has failed.
-func (c *Cooldowns) Back(name string, now time.Time) time.Time {
+func (c *Cooldowns) RefusedUntil(name string, now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.servers[name]
