--- a/forward/split.go
+++ b/forward/split.go
@@ -83,7 +83,7 @@
 		return
 	}
 	shares := pipeline.Split(e, all, pipeline.Demand{Requests: requests, Domains: f.fleet.Shares()}, f.opts.FailureDomain)
-	s.rotation.Take(shares, newRand())
+	s.rotation.SetShares(shares, newRand())
 	f.logSplit(service, s, shares)
 }
 
--- a/pipeline/rotation.go
+++ b/pipeline/rotation.go
@@ -39,10 +39,10 @@
 	maxCredit = 1.5
 )
 
-// Take replaces the split. Paths that are also in the new split keep their credit. New
+// SetShares replaces the split. Paths that are also in the new split keep their credit. New
 // paths start with a random credit, so that daemons with the same split do not take
 // the paths in the same order.
-func (rot *Rotation) Take(shares []Share, r *rand.Rand) {
+func (rot *Rotation) SetShares(shares []Share, r *rand.Rand) {
 	oldCredits := make(map[string]float64, len(rot.entries))
 	for _, e := range rot.entries {
 		oldCredits[e.key] = e.credit
--- a/pipeline/split_test.go
+++ b/pipeline/split_test.go
@@ -180,7 +180,7 @@
 		{{Server: cs[0].Server, Layers: cs[0].Server.Held}, {Server: cs[1].Server, Layers: cs[1].Server.Held}},
 		{{Server: cs[2].Server, Layers: cs[2].Server.Held}, {Server: cs[3].Server, Layers: cs[3].Server.Held}},
 	}
-	rot.Take([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, DurationMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, DurationMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
+	rot.SetShares([]Share{{Choice: Choice{Path: paths[0]}, Rate: 0.75, Heads: 10, DurationMS: 1000}, {Choice: Choice{Path: paths[1]}, Rate: 0.25, Heads: 10, DurationMS: 1000}}, rand.New(rand.NewPCG(1, 2)))
 	count := func(n int, age time.Duration) map[string]int {
 		out := map[string]int{}
 		for range n {
@@ -272,7 +272,7 @@
 	for i, domain := range fleetDomains {
 		shares := Split(sim.engine, sim.cs, d, domain)
 		for n := i; n < sim.daemons; n += len(fleetDomains) {
-			sim.rotations[n].Take(shares, sim.rng)
+			sim.rotations[n].SetShares(shares, sim.rng)
 		}
 	}
 }
