--- a/health/cooldown.go
+++ b/health/cooldown.go
@@ -75,8 +75,8 @@
 	return c.servers[name].ended
 }
 
-// Succeed records that a backend server completed work. A cooldown in progress continues as one
-// after a refusal.
+// Succeed records that a backend server completed work. A cooldown in progress continues as
+// one after a refusal.
 func (c *Cooldowns) Succeed(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +95,8 @@
 	return now.Before(c.servers[name].until)
 }
 
-// RefusedUntil returns when a backend server that refused work may get work again, the zero time if
-// it may now or has failed.
+// RefusedUntil returns when a backend server that refused work may get work again, the zero
+// time if it may now or has failed.
 func (c *Cooldowns) RefusedUntil(name string, now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
