--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -116,7 +116,7 @@
 		}
 		time.AfterFunc(2*propagationDelay/3, func() {
 			for _, f := range l.forward {
-				f.quarantine.Join(updates, time.Now())
+				f.quarantine.Merge(updates, time.Now())
 			}
 		})
 	}
@@ -261,8 +261,8 @@
 			}
 		}
 		fingerprint := req().Fingerprint()
-		f.quarantine.Ended(fingerprint, 1, quarantine.Likely, now)
-		f.quarantine.Ended(fingerprint, 2, quarantine.Likely, now)
+		f.quarantine.RecordEnd(fingerprint, 1, quarantine.Likely, now)
+		f.quarantine.RecordEnd(fingerprint, 2, quarantine.Likely, now)
 		err := apierror.From(f.Do(context.Background(), req(), &recordingSink{}))
 		require.Equal(t, apierror.Quarantined, err.Kind)
 		require.True(t, err.NotRun())
--- a/gateway/crash_test.go
+++ b/gateway/crash_test.go
@@ -103,7 +103,7 @@
 	env.servers("plain", "", "plain-1")
 	d := env.daemon("daemon-1", nil).ready(t, 1)
 	for s := range quarantine.Server(2) {
-		d.quarantine.Ended(7, s, quarantine.Likely, time.Now())
+		d.quarantine.RecordEnd(7, s, quarantine.Likely, time.Now())
 	}
 	srv := httptest.NewServer(adminHandler(http.NotFoundHandler(), d.Gateway))
 	t.Cleanup(srv.Close)
--- a/gateway/quarantine_sync.go
+++ b/gateway/quarantine_sync.go
@@ -114,7 +114,7 @@
 		_ = level.Error(q.logger).Log("msg", "invalid quarantine record ignored", "version", o.Version, "err", err)
 		return nil
 	}
-	q.registry.Join(entries, now)
+	q.registry.Merge(entries, now)
 	_ = level.Info(q.logger).Log("msg", "decision", "kind", "quarantine", "outcome", "read", "requests", len(entries), "version", o.Version)
 	return entries
 }
--- a/quarantine/record_test.go
+++ b/quarantine/record_test.go
@@ -11,9 +11,9 @@
 func TestRecordRestoresQuarantine(t *testing.T) {
 	now := time.UnixMilli(1_000_000_000_000)
 	r := NewRegistry(DefaultPolicy)
-	r.Ended(7, 1, Likely, now.Add(-3*time.Second))
-	r.Ended(7, 2, Likely, now.Add(-2*time.Second))
-	r.Ended(8, 1, Likely, now)
+	r.RecordEnd(7, 1, Likely, now.Add(-3*time.Second))
+	r.RecordEnd(7, 2, Likely, now.Add(-2*time.Second))
+	r.RecordEnd(8, 1, Likely, now)
 	held := r.Quarantined(now)
 	require.Len(t, held, 1, "one end does not quarantine a request")
 	data, err := EncodeRecord(held)
@@ -22,10 +22,10 @@
 	require.NoError(t, err)
 	require.True(t, SameQuarantined(held, entries))
 	restored := NewRegistry(DefaultPolicy)
-	restored.Join(entries, now)
+	restored.Merge(entries, now)
 	require.True(t, restored.Check(7, now).Quarantined)
 	require.False(t, restored.Check(7, now.Add(DefaultPolicy.Keep)).Quarantined, "the entry expires")
-	restored.Ended(7, 1, Likely, now.Add(-3*time.Second))
+	restored.RecordEnd(7, 1, Likely, now.Add(-3*time.Second))
 	require.Equal(t, 2, restored.Check(7, now).Ends, "an end that is in the record counts once")
 }
 
@@ -38,7 +38,7 @@
 	entries, err := DecodeRecord(data, now)
 	require.NoError(t, err)
 	r := NewRegistry(DefaultPolicy)
-	r.Join(entries, now)
+	r.Merge(entries, now)
 	require.True(t, r.Check(7, now).Quarantined)
 	require.False(t, r.Check(7, now.Add(DefaultPolicy.Keep)).Quarantined)
 }
--- a/quarantine/registry.go
+++ b/quarantine/registry.go
@@ -135,9 +135,9 @@
 	return &Registry{policy: p, entries: map[Fingerprint]*list.Element{}, order: list.New(), changed: make(chan struct{})}
 }
 
-// Ended records the end of a backend server to which a request had been sent, and returns
-// the resulting decision on the request.
-func (r *Registry) Ended(fp Fingerprint, s Server, w Weight, now time.Time) Decision {
+// RecordEnd records the end of a backend server to which a request had been sent, and
+// returns the resulting decision on the request.
+func (r *Registry) RecordEnd(fp Fingerprint, s Server, w Weight, now time.Time) Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.merge(Entry{Fingerprint: fp, Ends: []End{{Server: s, Weight: w, At: now}}}, now)
@@ -194,8 +194,8 @@
 	return d
 }
 
-// Join merges entries of another daemon.
-func (r *Registry) Join(entries []Entry, now time.Time) {
+// Merge merges entries of another daemon.
+func (r *Registry) Merge(entries []Entry, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range entries {
--- a/quarantine/registry_test.go
+++ b/quarantine/registry_test.go
@@ -18,11 +18,11 @@
 func TestRequestIsQuarantinedAfterTwoEnds(t *testing.T) {
 	r := NewRegistry(DefaultPolicy)
 	require.Equal(t, Decision{}, r.Admit(1, start))
-	require.False(t, r.Ended(1, 10, Likely, start).Quarantined, "another request may be the cause")
-	require.False(t, r.Ended(1, 10, Likely, after(time.Second)).Quarantined, "each backend server counts once")
+	require.False(t, r.RecordEnd(1, 10, Likely, start).Quarantined, "another request may be the cause")
+	require.False(t, r.RecordEnd(1, 10, Likely, after(time.Second)).Quarantined, "each backend server counts once")
 	require.False(t, r.Admit(1, after(time.Second)).Trial)
 
-	d := r.Ended(1, 11, Likely, after(time.Second))
+	d := r.RecordEnd(1, 11, Likely, after(time.Second))
 	require.True(t, d.Quarantined)
 	require.Equal(t, after(time.Second).Add(DefaultPolicy.TrialAfter), d.Until)
 	require.False(t, r.Admit(2, after(time.Second)).Quarantined, "other requests are not quarantined")
@@ -32,7 +32,7 @@
 	require.True(t, r.Admit(1, d.Until.Add(time.Second)).Quarantined, "one trial at a time")
 	require.True(t, r.Check(1, d.Until.Add(DefaultPolicy.TrialAfter)).Trial, "the trial had no result")
 
-	d = r.Ended(1, 12, Likely, d.Until)
+	d = r.RecordEnd(1, 12, Likely, d.Until)
 	require.True(t, d.Quarantined)
 	require.Equal(t, 3, d.Ends)
 	require.True(t, r.Admit(1, d.Until.Add(-time.Second)).Quarantined)
@@ -43,9 +43,9 @@
 func TestPossibleEndsHaveHalfWeight(t *testing.T) {
 	r := NewRegistry(DefaultPolicy)
 	for s := range Server(3) {
-		require.False(t, r.Ended(1, s, Possible, start).Quarantined)
+		require.False(t, r.RecordEnd(1, s, Possible, start).Quarantined)
 	}
-	require.True(t, r.Ended(1, 3, Possible, start).Quarantined)
+	require.True(t, r.RecordEnd(1, 3, Possible, start).Quarantined)
 }
 
 // Serving a request clears its earlier ends, even if an older report of them arrives again,
@@ -53,19 +53,19 @@
 func TestServedRequestIsCleared(t *testing.T) {
 	r, other := NewRegistry(DefaultPolicy), NewRegistry(DefaultPolicy)
 	require.False(t, r.Served(1, start), "no end was known")
-	r.Ended(1, 10, Likely, start)
-	r.Ended(1, 11, Likely, start)
+	r.RecordEnd(1, 10, Likely, start)
+	r.RecordEnd(1, 11, Likely, start)
 	old, _ := r.Since(0, 9)
 	require.True(t, r.Served(1, after(10*time.Second)))
 	require.False(t, r.Admit(1, after(10*time.Second)).Quarantined)
-	r.Join(old, after(11*time.Second))
+	r.Merge(old, after(11*time.Second))
 	require.False(t, r.Admit(1, after(11*time.Second)).Quarantined)
-	other.Join(old, after(11*time.Second))
+	other.Merge(old, after(11*time.Second))
 	entries, _ := r.Since(0, 9)
-	other.Join(entries, after(11*time.Second))
+	other.Merge(entries, after(11*time.Second))
 	require.False(t, other.Admit(1, after(11*time.Second)).Quarantined)
-	r.Ended(1, 12, Likely, after(12*time.Second))
-	require.True(t, r.Ended(1, 13, Likely, after(12*time.Second)).Quarantined)
+	r.RecordEnd(1, 12, Likely, after(12*time.Second))
+	require.True(t, r.RecordEnd(1, 13, Likely, after(12*time.Second)).Quarantined)
 }
 
 // A caller of Since receives each changed entry once, and eventually all of them.
@@ -73,17 +73,17 @@
 	r := NewRegistry(DefaultPolicy)
 	changed := r.Changed()
 	for p := range Fingerprint(5) {
-		r.Ended(p, 1, Likely, start)
+		r.RecordEnd(p, 1, Likely, start)
 	}
 	<-changed
 	first, at := r.Since(0, 3)
 	require.Len(t, first, 3)
-	r.Ended(0, 2, Likely, start)
+	r.RecordEnd(0, 2, Likely, start)
 	second, at := r.Since(at, 3)
 	require.Equal(t, []Fingerprint{3, 4, 0}, []Fingerprint{second[0].Fingerprint, second[1].Fingerprint, second[2].Fingerprint})
 	none, _ := r.Since(at, 3)
 	require.Empty(t, none)
-	r.Join(second, after(time.Millisecond))
+	r.Merge(second, after(time.Millisecond))
 	none, _ = r.Since(at, 3)
 	require.Empty(t, none, "known entries are not changes")
 }
@@ -93,10 +93,10 @@
 	p := DefaultPolicy
 	p.MaxEntries = 64
 	r := NewRegistry(p)
-	r.Ended(1, 1, Likely, start)
-	r.Ended(1, 2, Likely, start)
+	r.RecordEnd(1, 1, Likely, start)
+	r.RecordEnd(1, 2, Likely, start)
 	for n := range Fingerprint(10_000) {
-		r.Ended(100+n, 1, Likely, start)
+		r.RecordEnd(100+n, 1, Likely, start)
 		require.LessOrEqual(t, r.Size(), p.MaxEntries)
 	}
 	require.True(t, r.Check(1, start).Quarantined)
@@ -118,21 +118,21 @@
 			fp := fingerprints.Draw(t, "of")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				r.Ended(fp, Server(rapid.IntRange(0, 4).Draw(t, "server")), Likely, now)
+				r.RecordEnd(fp, Server(rapid.IntRange(0, 4).Draw(t, "server")), Likely, now)
 			case 1:
 				r.Served(fp, now)
 			case 2:
 				r.Admit(fp, now)
 			default:
 				entries, _ := r.Since(0, 99)
-				registries[rapid.IntRange(0, 2).Draw(t, "to")].Join(entries, now)
+				registries[rapid.IntRange(0, 2).Draw(t, "to")].Merge(entries, now)
 			}
 		}
 		for range 2 {
 			for _, from := range rapid.Permutation(registries).Draw(t, "order") {
 				entries, _ := from.Since(0, 99)
 				for _, to := range registries {
-					to.Join(entries, now)
+					to.Merge(entries, now)
 				}
 			}
 		}
--- a/relay/crashes.go
+++ b/relay/crashes.go
@@ -119,7 +119,7 @@
 		return
 	}
 	now := time.Now()
-	n.opts.Quarantine.Join(unpackCrashes(packed, now), now)
+	n.opts.Quarantine.Merge(unpackCrashes(packed, now), now)
 }
 
 // sendKnownCrashes sends all entries known so far.
--- a/relay/crashes_test.go
+++ b/relay/crashes_test.go
@@ -66,8 +66,8 @@
 	f := newCrashFleet(t, "d", "d", "d", "e", "e", "e")
 	time.Sleep(exchangeInterval) // wait for the links between the domains
 	began := time.Now().Add(-time.Second)
-	f.registries[2].Ended(7, 1, quarantine.Likely, began)
-	f.registries[5].Ended(7, 2, quarantine.Likely, began)
+	f.registries[2].RecordEnd(7, 1, quarantine.Likely, began)
+	f.registries[5].RecordEnd(7, 2, quarantine.Likely, began)
 	// Two steps up, the exchange, and two steps down.
 	require.Eventually(t, func() bool { return f.quarantinedBy(7) == 6 }, exchangeInterval+8*minCrashInterval+400*time.Millisecond, time.Millisecond)
 	require.Zero(t, f.quarantinedBy(8))
@@ -93,7 +93,7 @@
 			fingerprint := quarantine.Fingerprint(rapid.IntRange(1, 3).Draw(t, "print"))
 			server := quarantine.Server(rapid.Uint32().Draw(t, "server"))
 			weight := quarantine.Weight(rapid.IntRange(1, 2).Draw(t, "weight"))
-			registry.Ended(fingerprint, server, weight, now)
+			registry.RecordEnd(fingerprint, server, weight, now)
 			if rapid.Bool().Draw(t, "tried") {
 				registry.Admit(fingerprint, now.Add(quarantine.DefaultPolicy.TrialAfter))
 			}
@@ -104,7 +104,7 @@
 		f, err := decodeFrame(data)
 		require.NoError(t, err)
 		at := time.Now()
-		other.Join(unpackCrashes(f.Crashes, at), at)
+		other.Merge(unpackCrashes(f.Crashes, at), at)
 		for fingerprint := range quarantine.Fingerprint(4) {
 			require.Equal(t, registry.Check(fingerprint, now).Score, other.Check(fingerprint, now).Score)
 		}
@@ -123,7 +123,7 @@
 func TestCrashFramesAreBounded(t *testing.T) {
 	registry := quarantine.NewRegistry(quarantine.DefaultPolicy)
 	for range 130 {
-		registry.Ended(quarantine.Fingerprint(rand.Uint64()), quarantine.Server(rand.Uint32()), quarantine.Likely, time.Now())
+		registry.RecordEnd(quarantine.Fingerprint(rand.Uint64()), quarantine.Server(rand.Uint32()), quarantine.Likely, time.Now())
 	}
 	var reporter crashReporter
 	bytes, messages := 0, 0
