--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -136,7 +136,7 @@
 	if p.down[daemon] {
 		return Result{}, errUnreachable
 	}
-	result, err := p.registries[daemon].Serve(ctx, r)
+	result, err := p.registries[daemon].ServePropose(ctx, r)
 	if rand.Float64() < p.failureRate {
 		return Result{}, errUnreachable
 	}
--- a/claims/log.go
+++ b/claims/log.go
@@ -165,9 +165,9 @@
 	Skew      time.Duration // maximum clock skew of callers
 }
 
-// Oldest returns the time before which claims are dropped, in Unix milliseconds.
+// Cutoff returns the time before which claims are dropped, in Unix milliseconds.
 // A key from before that time is refused whatever the caller's clock shows within
 // the allowed skew.
-func (w Window) Oldest(now time.Time) int64 {
+func (w Window) Cutoff(now time.Time) int64 {
 	return now.Add(-w.Retention - 2*w.Skew).UnixMilli()
 }
--- a/claims/registry.go
+++ b/claims/registry.go
@@ -270,8 +270,8 @@
 	}
 }
 
-// Serve handles Peers.Propose of another daemon.
-func (reg *Registry) Serve(ctx context.Context, r Record) (Result, error) {
+// ServePropose handles Peers.Propose of another daemon.
+func (reg *Registry) ServePropose(ctx context.Context, r Record) (Result, error) {
 	return reg.shards[ShardOf(r.Key, reg.opts.Shards)].ProposeFor(ctx, r)
 }
 
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -233,7 +233,7 @@
 // earlier in the group.
 func (s *Shard) decide(group []*proposal) (Batch, map[int]Record) {
 	batch := Batch{ID: rand.Uint64()}
-	oldest := s.window.Oldest(time.Now())
+	oldest := s.window.Cutoff(time.Now())
 	conflicts := map[int]Record{}
 	claimed := map[KeyHash]Record{}
 	for i, p := range group {
@@ -298,7 +298,7 @@
 // splitExpired separates the segments to keep from the segments in which all keys
 // have expired.
 func (s *Shard) splitExpired(refs []SegmentRef) (keep, drop []SegmentRef) {
-	oldest := s.window.Oldest(time.Now())
+	oldest := s.window.Cutoff(time.Now())
 	for _, r := range refs {
 		if r.Newest < oldest {
 			drop = append(drop, r)
@@ -320,7 +320,7 @@
 		}
 		cancel()
 	}
-	s.index.dropBefore(s.window.Oldest(time.Now()))
+	s.index.dropBefore(s.window.Cutoff(time.Now()))
 }
 
 // refresh reads the head and the segments that are not in the index.
--- a/peer/rpc.go
+++ b/peer/rpc.go
@@ -92,7 +92,7 @@
 
 // ClaimServer serves the calls of other daemons about claims.
 type ClaimServer interface {
-	Serve(ctx context.Context, r claims.Record) (claims.Result, error)
+	ServePropose(ctx context.Context, r claims.Record) (claims.Result, error)
 	ServeAnswer(ctx context.Context, k claims.KeyHash, requestID string) (*claims.Answer, error)
 }
 
@@ -103,7 +103,7 @@
 		if !n.readCall(w, r, &in) {
 			return
 		}
-		result, err := server.Serve(r.Context(), in)
+		result, err := server.ServePropose(r.Context(), in)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
