--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -124,7 +124,7 @@
 	changed := false
 	s := t.servers[st.BackendServer]
 	if s != nil {
-		s.Report(st.InFlight, now.Add(-time.Duration(st.LoadAge*float64(time.Second))))
+		s.ApplyLoad(st.InFlight, now.Add(-time.Duration(st.LoadAge*float64(time.Second))))
 		changed = t.setMeasured(s, st.Capacity)
 	} else if len(t.reported) >= maxReported {
 		return false
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -73,9 +73,9 @@
 	s := tb.Server("a")
 	now := time.Now()
 	s.Acquire()
-	s.Report(9, now)
+	s.ApplyLoad(9, now)
 	require.InDelta(t, 9, s.Load(now), 0.01)
 	require.InDelta(t, 5, s.Load(now.Add(loadHalfLife)), 0.01)
-	s.Report(100, now.Add(-time.Second))
+	s.ApplyLoad(100, now.Add(-time.Second))
 	require.InDelta(t, 9, s.Load(now), 0.01, "an older report is ignored")
 }
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -71,9 +71,9 @@
 // up.
 func (s *Server) Weight() float64 { return math.Float64frombits(s.weight.Load()) }
 
-// Report stores a load report unless a newer one is known. inFlight counts the
+// ApplyLoad stores a load report unless a newer one is known. inFlight counts the
 // requests of all daemons at the given time.
-func (s *Server) Report(inFlight int, at time.Time) {
+func (s *Server) ApplyLoad(inFlight int, at time.Time) {
 	if old := s.report.Load(); old != nil && !at.After(old.at) {
 		return
 	}
--- a/monitor/hops.go
+++ b/monitor/hops.go
@@ -14,7 +14,7 @@
 func (m *Monitor) ObserveLoad(l backend.HopLoad) {
 	now := m.Clock()
 	if s := m.Table.Server(l.BackendServer); s != nil {
-		s.Report(l.InFlight, now.Add(-seconds(l.AgeSeconds)))
+		s.ApplyLoad(l.InFlight, now.Add(-seconds(l.AgeSeconds)))
 	}
 	if l.Capacity > 0 {
 		m.Table.SetCapacity(l.BackendServer, l.Capacity)
