--- a/forward/backend.go
+++ b/forward/backend.go
@@ -71,15 +71,15 @@
 
 // Report is the state that a backend server reports.
 type Report struct {
-	Held    site.Range
-	Busy    bool    // an order is in progress
-	Orders  uint64  // number of accepted orders
-	Waiting int     // number of waiting requests
-	Running int     // number of running requests
-	KVUsed  float64 // memory of requests, in tokens x layers
-	KVTotal float64 // memory for requests, in tokens x layers
-	Pace    float64 // slowdown, above 1 for a slow server
-	Stalled []Stall
+	Held     site.Range
+	Busy     bool    // an order is in progress
+	Orders   uint64  // number of accepted orders
+	Waiting  int     // number of waiting requests
+	Running  int     // number of running requests
+	KVUsed   float64 // memory of requests, in tokens x layers
+	KVTotal  float64 // memory for requests, in tokens x layers
+	Slowdown float64 // slowdown, above 1 for a slow server
+	Stalled  []Stall
 }
 
 // CallKind is the kind of a call from a daemon to a backend server.
--- a/forward/conditions.go
+++ b/forward/conditions.go
@@ -185,7 +185,7 @@
 		return relay.Condition{}, ErrNoPermit // reports would use up its limit
 	}
 	r, err := f.ask(ctx, s)
-	c := relay.Condition{Slowdown: r.Pace, Waiting: r.Waiting}
+	c := relay.Condition{Slowdown: r.Slowdown, Waiting: r.Waiting}
 	if r.KVTotal > 0 {
 		c.MemoryUsed = r.KVUsed / r.KVTotal
 	}
--- a/forward/live.go
+++ b/forward/live.go
@@ -183,7 +183,7 @@
 func (f *Forwarder) ask(ctx context.Context, s *site.BackendServer) (Report, error) {
 	return f.reports.get(s.ID, func() (Report, error) {
 		r, err := f.backends.Report(context.WithoutCancel(ctx), s)
-		f.log.Add("ask", "server", s.ID, "address", s.Address, "running", r.Running, "waiting", r.Waiting, "pace", r.Pace,
+		f.log.Add("ask", "server", s.ID, "address", s.Address, "running", r.Running, "waiting", r.Waiting, "pace", r.Slowdown,
 			"kv_used", int(r.KVUsed), "kv_total", int(r.KVTotal), "stalled", len(r.Stalled), "err", err)
 		return r, err
 	})
