--- a/forward/backend.go
+++ b/forward/backend.go
@@ -78,7 +78,7 @@
 	Running  int     // number of running requests
 	KVUsed   float64 // memory of requests, in tokens x layers
 	KVTotal  float64 // memory for requests, in tokens x layers
-	Slowdown float64 // slowdown, above 1 for a slow server
+	Slowdown float64 // above 1 for a slow server
 	Stalled  []Stall
 }
 
