--- a/gateway/env_test.go
+++ b/gateway/env_test.go
@@ -86,7 +86,7 @@
 	set := site.Settings{
 		FirstStart: true,
 		Name:       name, IP: "127.0.0.1", FailureDomain: "domain-1", Callers: "127.0.0.1:0", Readiness: "127.0.0.1:0",
-		Store: env.store.Address(), Grace: 8 * time.Second, FailClosed: true, RevokeWithin: 5 * time.Second,
+		Store: env.store.Address(), Grace: 8 * time.Second, FailClosed: true, MaxRevocationDelay: 5 * time.Second,
 		RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second,
 	}
 	if change != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -138,7 +138,7 @@
 		Limits: limits, Sends: sends, Permits: permits{g}})
 	g.backends.OnLimit(g.forward.ApplyLimit)
 	g.relay = relay.New(relay.Options{
-		Name: set.Name, Domain: set.FailureDomain, ConfigWithin: set.ConfigWithin, ConditionReader: g.forward, Quarantine: registry, Stalls: stalls, BeforeStore: g.quarantineSync.load,
+		Name: set.Name, Domain: set.FailureDomain, MaxConfigDelay: set.MaxConfigDelay, ConditionReader: g.forward, Quarantine: registry, Stalls: stalls, BeforeStore: g.quarantineSync.load,
 		Restored: func() bool { return g.store.Era() > store.FirstEra },
 	}, g.inv, g.forward.Loads(), g.members, g.log)
 	g.permits = permit.New(permit.Options{
@@ -174,7 +174,7 @@
 	if !set.FailClosed {
 		return 0
 	}
-	return max(set.RevokeWithin-revocationMargin, set.RevokeWithin/2)
+	return max(set.MaxRevocationDelay-revocationMargin, set.MaxRevocationDelay/2)
 }
 
 // leaseStore reads leases with cheap stale reads. This is safe since the
--- a/gateway/planned_test.go
+++ b/gateway/planned_test.go
@@ -55,7 +55,7 @@
 	env := newTestEnv(t)
 	env.putConfig()
 	servers := env.servers("plain", "", "plain-1")
-	d := env.daemon("daemon-1", func(s *site.Settings) { s.RevokeWithin = 2500 * time.Millisecond }).ready(t, 1)
+	d := env.daemon("daemon-1", func(s *site.Settings) { s.MaxRevocationDelay = 2500 * time.Millisecond }).ready(t, 1)
 	env.store.SetMode(standin.Silent)
 	silent := time.Now()
 	require.Eventually(t, func() bool {
--- a/relay/follow.go
+++ b/relay/follow.go
@@ -27,11 +27,11 @@
 // searchSource searches for a healthy source before a daemon that is not among the first
 // of its domain follows the store itself. It searches while an earlier daemon of its
 // domain is starting or has lost the store, and stops early enough for a configuration to
-// be in force within ConfigWithin. While daemons of several domains have lost the store,
+// be in force within MaxConfigDelay. While daemons of several domains have lost the store,
 // it searches for up to maxOutageSearch. It reports whether a source was found.
 func (n *Node) searchSource(ctx context.Context) bool {
 	began := time.Now()
-	bound := n.opts.ConfigWithin - contactTimeout(n.opts.ConfigWithin) - maxSwitchDelay
+	bound := n.opts.MaxConfigDelay - contactTimeout(n.opts.MaxConfigDelay) - maxSwitchDelay
 	interval := searchInterval
 	for len(n.candidates()) >= sourcesPerDomain && time.Since(began) < bound {
 		if !wait.For(ctx, min(interval/2+rand.N(interval), bound-time.Since(began))) {
--- a/relay/node.go
+++ b/relay/node.go
@@ -31,9 +31,9 @@
 	FanOut int // maximum followers of a daemon, 0 for defaultFanOut
 	// Connect opens a connection to another daemon, nil for net.Dialer.
 	Connect func(ctx context.Context, network, address string) (net.Conn, error)
-	// ConfigWithin is the time within which a configuration must be in force, 0 for
+	// MaxConfigDelay is the time within which a configuration must be in force, 0 for
 	// defaultConfigDelay.
-	ConfigWithin time.Duration
+	MaxConfigDelay time.Duration
 	// ConditionReader queries backend servers that may be slow or saturated, nil for none.
 	ConditionReader ConditionReader
 	// Quarantine is kept in sync with those of the other daemons, nil for none.
@@ -93,8 +93,8 @@
 	if o.FanOut == 0 {
 		o.FanOut = defaultFanOut
 	}
-	if o.ConfigWithin == 0 {
-		o.ConfigWithin = defaultConfigDelay
+	if o.MaxConfigDelay == 0 {
+		o.MaxConfigDelay = defaultConfigDelay
 	}
 	return &Node{
 		opts: o, inv: inv, loadExchange: loadExchange, members: m, logger: logger, followerLoads: newLoadTable(), dialer: NewDialer(o.Connect, o.Stalls), conditions: newConditionRegistry(),
@@ -129,7 +129,7 @@
 // store, or a source that does, and the store answered within contactTimeout.
 func (n *Node) healthy(now time.Time) bool {
 	ago, ok := n.sinceContact(now)
-	return ok && ago < contactTimeout(n.opts.ConfigWithin)
+	return ok && ago < contactTimeout(n.opts.MaxConfigDelay)
 }
 
 // sinceContact returns how long ago the store last answered this daemon or its source. ok
--- a/relay/outage_test.go
+++ b/relay/outage_test.go
@@ -34,8 +34,8 @@
 
 // startDomain starts the daemons of a domain with a bound on configurations and waits until
 // they have one.
-func startDomain(t *testing.T, daemons int, configWithin time.Duration) *chain {
-	c := newChainOf(t, daemons, &fakeStore{version: 1}, Options{ConfigWithin: configWithin})
+func startDomain(t *testing.T, daemons int, maxConfigDelay time.Duration) *chain {
+	c := newChainOf(t, daemons, &fakeStore{version: 1}, Options{MaxConfigDelay: maxConfigDelay})
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	return c
 }
@@ -72,7 +72,7 @@
 	t.Parallel()
 	s := &fakeStore{version: 1}
 	other := startOnlyDaemon(t, "e-000", "e", s)
-	c := newChainOf(t, 6, s, Options{ConfigWithin: 4 * time.Second}, other)
+	c := newChainOf(t, 6, s, Options{MaxConfigDelay: 4 * time.Second}, other)
 	require.Eventually(t, func() bool { return c.allHave(1, -1) && c.storeFollowers() == daemonName(0) }, 6*time.Second, 10*time.Millisecond)
 	s.setUnavailable(true)
 	time.AfterFunc(6*time.Second, func() { s.setUnavailable(false) })
@@ -84,7 +84,7 @@
 	inv := newFakeInventory(s)
 	server := httptest.NewUnstartedServer(nil)
 	self := Member{Name: name, Domain: domain, Address: server.Listener.Addr().String()}
-	node := New(Options{Name: name, Domain: domain, ConfigWithin: 4 * time.Second}, inv, inv, memberList{self}, log.NewNopLogger())
+	node := New(Options{Name: name, Domain: domain, MaxConfigDelay: 4 * time.Second}, inv, inv, memberList{self}, log.NewNopLogger())
 	start(t, node, server)
 	return self
 }
--- a/relay/session.go
+++ b/relay/session.go
@@ -228,7 +228,7 @@
 	if !ok {
 		return nil
 	}
-	if p.SinceContact > contactTimeout(s.node.opts.ConfigWithin) {
+	if p.SinceContact > contactTimeout(s.node.opts.MaxConfigDelay) {
 		return errStale
 	}
 	if s.probe != nil {
--- a/relay/source.go
+++ b/relay/source.go
@@ -225,7 +225,7 @@
 			n.followerLoads.put(follower, loadReport{at: now, domain: p.Domain, loads: p.report(&fromFollower, n.serverNames())})
 		}
 		sinceContact, ok := n.sinceContact(now)
-		if !ok || sinceContact >= contactTimeout(n.opts.ConfigWithin) {
+		if !ok || sinceContact >= contactTimeout(n.opts.MaxConfigDelay) {
 			return // closes the link, so that the follower leaves at once
 		}
 		answer := &pong{Number: p.Number, Age: n.inv.Age(now), SinceContact: sinceContact, Version: n.inv.State().ConfigVersion}
--- a/trial/site.go
+++ b/trial/site.go
@@ -58,7 +58,7 @@
 	for i := range onceDaemons {
 		set := site.Settings{
 			Name: fmt.Sprintf("daemon-%d", i), IP: "127.0.0.1", FailureDomain: []string{"a", "b"}[i%2], Callers: "127.0.0.1:0",
-			Readiness: "127.0.0.1:0", Store: s.Store.Address(), Grace: 8 * time.Second, FailClosed: true, RevokeWithin: 5 * time.Second,
+			Readiness: "127.0.0.1:0", Store: s.Store.Address(), Grace: 8 * time.Second, FailClosed: true, MaxRevocationDelay: 5 * time.Second,
 			RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second,
 		}
 		g, err := gateway.New(gateway.Options{Load: func() (site.Settings, error) { return set, nil }}, logs)
