--- a/claims/shard.go
+++ b/claims/shard.go
@@ -233,7 +233,7 @@
 // earlier in the group.
 func (s *Shard) decide(group []*proposal) (Batch, map[int]Record) {
 	batch := Batch{ID: rand.Uint64()}
-	oldest := s.window.Cutoff(time.Now())
+	cutoff := s.window.Cutoff(time.Now())
 	conflicts := map[int]Record{}
 	claimed := map[KeyHash]Record{}
 	for i, p := range group {
@@ -243,7 +243,7 @@
 			continue
 		}
 		held, taken := s.index.Get(r.Key)
-		taken = taken && held.At >= oldest
+		taken = taken && held.At >= cutoff
 		if !taken {
 			held, taken = claimed[r.Key]
 		}
@@ -298,9 +298,9 @@
 // splitExpired separates the segments to keep from the segments in which all keys
 // have expired.
 func (s *Shard) splitExpired(refs []SegmentRef) (keep, drop []SegmentRef) {
-	oldest := s.window.Cutoff(time.Now())
+	cutoff := s.window.Cutoff(time.Now())
 	for _, r := range refs {
-		if r.Newest < oldest {
+		if r.Newest < cutoff {
 			drop = append(drop, r)
 			continue
 		}
