--- a/forward/backend.go
+++ b/forward/backend.go
@@ -99,7 +99,7 @@
 	Call      CallKind
 	RequestID string    // empty unless Call is CallRequest
 	Ran       bool      // the backend server ran the request
-	Named     bool      // the answer states a limit
+	Stated    bool      // the answer states a limit
 	Rate      float64   // the limit in requests per second, if stated
 	SentAt    time.Time // on the clock of package boottime
 }
--- a/forward/limits.go
+++ b/forward/limits.go
@@ -11,10 +11,10 @@
 // a limit. Only the answer to a request that ran ends a limit by not stating one, since
 // refusals, reports and answers to orders may omit it.
 func (f *Forwarder) ApplyLimit(report LimitReport) {
-	if !report.Named && !(report.Call == CallRequest && report.Ran) {
+	if !report.Stated && !(report.Call == CallRequest && report.Ran) {
 		return
 	}
-	update := quota.LimitReport{Server: report.Server, Stated: report.Named, Rate: report.Rate, SentAt: report.SentAt, At: boottime.Now()}
+	update := quota.LimitReport{Server: report.Server, Stated: report.Stated, Rate: report.Rate, SentAt: report.SentAt, At: boottime.Now()}
 	f.applyLimit(update, "by", report.Call, "request", report.RequestID)
 }
 
--- a/forward/outcome_test.go
+++ b/forward/outcome_test.go
@@ -158,7 +158,7 @@
 		f.permits = &scriptedPermits{script: rapid.SliceOfN(rapid.Bool(), 0, 6).Draw(t, "permits")}
 		for id := range f.inv.View().Servers {
 			if rapid.Bool().Draw(t, "limited") {
-				f.ApplyLimit(LimitReport{Server: id, Call: CallReport, Named: true, Rate: 1, SentAt: boottime.Now()})
+				f.ApplyLimit(LimitReport{Server: id, Call: CallReport, Stated: true, Rate: 1, SentAt: boottime.Now()})
 			}
 		}
 		before := invariant.Total()
