--- a/quota/limits.go
+++ b/quota/limits.go
@@ -32,7 +32,7 @@
 // The changes.
 const (
 	Unchanged Change = iota
-	Learnt
+	Learned
 	Changed
 	Ended
 )
@@ -100,7 +100,7 @@
 	switch c {
 	case Unchanged:
 		return
-	case Learnt:
+	case Learned:
 		l.known++
 	case Ended:
 		l.known--
@@ -141,7 +141,7 @@
 	c := Unchanged
 	switch {
 	case stated && !s.stated:
-		c = Learnt
+		c = Learned
 		s.limit = Limit{Server: server, Rate: rate, Since: now, At: now}
 	case stated && s.limit.Rate != rate:
 		c = Changed
@@ -178,7 +178,7 @@
 	s.stated, s.sentAt = true, r.SentAt
 	switch {
 	case !was:
-		return Learnt
+		return Learned
 	case r.Rate != before.Rate:
 		s.limit.Since = before.Since
 		return Changed
--- a/quota/limits_test.go
+++ b/quota/limits_test.go
@@ -15,7 +15,7 @@
 		return c
 	}
 	require.Equal(t, Unchanged, observe(false, 0, 0, 10), "no limit was stated")
-	require.Equal(t, Learnt, observe(true, 4, 0, 20))
+	require.Equal(t, Learned, observe(true, 4, 0, 20))
 	require.Equal(t, Unchanged, observe(false, 0, 15, 30), "the request was sent before the limit was stated")
 	require.Equal(t, Unchanged, observe(true, 4, 25, 40))
 	require.Equal(t, Changed, observe(true, 0, 30, 50), "zero is a limit")
@@ -23,7 +23,7 @@
 	require.True(t, known)
 	require.Equal(t, Limit{Server: "s", Rate: 0, Since: at(20), At: at(50)}, l)
 	require.Equal(t, Ended, observe(false, 0, 51, 60))
-	require.Equal(t, Learnt, observe(true, 1, 60, 70))
+	require.Equal(t, Learned, observe(true, 1, 60, 70))
 	require.Equal(t, 1, limits.Size())
 	limits.Forget(func(string) bool { return false }, t0)
 	require.Zero(t, limits.Size())
