--- a/forward/backend.go
+++ b/forward/backend.go
@@ -71,15 +71,15 @@
 
 // Report is the state that a backend server reports.
 type Report struct {
-	Held    site.Range
-	Busy    bool    // an order is in progress
-	Orders  uint64  // number of accepted orders
-	Waiting int     // number of waiting requests
-	Running int     // number of running requests
-	KVUsed  float64 // memory of requests, in tokens x layers
-	KVTotal float64 // memory for requests, in tokens x layers
-	Pace    float64 // slowdown, above 1 for a slow server
-	Stalled []Stall
+	Held     site.Range
+	Busy     bool    // an order is in progress
+	Orders   uint64  // number of accepted orders
+	Waiting  int     // number of waiting requests
+	Running  int     // number of running requests
+	KVUsed   float64 // memory of requests, in tokens x layers
+	KVTotal  float64 // memory for requests, in tokens x layers
+	Slowdown float64 // above 1 for a slow server
+	Stalled  []Stall
 }
 
 // CallKind is the kind of a call from a daemon to a backend server.
@@ -99,7 +99,7 @@
 	Call      CallKind
 	RequestID string    // empty unless Call is CallRequest
 	Ran       bool      // the backend server ran the request
-	Named     bool      // the answer states a limit
+	Stated    bool      // the answer states a limit
 	Rate      float64   // the limit in requests per second, if stated
 	SentAt    time.Time // on the clock of package boottime
 }
@@ -165,6 +165,6 @@
 	Head(status int, h http.Header) error
 	// Events writes complete events, byte for byte.
 	Events(p []byte) error
-	// Whole writes a complete answer.
-	Whole(status int, h http.Header, body []byte) error
+	// Complete writes a complete answer.
+	Complete(status int, h http.Header, body []byte) error
 }
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -22,7 +22,7 @@
 			if limited {
 				f.permits = allPermits{}
 				for id := range f.inv.View().Servers {
-					f.ApplyLimit(LimitReport{Server: id, Call: CallReport, Named: true, Rate: 1e9, SentAt: boottime.Now()})
+					f.ApplyLimit(LimitReport{Server: id, Call: CallReport, Stated: true, Rate: 1e9, SentAt: boottime.Now()})
 				}
 			}
 			b.ReportAllocs()
@@ -30,7 +30,7 @@
 				now := time.Now()
 				err := f.Do(context.Background(), &Request{
 					ID: "r", Service: "cards", Received: now, Deadline: now.Add(3 * time.Second),
-					Route: &site.Route{Repeat: site.Safe, MaxAttempts: 2, Timeout: 3 * time.Second},
+					Route: &site.Route{Kind: site.Safe, MaxAttempts: 2, Timeout: 3 * time.Second},
 				}, &recordingSink{})
 				require.NoError(b, err)
 			}
@@ -54,12 +54,12 @@
 			f := l.forward[0]
 			r := &run{f: f, engine: l.engine, req: &Request{
 				ID: "r", Service: labService, Prompt: labPrompt, Received: time.Now(), Deadline: time.Now().Add(time.Minute),
-				Route: &site.Route{Repeat: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second},
+				Route: &site.Route{Kind: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second},
 			}}
 			for id, s := range l.view.Servers {
 				if denied > 0 && s.Held.Has(0) {
 					denied--
-					f.ApplyLimit(LimitReport{Server: id, Call: CallReport, Named: true, Rate: 1, SentAt: boottime.Now()})
+					f.ApplyLimit(LimitReport{Server: id, Call: CallReport, Stated: true, Rate: 1, SentAt: boottime.Now()})
 					f.denials.Add(r.class(), quota.Decision{Server: id, After: time.Hour, RetryAfter: time.Hour}, boottime.Now())
 				}
 			}
--- a/forward/crash.go
+++ b/forward/crash.go
@@ -99,7 +99,7 @@
 }
 
 // isStream reports whether the request is a stream of a service with an engine.
-func (r *run) isStream() bool { return r.engine != nil && r.req.Route.Repeat == site.Stream }
+func (r *run) isStream() bool { return r.engine != nil && r.req.Route.Kind == site.Stream }
 
 // admit refuses a quarantined request.
 func (r *run) admit(now time.Time) error {
@@ -154,7 +154,7 @@
 	if !hasEnded(r.f.probe(context.WithoutCancel(ctx), s)) {
 		return false
 	}
-	d := r.f.quarantine.Ended(r.fingerprint, quarantineServer(s), stage.weight(r.isStream()), time.Now())
+	d := r.f.quarantine.RecordEnd(r.fingerprint, quarantineServer(s), stage.weight(r.isStream()), time.Now())
 	r.f.log.Add("ended", "server", s.ID, "address", s.Address, "request", r.req.ID, "fingerprint", r.fingerprint, "stage", string(stage),
 		"ends", d.Ends, "score", d.Score, "held", d.Quarantined)
 	r.f.observer.ServerEnded()
--- a/forward/crash_test.go
+++ b/forward/crash_test.go
@@ -116,7 +116,7 @@
 		}
 		time.AfterFunc(2*propagationDelay/3, func() {
 			for _, f := range l.forward {
-				f.quarantine.Join(updates, time.Now())
+				f.quarantine.Merge(updates, time.Now())
 			}
 		})
 	}
@@ -130,7 +130,7 @@
 		now := time.Now()
 		req := &Request{
 			ID: fmt.Sprint(body, n), Body: []byte(body), Service: labService, Received: now, Deadline: now.Add(20 * time.Second), Prompt: labPrompt,
-			Route: &site.Route{Repeat: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
+			Route: &site.Route{Kind: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
 		}
 		err := l.forward[n%len(l.forward)].Do(ctx, req, &labCaller{lab: l, sent: now})
 		pause = crashInterval
@@ -212,7 +212,7 @@
 // far fewer than without a quarantine. Few other requests are quarantined.
 func TestFleetQuarantinesCrashingRequests(t *testing.T) {
 	noQuarantine := quarantine.DefaultPolicy
-	noQuarantine.HoldFrom, noQuarantine.HoldAll = 1000, 1000
+	noQuarantine.QuarantineScore, noQuarantine.NoTrialScore = 1000, 1000
 	for _, c := range []struct{ daemons, requests int }{{3, 1}, {8, 3}, {300, 1}} {
 		t.Run(fmt.Sprintf("daemons=%d/requests=%d", c.daemons, c.requests), func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
@@ -257,12 +257,12 @@
 		req := func() *Request {
 			return &Request{
 				ID: "r", Body: []byte("b"), Service: "cards", Received: time.Now(), Deadline: time.Now().Add(20 * time.Second),
-				Route: &site.Route{Repeat: site.Safe, MaxAttempts: 3, Timeout: 3 * time.Second},
+				Route: &site.Route{Kind: site.Safe, MaxAttempts: 3, Timeout: 3 * time.Second},
 			}
 		}
 		fingerprint := req().Fingerprint()
-		f.quarantine.Ended(fingerprint, 1, quarantine.Likely, now)
-		f.quarantine.Ended(fingerprint, 2, quarantine.Likely, now)
+		f.quarantine.RecordEnd(fingerprint, 1, quarantine.Likely, now)
+		f.quarantine.RecordEnd(fingerprint, 2, quarantine.Likely, now)
 		err := apierror.From(f.Do(context.Background(), req(), &recordingSink{}))
 		require.Equal(t, apierror.Quarantined, err.Kind)
 		require.True(t, err.NotRun())
--- a/forward/limits_test.go
+++ b/forward/limits_test.go
@@ -24,7 +24,7 @@
 	limitPropagation  = 100 * time.Millisecond // until all daemons know a limit
 	permitLatency     = 3 * time.Millisecond   // until a daemon has a permit
 	sharePollInterval = 500 * time.Millisecond
-	lendDuration      = 1500 * time.Millisecond
+	contributionTTL   = 1500 * time.Millisecond
 	limitStart        = 4 * time.Second // from the start of the run until heads state limits
 	limitRunLength    = 14 * time.Second
 	limitGrace        = 3 * time.Second // until a stated limit must be kept
@@ -59,7 +59,7 @@
 	b.mu.Unlock()
 	a, err := b.lab.Send(ctx, o)
 	if err == nil {
-		b.forward[b.daemon].ApplyLimit(LimitReport{Server: o.Server.ID, Call: CallRequest, Ran: !a.NotRun, Named: named, Rate: rate, SentAt: sentAt})
+		b.forward[b.daemon].ApplyLimit(LimitReport{Server: o.Server.ID, Call: CallRequest, Ran: !a.NotRun, Stated: named, Rate: rate, SentAt: sentAt})
 	}
 	return a, err
 }
@@ -117,13 +117,13 @@
 	for wait.For(ctx, sharePollInterval) {
 		now := boottime.Now()
 		for n := range l.forward[1:] {
-			l.pools[n+1].Lend(daemonName(0), now.Add(lendDuration), now)
+			l.pools[n+1].ContributeTo(daemonName(0), now.Add(contributionTTL), now)
 			sent := map[string]int{}
 			for _, limit := range l.limits[n+1].All() {
 				sent[limit.Server] = l.forward[n+1].sends.Recent(limit.Server, now)
 			}
 			l.pools[0].Polled(daemonName(n + 1))
-			l.pools[0].Contribute(daemonName(n+1), now.Add(lendDuration), sent)
+			l.pools[0].AddContribution(daemonName(n+1), now.Add(contributionTTL), sent)
 		}
 	}
 }
@@ -165,7 +165,7 @@
 	now := time.Now()
 	req := &Request{
 		ID: fmt.Sprint("r", n), Body: fmt.Appendf(nil, "body %d", n), Service: labService, Received: now, Deadline: now.Add(20 * time.Second), Prompt: labPrompt,
-		Route: &site.Route{Repeat: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
+		Route: &site.Route{Kind: site.Stream, Resumable: true, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 500 * time.Millisecond},
 	}
 	got := &labCaller{lab: l.lab, sent: now}
 	err := l.forward[n%len(l.forward)].Do(context.Background(), req, got)
@@ -305,7 +305,7 @@
 		for _, s := range l.view.Servers {
 			head = s
 		}
-		f.ApplyLimit(LimitReport{Server: head.ID, Call: CallReport, Named: true, Rate: rate, SentAt: boottime.Now()})
+		f.ApplyLimit(LimitReport{Server: head.ID, Call: CallReport, Stated: true, Rate: rate, SentAt: boottime.Now()})
 		requests, reports, orders := 0, 0, 0
 		for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 			for range 3 {
--- a/forward/refuse_test.go
+++ b/forward/refuse_test.go
@@ -17,9 +17,9 @@
 // discardSink discards the answer. It implements Sink.
 type discardSink struct{}
 
-func (discardSink) Head(int, http.Header) error          { return nil }
-func (discardSink) Whole(int, http.Header, []byte) error { return nil }
-func (discardSink) Events([]byte) error                  { return nil }
+func (discardSink) Head(int, http.Header) error             { return nil }
+func (discardSink) Complete(int, http.Header, []byte) error { return nil }
+func (discardSink) Events([]byte) error                     { return nil }
 
 // requestRefusal sends one request and returns the time to its refusal and the error.
 func requestRefusal(t *testing.T, f *Forwarder) (time.Duration, *apierror.Error) {
@@ -27,7 +27,7 @@
 	now := time.Now()
 	err := f.Do(context.Background(), &Request{
 		ID: "r", Service: labService, Received: now, Deadline: now.Add(20 * time.Second), Prompt: labPrompt,
-		Route: &site.Route{Repeat: site.Stream, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 2 * time.Second},
+		Route: &site.Route{Kind: site.Stream, MaxAttempts: 2, Timeout: 20 * time.Second, Objective: 2 * time.Second},
 	}, discardSink{})
 	var refusal *apierror.Error
 	require.True(t, errors.As(err, &refusal), "%v", err)
@@ -75,8 +75,8 @@
 		now := time.Now()
 		l.eachHead(func(id string) { f.health.Refuse(id, now.Add(time.Second)) })
 		after := f.retryAfter(labService, now)
-		require.GreaterOrEqual(t, after, time.Second+cooldowns.Refused)
-		require.Less(t, after, time.Second+cooldowns.Refused+retryAfterSpread)
+		require.GreaterOrEqual(t, after, time.Second+cooldowns.AfterRefusal)
+		require.Less(t, after, time.Second+cooldowns.AfterRefusal+retryAfterSpread)
 		require.Equal(t, defaultRetryAfter, f.retryAfter("unknown", now))
 	})
 }
