--- a/relay/times.go
+++ b/relay/times.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Times of following another daemon. A configuration must be in force within
-// Options.ConfigWithin, defaultConfigDelay if not set, even if a source is cut off just before
+// Options.MaxConfigDelay, defaultConfigDelay if not set, even if a source is cut off just before
 // the configuration is published. contactTimeout, one ping and one list of the store must fit
 // into that time.
 const (
