--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -1,6 +1,5 @@
-// Package capacity works out what each role of a daemon costs at the size that
-// the system is built towards, from slopes that have been measured. The page
-// docs/CAPACITY.md is printed by it.
+// Package capacity calculates the cost of each role of a daemon at the target
+// size from measured slopes. It prints the page docs/CAPACITY.md.
 package capacity
 
 import (
@@ -8,17 +7,17 @@
 	"strings"
 )
 
-// Target is the size to build towards.
+// Target is the size that the cost is calculated for.
 type Target struct {
 	Daemons        float64
 	BackendServers float64
 	Requests       float64 // per second
 	Tokens         float64 // per second
-	GapSeconds     float64 // between tokens
+	GapSeconds     float64 // pause between tokens
 	Workspaces     float64
 	Models         float64
 	Domains        float64
-	Changes        float64 // of the configuration, per day
+	Changes        float64 // configuration changes per day
 }
 
 // TwoYears is the users' target.
@@ -34,12 +33,12 @@
 	Name      string
 	Value     float64
 	Unit      string
-	From      string // command that measures it
+	From      string // command that measured it
 	Commit    string // at which it was measured
 	Estimated bool
 }
 
-// Slopes are the figures that the page is worked out from.
+// Slopes are the figures that the page is calculated from.
 type Slopes struct {
 	Request, Token, TokenSockets, Stream, StreamSockets    Slope
 	Apply, Heap, IdleBase, IdlePer, CPUBase, CPUPer        Slope
@@ -55,7 +54,7 @@
 	cmdProcess = "snowspoke try --settings FILE; snowspoked --settings FILE; snowspoke load"
 )
 
-// Measured holds the figures of this repository.
+// Measured holds the measured and estimated figures of this repository.
 var Measured = Slopes{
 	Request:       Slope{"request in dispatch and api", 32, "µs", cmdPath, "a045ca6", false},
 	Token:         Slope{"token in dispatch, api and engine adapter", 2.5, "µs", cmdPath, "a045ca6", false},
@@ -85,23 +84,23 @@
 	Retained:      Slope{"claims a second, a hundredth of the requests", 100, "", "", "", true},
 }
 
-// Role is one row of the page.
+// Role is one row of the table of roles.
 type Role struct {
 	Name      string
 	State     string
 	Messages  string
-	CPU       float64 // share of a core
+	CPU       float64 // fraction of a core
 	MemoryMB  float64
 	Mechanism string
 }
 
-// Roles works out the rows.
+// Roles calculates the rows of the table.
 func Roles(t Target, s Slopes) []Role {
 	requests, tokens := t.Requests/t.Daemons, t.Tokens/t.Daemons
 	streams := tokens * t.GapSeconds
 	changes := t.Changes / day
-	more := t.Daemons - 32
-	watcherPart := t.Domains * s.Watchers.Value
+	extraDaemons := t.Daemons - 32
+	watchers := t.Domains * s.Watchers.Value
 	polls := t.BackendServers * 2 / t.Daemons
 	shards := 16.0
 	return []Role{
@@ -117,15 +116,15 @@
 		},
 		{
 			"peer", fmt.Sprintf("%.0f members, 8 links", t.Daemons),
-			fmt.Sprintf("%.0f B/s idle, %.0f B/s changes", s.IdleBase.Value+more*s.IdlePer.Value, changes*(s.ChangeBase.Value+more*s.ChangePer.Value)),
-			(s.CPUBase.Value + more*s.CPUPer.Value) / 1000, t.Daemons * 0.4 / 1000, "links of bounded degree, only changes travel",
+			fmt.Sprintf("%.0f B/s idle, %.0f B/s changes", s.IdleBase.Value+extraDaemons*s.IdlePer.Value, changes*(s.ChangeBase.Value+extraDaemons*s.ChangePer.Value)),
+			(s.CPUBase.Value + extraDaemons*s.CPUPer.Value) / 1000, t.Daemons * 0.4 / 1000, "links of bounded degree, only changes travel",
 		},
 		{
 			"status reader", fmt.Sprintf("%.1f backend servers", polls), fmt.Sprintf("%.1f reads/s", polls),
 			polls * s.Poll.Value / 1000, 0, "two readers a backend server by rendezvous; loads ride on replies",
 		},
 		{
-			"watcher (of some)", "one watch", fmt.Sprintf("%.2f store calls/s in the whole fleet", watcherPart*(s.WatcherReads.Value+s.VMReads.Value)),
+			"watcher (of some)", "one watch", fmt.Sprintf("%.2f store calls/s in the whole fleet", watchers*(s.WatcherReads.Value+s.VMReads.Value)),
 			s.WatcherCPU.Value / 1000, 0, "two a failure domain by rendezvous; snapshots from peers",
 		},
 		{
@@ -134,7 +133,7 @@
 			s.ClaimCPU.Value / 1000, s.Retained.Value * 3600 / shards * s.Claim.Value / 1000, "a log a shard, group commit, one preferred writer a shard",
 		},
 		{
-			"lease holder for placement (one)", "orders under way", fmt.Sprintf("%.1f lease reads/s in the whole fleet", watcherPart*s.LeaseReads.Value),
+			"lease holder for placement (one)", "orders under way", fmt.Sprintf("%.1f lease reads/s in the whole fleet", watchers*s.LeaseReads.Value),
 			s.Decide.Value / 1000 / 2, 1, "one lease with fencing; orders stored before they are sent",
 		},
 		{
@@ -143,8 +142,8 @@
 	}
 }
 
-// Control sums the roles that are control and not the callers' own work. A
-// daemon with every duty at once is counted.
+// Control returns the total cost of the control roles, all but the first row,
+// for a daemon that has all of them.
 func Control(rows []Role) (cpu, memoryMB float64) {
 	for _, r := range rows[1:] {
 		cpu += r.CPU
@@ -153,7 +152,7 @@
 	return cpu, memoryMB
 }
 
-// Markdown prints the page.
+// Markdown returns the text of the page.
 func Markdown() string {
 	var b strings.Builder
 	rows := Roles(TwoYears, Measured)
--- a/capacity/platform.go
+++ b/capacity/platform.go
@@ -6,33 +6,34 @@
 	"strings"
 )
 
-// SweepPoint is one size of the users' sweep: figures of the middle and of the
-// busiest daemon, callers' traffic included.
+// SweepPoint holds the figures of one size of the sweep, for the median and for
+// the busiest daemon, including callers' traffic.
 type SweepPoint struct {
 	VMs, BackendServers int
 	CPU, BusiestCPU     float64 // percent of a core
 	Memory, Busiest     float64 // MB
-	KB, BusiestKB       float64 // a second
-	Served              float64
-	BackAfterKill       float64 // seconds until served after all processes were killed
+	KB, BusiestKB       float64 // per second
+	Served              float64 // fraction of the calls
+	BackAfterKill       float64 // seconds until calls are served after all processes were killed
 }
 
-// Sweep holds the figures of the last sweep (journal snapshot SweepSnapshot): of the
-// deployment at which the busiest daemon takes most.
+// Sweep holds the figures of the last sweep, from the deployment with the
+// highest load on the busiest daemon.
 var Sweep = []SweepPoint{
 	{30, 298, 2.2, 5.0, 12.0, 15.4, 16.7, 61.7, 0.993, 0.5},
 	{99, 999, 2.1, 7.3, 15.7, 31.1, 11.4, 139, 0.993, 6.5},
 	{300, 3000, 2.8, 13.9, 24.6, 68.6, 19.4, 990, 0.995, 30},
 }
 
-// SweepSnapshot names the journal entry of Sweep.
+// SweepSnapshot identifies the journal entry of Sweep.
 const SweepSnapshot = "363fb87a"
 
-// LoadsPoint is what telling loads takes at one size, in virtual time, without pings.
+// LoadsPoint holds the cost of distributing loads at one size, in virtual time
+// and without pings.
 type LoadsPoint struct {
 	Daemons, BackendServers int
-	KB, BusiestKB           float64 // a second
-	Age, OldestAge          float64 // seconds, p50 and p99 over the daemons
+	KB, BusiestKB           float64 // per second
+	Age, OldestAge          float64 // of received loads, in seconds: p50 and p99 over the daemons
 }
 
 // LoadsMeasured holds the figures of relay.BenchmarkLoadsOfAFleet.
@@ -42,47 +43,47 @@
 	{380, 222, 0.71, 10.7, 6.1, 8.9},
 }
 
-// Figures of the relay, in bytes: a ping with its answer, one load of a backend
-// server, one record of a backend server in a compressed state.
+// Message sizes of the relay: a ping with its answer, the load of one backend
+// server, and the record of one backend server in a compressed state.
 const (
 	pingBytes   = 95.0
 	loadBytes   = 14.0
 	recordBytes = 45.0
 )
 
-// Bytes of permits for backend servers that have named limits, as
-// relay.TestPermitsCostABoundedRate prints them: a second for each daemon while a limit is
-// known, and for each permit that is asked for.
+// Bytes of permit messages for backend servers with limits, as printed by
+// permit.TestPermitsCostABoundedRate: per second and daemon while a limit is
+// known, and per requested permit.
 const (
-	partBytes   = 60.0
-	permitBytes = 75.0
+	permitShareBytes = 60.0
+	permitBytes      = 75.0
 )
 
-// Periods of the relay, as set in package relay.
+// Periods and rates of the relay, matching the settings of package relay.
 const (
-	pingsPerSecond  = 1 / 0.4
-	secondsPerLoad  = 0.010         // of the period, for each backend server
-	ownLoadsShare   = 0.1           // backend servers on which one daemon has requests
-	toldShare       = 0.05          // of the sums that change enough in a period (relay.TestOnlyChangedLoadsAreTold)
-	ownToldShare    = 0.3           // of a daemon's own loads that do: a few requests each, so one in three (estimated)
-	fanOut          = 7.0           // daemons that follow one
-	storeCallsASrc  = 1/0.9 + 1/9.0 // watches of a source that sees no change
-	leaseCallsASite = 3.0           // renewals and looks at the lease
-	secondsABeat    = 0.2           // of the period of a daemon's record, for each daemon (package gateway)
-	secondsAList    = 0.1           // the same of its lists, which may be old and cost a tenth
+	pingsPerSecond        = 1 / 0.4
+	loadPeriodPerServer   = 0.010         // length of the period of loads, in seconds per backend server
+	ownLoadsShare         = 0.1           // fraction of the backend servers on which one daemon has requests
+	reportedShare         = 0.05          // fraction of the sums that change enough in a period to be sent (relay.TestOnlyChangedLoadsAreTold)
+	ownReportedShare      = 0.3           // the same of a daemon's own loads, which are a few requests each (estimated)
+	fanOut                = 7.0           // followers of one daemon
+	storeCallsPerSource   = 1/0.9 + 1/9.0 // per second, by a source whose watches return no change
+	leaseCalls            = 3.0           // per second: renewals and reads of the lease
+	recordPeriodPerDaemon = 0.2           // length of the period of a daemon's record, in seconds per daemon (package gateway)
+	listPeriodPerDaemon   = 0.1           // the same for lists that may be out of date, which cost a tenth
 )
 
-// FollowerBytes returns what a link between a source and a follower carries, in
-// bytes a second both ways, while no object changes; most is the same when every
-// load changes in each period.
-func FollowerBytes() (usual, most float64) {
+// FollowerBytes returns the traffic of a link between a source and a follower,
+// in bytes per second in both directions, while no object changes: for typical
+// changes of loads, and if every load changes in each period.
+func FollowerBytes() (typical, highest float64) {
 	pings := pingBytes * pingsPerSecond
-	loads := loadBytes / secondsPerLoad
-	return pings + loads*(toldShare+ownLoadsShare*ownToldShare), pings + loads*(1+ownLoadsShare)
+	loads := loadBytes / loadPeriodPerServer
+	return pings + loads*(reportedShare+ownLoadsShare*ownReportedShare), pings + loads*(1+ownLoadsShare)
 }
 
 func writePlatform(b *strings.Builder, t Target) {
-	link, most := FollowerBytes()
+	link, highest := FollowerBytes()
 	relays := math.Ceil(t.Daemons/t.Domains/fanOut) * t.Domains
 	fmt.Fprintf(b, "\n## On the users' platform\n\n")
 	fmt.Fprintf(b, "Measured by `fleetbench sweep` on the third customer's deployment (journal snapshot %s), no rule broken:\n\n", SweepSnapshot)
@@ -96,17 +97,17 @@
 		"24.0 and 64.6 MB, 18 and 726 KB/s, served again 8.5 s after all were killed; carried on to 379 VMs 15.6%%, 74.7 MB and 941 KB/s at the busiest: **missed** (1%% of a core, 64 MB and 3 KB/s for control), callers' traffic included. "+
 		"Second site at 301: 0.984 served, 14.1%% of a core, 64.4 MB and 622 KB/s at the busiest, 30 s. The two sweeps before had 11.5 and 14.1%% and 690 and 1,009 KB/s at the busiest here: the runs differ by as much, and nothing since was meant to change them. No backend server names a limit in a sweep.\n\n", Sweep[2].Served/Sweep[0].Served)
 	b.WriteString("Worked out for the target from the relay's periods and sizes of messages:\n\n| figure | value | target |\n|---|---|---|\n")
-	fmt.Fprintf(b, "| control traffic of a follower; when every load changes | %.2f; %.1f KB/s | 3 KB/s |\n", link/1000, most/1000)
+	fmt.Fprintf(b, "| control traffic of a follower; when every load changes | %.2f; %.1f KB/s | 3 KB/s |\n", link/1000, highest/1000)
 	fmt.Fprintf(b, "| of the %.0f of %.0f daemons with %.0f followers; when every load changes | %.1f; %.0f KB/s: **missed** when every load changes | 3 KB/s |\n",
-		relays, t.Daemons, fanOut, link*(fanOut+1)/1000, most*(fanOut+1)/1000)
+		relays, t.Daemons, fanOut, link*(fanOut+1)/1000, highest*(fanOut+1)/1000)
 	for _, m := range LoadsMeasured {
 		fmt.Fprintf(b, "| loads told in a fleet of %d before %d backend servers: middle, busiest daemon | %.2f; %.1f KB/s: **missed** at the busiest | 3 KB/s |\n", m.Daemons, m.BackendServers, m.KB, m.BusiestKB)
 		fmt.Fprintf(b, "| their age as they come, p50, p99 | %.1f; %.1f s: **missed** | 1 s |\n", m.Age, m.OldestAge)
 	}
 	fmt.Fprintf(b, "| permits while a backend server has named a limit: a daemon; the allocator, and %.0f B a permit | %.2f; %.1f KB/s: **missed** at the allocator | 3 KB/s |\n",
-		permitBytes, partBytes/1000, partBytes*(t.Daemons-1)/1000)
+		permitBytes, permitShareBytes/1000, permitShareBytes*(t.Daemons-1)/1000)
 	fmt.Fprintf(b, "| full state to one follower | %.0f KB compressed | |\n", recordBytes*t.BackendServers/1000)
 	fmt.Fprintf(b, "| store calls of the whole fleet | %.1f a second, and %.0f lists that may be old, whatever the daemons | |\n",
-		t.Domains*storeCallsASrc+leaseCallsASite+1/secondsABeat, 1/secondsAList)
+		t.Domains*storeCallsPerSource+leaseCalls+1/recordPeriodPerDaemon, 1/listPeriodPerDaemon)
 	b.WriteString("\nA flat star that told all loads took 153 KB/s at each of the 7 sources.\n")
 }
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant asserts the promises of the system inside the running
-// program. A violated promise is counted, reported and returned as an error
-// that stops the request; in tests the reporter fails the run.
+// Package invariant checks the guarantees of the system at run time. A
+// violation is counted, reported and returned as an error that ends the
+// request; in tests the reporter fails the run.
 package invariant
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/snowspoke/snowspoke/apierror"
 )
 
-// Promise names one property that must always hold.
+// Promise identifies a property that must always hold.
 type Promise string
 
-// The promises, in the order of the users' brief.
+// The promises.
 const (
 	LayersOnceInOrder  Promise = "layers_once_in_order"
 	WholeOwnAnswer     Promise = "whole_own_answer"
@@ -31,7 +31,7 @@
 	NoWorkAfterLeave, PlannedStopCutsOff, ConfigMonotonic,
 }
 
-// Reporter receives every violation; it must be safe for concurrent use.
+// Reporter is called for every violation. It must be safe for concurrent use.
 type Reporter func(p Promise, detail string)
 
 var (
@@ -46,7 +46,8 @@
 	}()
 )
 
-// SetReporter installs r and returns a function that restores the previous one.
+// SetReporter installs r and returns a function that restores the previous
+// reporter.
 func SetReporter(r Reporter) (restore func()) {
 	mu.Lock()
 	defer mu.Unlock()
@@ -59,8 +60,8 @@
 	}
 }
 
-// Check returns nil when ok holds. Otherwise it counts and reports a violation
-// of p and returns an error of kind Internal that stops the request.
+// Check returns nil if ok is true. Otherwise it counts and reports a violation
+// of p and returns an error of kind Internal.
 func Check(ok bool, p Promise, format string, args ...any) error {
 	if ok {
 		return nil
@@ -76,10 +77,10 @@
 	return apierror.New(apierror.Internal, "invariant %s violated: %s", p, detail)
 }
 
-// Count returns how often p was violated since the process started.
+// Count returns the number of violations of p since the process started.
 func Count(p Promise) int64 { return counts[p].Load() }
 
-// Total returns the violations of all promises.
+// Total returns the number of violations of all promises.
 func Total() int64 {
 	var n int64
 	for _, c := range counts {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the logger that every part of the system writes to: one
-// line of key=value pairs for each event.
+// Package logging creates the logger of the daemon, which writes one line of
+// key=value pairs per event.
 package logging
 
 import (
@@ -9,14 +9,15 @@
 	"github.com/go-kit/log/level"
 )
 
-// New returns a logger that writes lines at or above a level to w.
+// New returns a logger that writes to w the events at or above the threshold:
+// "debug", "info", "warn" or "error". Any other value means "info".
 func New(w io.Writer, threshold string) log.Logger {
 	l := log.NewLogfmtLogger(log.NewSyncWriter(w))
-	l = level.NewFilter(l, option(threshold))
+	l = level.NewFilter(l, levelOption(threshold))
 	return log.With(l, "ts", log.DefaultTimestampUTC)
 }
 
-func option(threshold string) level.Option {
+func levelOption(threshold string) level.Option {
 	switch threshold {
 	case "debug":
 		return level.AllowDebug()
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics counts with tally and serves the Prometheus text format.
+// Package metrics records metrics with tally and serves them in the Prometheus
+// text format.
 package metrics
 
 import (
@@ -15,25 +16,26 @@
 	"github.com/snowspoke/snowspoke/invariant"
 )
 
-// reportEvery is the period at which counters reach the served registry.
-const reportEvery = time.Second
+// reportInterval is the period at which values are copied to the served
+// registry.
+const reportInterval = time.Second
 
-// Metrics holds the daemon's counters. It implements dispatch.Observer.
+// Metrics holds the daemon's metrics. It implements dispatch.Observer.
 type Metrics struct {
-	scope    tally.Scope
-	reporter promreporter.Reporter
-	closer   io.Closer
-	dropped  [4]tally.Counter
-	first    tally.Histogram
-	recovery tally.Histogram
-	loadsAge tally.Histogram
-	stalls   tally.Histogram
+	scope      tally.Scope
+	reporter   promreporter.Reporter
+	closer     io.Closer
+	dropped    [4]tally.Counter
+	firstToken tally.Histogram
+	recovery   tally.Histogram
+	loadsAge   tally.Histogram
+	stalls     tally.Histogram
 }
 
-// secondsBuckets suit requests from milliseconds to minutes.
+// secondsBuckets range from 1 ms to 131 s.
 var secondsBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 18)
 
-// New returns metrics under the prefix "snowspoke".
+// New returns metrics with the name prefix "snowspoke".
 func New() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	reporter := promreporter.NewReporter(promreporter.Options{Registerer: registry, Gatherer: registry,
@@ -41,12 +43,12 @@
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "snowspoke", CachedReporter: reporter, Separator: promreporter.DefaultSeparator,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	m := &Metrics{scope: scope, reporter: reporter, closer: closer}
 	for i, reason := range []string{"foreign", "stale", "repeated", "overflow"} {
 		m.dropped[i] = scope.Tagged(map[string]string{"reason": reason}).Counter("events_dropped_total")
 	}
-	m.first = scope.Histogram("first_token_seconds", secondsBuckets)
+	m.firstToken = scope.Histogram("first_token_seconds", secondsBuckets)
 	m.recovery = scope.Histogram("recovery_gap_seconds", secondsBuckets)
 	m.stalls = scope.Histogram("stall_seconds", secondsBuckets)
 	m.loadsAge = scope.Histogram("loads_age_seconds", secondsBuckets)
@@ -70,41 +72,42 @@
 }
 
 // FirstToken implements dispatch.Observer.
-func (m *Metrics) FirstToken(d time.Duration) { m.first.RecordDuration(d) }
+func (m *Metrics) FirstToken(d time.Duration) { m.firstToken.RecordDuration(d) }
 
 // Recovered implements dispatch.Observer.
 func (m *Metrics) Recovered(gap time.Duration) { m.recovery.RecordDuration(gap) }
 
-// LoadsAge records how old the loads of the other daemons were as they came.
+// LoadsAge records the age of other daemons' loads at their arrival.
 func (m *Metrics) LoadsAge(age time.Duration) { m.loadsAge.RecordDuration(age) }
 
-// LoadsRefused counts loads of other daemons that were dropped as impossible.
+// LoadsRefused counts loads of other daemons that were rejected as invalid.
 func (m *Metrics) LoadsRefused(n int) { m.scope.Counter("loads_refused_total").Inc(int64(n)) }
 
-// Stalled records a time for which this process was kept from running.
+// Stalled records a period during which this process did not run.
 func (m *Metrics) Stalled(d time.Duration) { m.stalls.RecordDuration(d) }
 
-// Refused counts entries of the platform's store that cannot be read.
+// Refused counts entries of the platform's store that cannot be decoded.
 func (m *Metrics) Refused(kind string) {
 	m.scope.Tagged(map[string]string{"kind": kind}).Counter("entries_refused_total").Inc(1)
 }
 
-// StoreEra records the era of the platform's store, which grows by one each time that the
-// store comes back from an older copy.
+// StoreEra records the era of the platform's store, which increases by one each
+// time that the store is restored from an older copy.
 func (m *Metrics) StoreEra(era uint64) { m.scope.Gauge("store_era").Update(float64(era)) }
 
-// EndedUnder counts backend servers that ended while they may have run a request, once
-// for each request.
+// EndedUnder counts backend servers that ended while they may have been running
+// a request, once for each request.
 func (m *Metrics) EndedUnder() { m.scope.Counter("ended_under_requests_total").Inc(1) }
 
-// HeldBack counts requests that were not sent since backend servers had ended under them.
+// HeldBack counts requests that were quarantined because backend servers had
+// ended while running them.
 func (m *Metrics) HeldBack() { m.scope.Counter("held_back_total").Inc(1) }
 
-// Limits records how many limits of backend servers are known.
+// Limits records the number of known limits of backend servers.
 func (m *Metrics) Limits(known int) { m.scope.Gauge("limits_known").Update(float64(known)) }
 
-// LimitReached counts requests that were refused since the limits of backend servers left
-// no room for them.
+// LimitReached counts requests that were refused because of the limits of
+// backend servers.
 func (m *Metrics) LimitReached() { m.scope.Counter("limit_refused_total").Inc(1) }
 
 // Dropped implements dispatch.Observer.
@@ -116,13 +119,13 @@
 	}
 }
 
-// TaggedGauge sets a gauge that is kept for each value of a tag; its name must end
-// in its unit.
+// TaggedGauge sets a gauge for one value of a tag. The gauge's name must end in
+// its unit.
 func (m *Metrics) TaggedGauge(name, tag, value string, v float64) {
 	m.scope.Tagged(map[string]string{tag: value}).Gauge(name).Update(v)
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
 // Close stops reporting.
--- a/network/network.go
+++ b/network/network.go
@@ -1,5 +1,5 @@
-// Package network is the seam between the daemon and the sockets of its
-// machine, so that tests can run many daemons on a network in memory.
+// Package network abstracts the sockets of the machine, so that tests can run
+// many daemons on a network in memory.
 package network
 
 import (
@@ -16,11 +16,11 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// System is the machine's own network.
+// System is the operating system's network.
 type System struct{ dialer net.Dialer }
 
-// NewSystem returns the machine's network; a connection that is not made within
-// the timeout fails.
+// NewSystem returns the operating system's network. Dialing fails after the
+// timeout.
 func NewSystem(timeout time.Duration) *System {
 	return &System{dialer: net.Dialer{Timeout: timeout, KeepAlive: 5 * time.Second}}
 }
@@ -33,15 +33,16 @@
 	return s.dialer.DialContext(ctx, network, address)
 }
 
-// idleTimeout is shorter than that of usual servers, so that a request is
-// seldom sent on a connection that is being closed.
+// idleTimeout is shorter than the idle timeout of typical servers, so that a
+// request is rarely sent on a connection that the server is closing.
 const idleTimeout = 20 * time.Second
 
 // Client returns an HTTP client over the network that keeps up to perHost idle
-// connections to each host and follows no redirect.
+// connections to each host and does not follow redirects.
 func Client(n Network, perHost int) *http.Client { return TLSClient(n, perHost, nil) }
 
-// TLSClient is Client with a TLS configuration for https; nil is the default.
+// TLSClient is like Client, with a TLS configuration for https; nil selects the
+// default.
 func TLSClient(n Network, perHost int, c *tls.Config) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
--- a/prediction/prediction.go
+++ b/prediction/prediction.go
@@ -1,5 +1,5 @@
-// Package prediction compares the first events that daemons predicted with those that
-// callers got, by the lines of their decision logs.
+// Package prediction compares predicted with measured times to the first event,
+// as recorded in the daemons' decision logs.
 package prediction
 
 import (
@@ -15,42 +15,43 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// Bounds of what counts as predicted well: between half and twice what was measured.
+// A prediction is accurate if the ratio of measured to predicted time is within
+// these bounds.
 const (
-	wellLeast = 0.5
-	wellMost  = 2.0
+	minAccurateRatio = 0.5
+	maxAccurateRatio = 2.0
 )
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a log line.
+const maxLineBytes = 1 << 20
 
-// Period is what the requests of one period showed.
+// Period summarizes the requests that were sent in one period.
 type Period struct {
 	Start    time.Time
-	Requests int // sent in it and answered as a whole, with a prediction
-	// Ratios are measured over predicted, ascending.
+	Requests int // completely answered requests with a prediction
+	// Ratios are the ratios of measured to predicted time, ascending.
 	Ratios []float64
-	// First and Pause are the times to the first event and the longest pauses between
-	// two, ascending.
+	// First and Pause are the times to the first event and the longest pauses
+	// between two events, ascending.
 	First []time.Duration
 	Pause []time.Duration
-	// Sends are those of all its requests, with the ones that were sent again.
+	// Sends counts the sends of these requests, including retries.
 	Sends int
 }
 
-// Well returns the share of the requests that were predicted well.
+// Well returns the fraction of requests whose prediction was accurate.
 func (p *Period) Well() float64 {
 	n := 0
 	for _, r := range p.Ratios {
-		if r >= wellLeast && r <= wellMost {
+		if r >= minAccurateRatio && r <= maxAccurateRatio {
 			n++
 		}
 	}
 	return float64(n) / float64(max(1, len(p.Ratios)))
 }
 
-// Quantile returns the value below which a share q of ascending values lies, the zero
-// value of none.
+// Quantile returns the q-quantile of ascending values, or the zero value if
+// there are none.
 func Quantile[T any](values []T, q float64) T {
 	if len(values) == 0 {
 		var none T
@@ -59,29 +60,29 @@
 	return values[min(len(values)-1, int(q*float64(len(values))))]
 }
 
-// request is what the lines of one request tell.
+// request holds the data of one request's log lines.
 type request struct {
 	sentAt    time.Time
-	predicted float64 // ms to the first event, by its first send
+	predicted float64 // time to the first event in ms, at the first send
 	sends     int
 	first     time.Duration
 	pause     time.Duration
-	whole     bool
+	complete  bool
 }
 
-// Read reads the lines of one or more daemons and returns the periods in which requests
-// were sent, in order. Lines that are not decisions on requests are passed over, and so
-// is what stands before the time of a line.
+// Read parses the log lines of one or more daemons and returns the periods in
+// which requests were sent, in order. It ignores lines that are not decisions
+// on requests, and any text before the ts key of a line.
 func Read(r io.Reader, period time.Duration) ([]Period, error) {
 	requests := map[string]*request{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		at := bytes.Index(lines.Bytes(), []byte("ts="))
 		if at < 0 {
 			continue
 		}
-		note(requests, fields(lines.Bytes()[at:]))
+		recordLine(requests, fields(lines.Bytes()[at:]))
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("prediction: %w", err)
@@ -89,7 +90,7 @@
 	return periods(requests, period), nil
 }
 
-// fields returns the pairs of a line; one that is cut off ends early.
+// fields returns the key-value pairs of a line up to the first syntax error.
 func fields(line []byte) map[string]string {
 	out := map[string]string{}
 	d := logfmt.NewDecoder(bytes.NewReader(line))
@@ -101,8 +102,8 @@
 	return out
 }
 
-// note takes one line.
-func note(requests map[string]*request, line map[string]string) {
+// recordLine adds one line to the request that it belongs to.
+func recordLine(requests map[string]*request, line map[string]string) {
 	id := line["request"]
 	if id == "" {
 		return
@@ -120,7 +121,7 @@
 			r.predicted, _ = strconv.ParseFloat(line["predicted_first_ms"], 64)
 		}
 	case "finish":
-		r.whole = line["result"] == "whole"
+		r.complete = line["result"] == "whole"
 		r.first, _ = time.ParseDuration(line["first_in"])
 		r.pause, _ = time.ParseDuration(line["longest_pause"])
 	}
@@ -129,7 +130,7 @@
 func periods(requests map[string]*request, length time.Duration) []Period {
 	byStart := map[time.Time]*Period{}
 	for _, r := range requests {
-		if !r.whole || r.predicted <= 0 || r.first <= 0 || r.sentAt.IsZero() {
+		if !r.complete || r.predicted <= 0 || r.first <= 0 || r.sentAt.IsZero() {
 			continue
 		}
 		start := r.sentAt.Truncate(length)
@@ -155,7 +156,7 @@
 	return out
 }
 
-// Write prints a line a period.
+// Write prints a table with one row per period.
 func Write(w io.Writer, periods []Period) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "from\trequests\tsends\tmeasured/predicted p10\tp50\tp90\twell\tfirst p50 ms\tp90\tpause p50 ms\tp90\t")
--- a/store/position.go
+++ b/store/position.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Position is a place in the history of a store: its era and, within that, a revision.
-// A store that comes back from an older copy gives revisions out again and counts its
-// era up by one, so the era goes before the revision: any position of a later era comes
-// after all of the eras before. Positions are compared as the numbers that they are. The
-// zero Position comes before all others and stands for what has none.
+// Position is a point in the history of a store: an era and, within it, a
+// revision. A store that is restored from an older copy issues revisions again
+// and increments its era, so the era is the more significant part. Positions
+// compare as numbers. The zero Position precedes all others and marks the
+// absence of a position.
 type Position uint64
 
-// revisionBits is the part of a position that holds the revision: at a thousand changes
-// a second it lasts for 8,900 years. What is left holds 65,535 returns of the store.
+// revisionBits is the width of the revision in a position. It lasts 8,900 years
+// at a thousand changes a second and leaves room for 65,535 eras.
 const revisionBits = 48
 
-// FirstEra is the latest era that a store which has never come back from a copy tells; one
-// that tells none is in era 0.
+// FirstEra is the era of a store that has never been restored. A store that
+// does not report eras is in era 0.
 const FirstEra = 1
 
 // At returns the position of a revision in an era.
@@ -22,14 +22,14 @@
 	return Position(era<<revisionBits | revision&(1<<revisionBits-1))
 }
 
-// Era returns the era, 0 for a store that tells none.
+// Era returns the era, 0 for a store that does not report eras.
 func (p Position) Era() uint64 { return uint64(p) >> revisionBits }
 
 // Revision returns the revision within the era.
 func (p Position) Revision() uint64 { return uint64(p) & (1<<revisionBits - 1) }
 
-// String returns a position as it is written into logs: era and revision, the revision
-// alone where the store tells no eras.
+// String returns a position in the form used in logs: era and revision, or the
+// revision alone in era 0.
 func (p Position) String() string {
 	if p.Era() == 0 {
 		return fmt.Sprint(p.Revision())
--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,6 @@
-// Package store defines what the system needs of the platform it runs on:
-// the object store with versions, conditional updates and watches, and the
-// list of VMs. Wire formats live in the adapters below this package.
+// Package store defines the interfaces of the platform: the object store with
+// versions, conditional updates and watches, and the list of VMs. Wire formats
+// are defined in the adapters below this package.
 package store
 
 import (
@@ -14,20 +14,22 @@
 	ErrNotFound    = errors.New("store: object not found")
 	ErrConflict    = errors.New("store: version conflict")
 	ErrUnavailable = errors.New("store: store unavailable")
-	// ErrAmbiguous says that a write may have taken effect: the answer was lost.
+	// ErrAmbiguous is returned when a write may have taken effect because the
+	// response was lost.
 	ErrAmbiguous = errors.New("store: outcome of the write unknown")
-	// ErrCompacted says that a watch asked for changes that are no longer kept.
+	// ErrCompacted is returned when a watch asks for changes that are no longer
+	// kept.
 	ErrCompacted = errors.New("store: watch revision compacted")
-	// ErrRestored says that the store has come back from an older copy: what was read of
-	// it is of an era that is over, and is read anew.
+	// ErrRestored is returned when the store was restored from an older copy.
+	// Everything read in the previous era must be read again.
 	ErrRestored = errors.New("store: restored from an older copy")
 )
 
-// MaxValueBytes is the largest spec that the store holds.
+// MaxValueBytes is the maximum size of a spec.
 const MaxValueBytes = 1 << 20
 
-// Object is a versioned value. Versions are positions in the history of the store, so
-// they order the changes of all objects.
+// Object is a versioned value. Versions are positions in the history of the
+// store and order the changes of all objects.
 type Object struct {
 	Kind    string   `json:"kind"`
 	Name    string   `json:"name"`
@@ -42,16 +44,16 @@
 // ID returns the identity of o.
 func (o *Object) ID() ID { return ID{o.Kind, o.Name} }
 
-// Store is the platform's object interface. Implementations must be safe for
+// Store is the platform's object store. Implementations must be safe for
 // concurrent use.
 type Store interface {
 	// Get returns one object or ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// List returns the objects of a kind and the store's revision.
+	// List returns the objects of a kind and the store's position.
 	List(ctx context.Context, kind string) ([]Object, Position, error)
 	// Put writes spec if the object's version is still ifVersion; 0 means that
 	// the object must not exist. It returns the new version, ErrConflict, or
-	// ErrAmbiguous when the answer was lost.
+	// ErrAmbiguous if the response was lost.
 	Put(ctx context.Context, kind, name string, spec []byte, ifVersion Position) (Position, error)
 	// Delete removes the object if its version is still ifVersion.
 	Delete(ctx context.Context, kind, name string, ifVersion Position) (Position, error)
@@ -72,13 +74,13 @@
 // VM is an entry of the platform's VM list.
 type VM struct {
 	Name          string  `json:"name"`
-	Address       string  `json:"address"` // IP number
+	Address       string  `json:"address"` // IP address
 	FailureDomain string  `json:"failureDomain"`
 	State         VMState `json:"state"`
 	Role          string  `json:"role"` // "entry" or "backend"
 }
 
-// VMLister returns the VMs, with a lag.
+// VMLister returns the platform's VMs. The list may be out of date.
 type VMLister interface {
 	ListVMs(ctx context.Context) ([]VM, error)
 }
